--- /dev/null
+++ b/crates/wirehost/tests/fixtures.rs
@@ -0,0 +1,51 @@
+//! A stored session on the simulator's wire: the same batches are answered by the same bytes.
+
+use grebespool_wirehost::hosted::Hosted;
+use rstest::rstest;
+use std::collections::BTreeSet;
+
+/// Batches and replies in turn, a frame in hexadecimal a line; an underscore stands for eight bytes of zero.
+const SESSION: &str = include_str!("fixtures/session.hex");
+const RECORD_BYTES: usize = 16;
+const FRAME_HEAD_BYTES: usize = 8;
+
+fn bytes(line: &str) -> Vec<u8> {
+    let line = line.replace('_', &"00".repeat(8));
+    (0..line.len()).step_by(2).map(|at| u8::from_str_radix(&line[at..at + 2], 16).unwrap()).collect()
+}
+
+fn session() -> Vec<(Vec<u8>, Vec<u8>)> {
+    let frames: Vec<Vec<u8>> = SESSION.lines().map(bytes).collect();
+    frames.chunks_exact(2).map(|pair| (pair[0].clone(), pair[1].clone())).collect()
+}
+
+fn codes(frame: &[u8], head: usize, record: usize) -> impl Iterator<Item = u16> {
+    frame[head..].chunks_exact(record).map(|r| u16::from_be_bytes([r[0], r[1]]))
+}
+
+#[rstest]
+fn stored_batches_are_answered_by_the_stored_replies() {
+    let mut hosted = Hosted::default();
+    for (i, (batch, reply)) in session().into_iter().enumerate() {
+        assert_eq!(hosted.batch(&batch).unwrap(), reply, "batch {i}");
+    }
+}
+
+#[rstest]
+fn stored_replies_hold_a_record_of_every_kind() {
+    let replies = session().into_iter().map(|(_, reply)| reply);
+    let seen: BTreeSet<u16> =
+        replies.flat_map(|r| codes(&r, FRAME_HEAD_BYTES, RECORD_BYTES).collect::<Vec<_>>()).collect();
+    assert_eq!(seen, BTreeSet::from([1010, 1030, 1040, 1050, 1060, 1070, 1080, 1110]));
+}
+
+/// A record that sets the admission carries when proxies try again as a number from 0 to 2.
+#[rstest]
+fn stored_replies_hold_every_retry_mode() {
+    let replies = session().into_iter().map(|(_, reply)| reply);
+    let records = replies.flat_map(|r| {
+        r[FRAME_HEAD_BYTES..].chunks_exact(RECORD_BYTES).map(<[u8]>::to_vec).collect::<Vec<_>>()
+    });
+    let modes: BTreeSet<u8> = records.filter(|r| r[..2] == [4, 0x24]).map(|r| r[2]).collect();
+    assert_eq!(modes, BTreeSet::from([0, 1, 2]));
+}
