--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -23,4 +23,4 @@
 pub use share::share;
 pub use steward::{Refused, Shown};
 pub use token::{Duty, LONGEST_HOLD, Terms, Token};
-pub use work::Word;
+pub use work::{Claims, Word};
