--- a/crates/duties/tests/fixtures.rs
+++ b/crates/duties/tests/fixtures.rs
@@ -171,3 +171,12 @@
     assert_eq!(account.rows[0], ((1, 2), Counts { calls: 1000, tries: 1002, dropped: 1004 }));
     reads_and_writes_the_same(RECORDS, "account", &account);
 }
+
+/// The accounts are written as JSON files, which go by key.
+#[rstest]
+fn account_written_as_json_keeps_its_keys() {
+    let json = include_str!("fixtures/account.json").trim_end();
+    let account = Account { period: 40, revision: 1, rows: rows(), missing: vec![9] };
+    assert_eq!(serde_json::to_string(&account).unwrap(), json);
+    assert_eq!(serde_json::from_str::<Account>(json).unwrap(), account);
+}
