--- /dev/null
+++ b/crates/distribution/tests/fixtures.rs
@@ -0,0 +1,177 @@
+//! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes.
+
+use grebespool_accord::{Change, Limit, State};
+use grebespool_distribution::*;
+use rstest::rstest;
+use serde::{Serialize, de::DeserializeOwned};
+use std::fmt::Debug;
+use std::time::Duration;
+
+const SCOPE: ScopeId = ScopeId(700);
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
+}
+
+/// Each value encodes to the bytes of its line, and these decode to it; no line is left over.
+fn assert_postcard_fixture<T>(fixture: &str, values: &[(&str, T)])
+where
+    T: Serialize + DeserializeOwned + Debug + PartialEq,
+{
+    let encoded: Vec<String> = values
+        .iter()
+        .map(|(name, value)| format!("{name} {}", to_hex(&postcard::to_stdvec(value).unwrap())))
+        .collect();
+    assert_eq!(fixture.lines().collect::<Vec<_>>().join("\n"), encoded.join("\n"));
+    for (line, (name, value)) in fixture.lines().zip(values) {
+        let bytes = from_hex(line.split_once(' ').unwrap().1);
+        let (decoded, rest) = postcard::take_from_bytes::<T>(&bytes).unwrap();
+        assert_eq!((&decoded, rest.len()), (value, 0), "{name}");
+    }
+}
+
+fn changes() -> Vec<Change> {
+    vec![
+        Change::Limit("draw".into(), Some(Limit::Most(12.5))),
+        Change::Route("search".into(), None),
+        Change::State("s1".into(), State::Draining),
+    ]
+}
+
+/// Prepared, activated, and prepared again.
+fn chain() -> (ScopeChain, Vec<Link>) {
+    let (mut chain, mut links) = (ScopeChain::new(SCOPE), vec![]);
+    for step in [Step::Prepare(changes()), Step::Activate, Step::Prepare(changes()[..1].to_vec())] {
+        let link = chain.next(step).unwrap();
+        chain.apply(link.clone()).unwrap();
+        links.push(link);
+    }
+    (chain, links)
+}
+
+fn session() -> SessionId {
+    SessionId { start: 5, number: 300 }
+}
+
+fn fact() -> Fact {
+    Fact { scope: SCOPE, held: chain().0.position(), ready: 2 }
+}
+
+fn part() -> SnapshotPart {
+    let Snapshot { scope, position, parent, state } = chain().0.snapshot();
+    SnapshotPart { scope, position, parent, part: 0, parts: 1, bytes: state }
+}
+
+fn proposal() -> Proposal {
+    Proposal { proposer: 11, number: 1 << 40, scope: SCOPE, changes: changes() }
+}
+
+/// Every kind of entry of the log.
+fn records() -> Vec<Record> {
+    let link = chain().1[0].clone();
+    let entries = [
+        Entry::Begin,
+        Entry::Link(link, vec![(11, 1 << 40), (12, 3)]),
+        Entry::Register(21, 4),
+        Entry::Unregister(22),
+    ];
+    entries.into_iter().map(|entry| Record { term: 9, entry }).collect()
+}
+
+fn upward() -> Vec<(&'static str, Upward)> {
+    let session = session();
+    vec![
+        ("attach", Upward::Attach { session, term: 9, facts: vec![fact()] }),
+        ("renew", Upward::Renew { session, count: 1000, facts: vec![fact()] }),
+        ("release", Upward::Release { session }),
+    ]
+}
+
+fn downward() -> Vec<(&'static str, Downward)> {
+    let session = session();
+    let lease = Some(Duration::new(3, 250_000_000));
+    let refused = |why| Downward::Refused { session, why };
+    vec![
+        ("attached", Downward::Attached { session, term: 9 }),
+        ("granted", Downward::Granted { session, term: 9, count: 1000, lease }),
+        ("granted-without-lease", Downward::Granted { session, term: 9, count: 1000, lease: None }),
+        ("links", Downward::Links { links: chain().1 }),
+        ("part", Downward::Part(part())),
+        ("not-leading", Downward::NotLeading { session, leader: Some(31) }),
+        ("refused-unknown-session", refused(Refusal::UnknownSession)),
+        ("refused-full", refused(Refusal::Full)),
+        ("refused-other-history", refused(Refusal::OtherHistory(SCOPE))),
+        ("refused-other-zone", refused(Refusal::OtherZone)),
+        ("leaving", Downward::Leaving),
+    ]
+}
+
+fn control() -> Vec<(&'static str, Control)> {
+    let (term, last) = (9, 300);
+    vec![
+        ("recover", Control::Recover { term }),
+        ("recovered", Control::Recovered { term, last: (8, 299) }),
+        ("fetch", Control::Fetch { term, from: 17 }),
+        ("fetched", Control::Fetched { term, from: 17, records: records() }),
+        ("append", Control::Append { term, previous: (8, 299), records: records(), committed: 298 }),
+        ("appended", Control::Appended { term, last }),
+        ("missing", Control::Missing { term, last }),
+    ]
+}
+
+#[rstest]
+fn messages_between_nodes_keep_their_bytes() {
+    let upward = upward().into_iter().map(|(name, message)| (name, Message::Upward(message)));
+    let downward = downward().into_iter().map(|(name, message)| (name, Message::Downward(message)));
+    let control = control().into_iter().map(|(name, message)| (name, Message::Control(message)));
+    let refused = Some("a limit that is not known".to_string());
+    let proposals = [
+        ("propose", Message::Propose(proposal())),
+        ("proposed", Message::Proposed { number: 4, refused: None }),
+        ("proposed-refused", Message::Proposed { number: 5, refused }),
+    ];
+    let messages: Vec<(&str, Message)> = upward.chain(downward).chain(control).chain(proposals).collect();
+    assert_postcard_fixture(include_str!("fixtures/messages.txt"), &messages);
+}
+
+#[rstest]
+fn the_log_of_control_machines_keeps_its_bytes() {
+    assert_postcard_fixture(include_str!("fixtures/log.txt"), &[("log", records())]);
+}
+
+#[rstest]
+fn chains_keep_their_bytes_and_open_as_a_store() {
+    let (three, _) = chain();
+    assert_postcard_fixture(
+        include_str!("fixtures/chains.txt"),
+        &[("empty", ScopeChain::new(SCOPE)), ("three-links", three.clone())],
+    );
+    let stored = include_str!("fixtures/chains.txt").lines();
+    let chains = stored.map(|line| from_hex(line.split_once(' ').unwrap().1));
+    let store = Store::of(chains.map(|bytes| postcard::from_bytes::<ScopeChain>(&bytes).unwrap()));
+    assert_eq!(store.chain(SCOPE), Some(&three));
+    assert_eq!((store.revision(SCOPE), store.position(SCOPE)), (3, three.position()));
+}
+
+#[rstest]
+fn snapshots_keep_their_bytes_and_restore_the_chain() {
+    let (three, _) = chain();
+    assert_postcard_fixture(include_str!("fixtures/snapshots.txt"), &[("three-links", three.snapshot())]);
+    let line = include_str!("fixtures/snapshots.txt").lines().next().unwrap();
+    let bytes = from_hex(line.split_once(' ').unwrap().1);
+    let mut restored = ScopeChain::new(SCOPE);
+    restored.restore(&postcard::from_bytes(&bytes).unwrap()).unwrap();
+    assert_eq!((restored.state(), restored.position()), (three.state(), three.position()));
+}
+
+#[rstest]
+fn digests_stand_for_the_same_content() {
+    let position = chain().0.position();
+    let digests =
+        [("nothing", Digest::of(&())), ("changes", Digest::of(&changes())), ("chain", position.hash)];
+    assert_postcard_fixture(include_str!("fixtures/digests.txt"), &digests);
+}
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -18,6 +18,6 @@
 pub use accounts::{Audit, audit};
 pub use duties::{Accounting, Fleetwork};
 pub use keys::Keys;
-pub use operator::{Answer, DutyOrder, Editions, Question, SiteAsked, ask};
+pub use operator::{Answer, DutyOrder, Editions, Question, Shown, SiteAsked, ask};
 pub use run::{Change, Running, Unrunnable, run};
 pub use store::{Store, Unusable, first_roster, fleet_id, seat_id};
