--- a/crates/cli/src/editions.rs
+++ b/crates/cli/src/editions.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{members_of, question};
 use clap::Subcommand;
-use grebespool_accord::Change;
+use grebespool_config_consensus::Change;
 use grebespool_members::{Answer, Editions, Question};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -67,7 +67,7 @@
             shown.view.spared.len()
         );
     }
-    let ready = shown.view.servers.values().filter(|s| s.state == grebespool_accord::State::Ready);
+    let ready = shown.view.servers.values().filter(|s| s.state == grebespool_config_consensus::State::Ready);
     println!(
         "shared: {} routes, {} limits, {} racks, {} servers of which {} are ready",
         shown.view.most.len(),
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -226,7 +226,7 @@
             period: a.period.0,
             slack: a.slack.0,
         }),
-        agree: duties.agree.as_ref().map(|a| grebespool_accord::Terms {
+        agree: duties.agree.as_ref().map(|a| grebespool_config_consensus::Terms {
             lease: a.lease.0,
             renew: a.renew.0,
             drift: members.drift,
--- a/crates/cli/tests/fleet/editions.rs
+++ b/crates/cli/tests/fleet/editions.rs
@@ -2,7 +2,7 @@
 //! asked all the time over its own streams, and what they answered is checked.
 
 use crate::helpers::Fleet;
-use grebespool_accord::{Acts, Change, Limit};
+use grebespool_config_consensus::{Acts, Change, Limit};
 use grebespool_members::seal::{Own, Packet, Sealed};
 use grebespool_members::{Answer, Keys, Question, fleet_id};
 use rand::{Rng, SeedableRng};
--- a/crates/accord/src/content/view.rs
+++ b/crates/config-consensus/src/content/view.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What is allowed. While two editions are about it is the stricter of both, field by field (the table in
-/// `docs/design/accord.md`); where neither is the stricter, what depends on it pauses.
+/// `docs/design/config-consensus.md`); where neither is the stricter, what depends on it pauses.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
     /// The part of each route's calls that may be let in at the most.
--- a/crates/accord/src/lib.rs
+++ b/crates/config-consensus/src/lib.rs
@@ -1,4 +1,4 @@
-//! Editions of settings and lists that the members of a fleet agree on (`docs/design/accord.md`). No I/O and no clock: a
+//! Editions of settings and lists that the members of a fleet agree on (`docs/design/config-consensus.md`). No I/O and no clock: a
 //! [`Member`] is told what happens and when by its own clock, and asks its [`Host`] to say, to write and to agree.
 //!
 //! Whatever clocks do: an edition's number has one content, and what was fixed is what the next convener goes on with.
--- a/crates/accord/tests/accord/content.rs
+++ b/crates/config-consensus/tests/accord/content.rs
@@ -1,7 +1,7 @@
 //! Tables of what editions may say, and what is the stricter of two.
 
 use crate::helpers::{content, server};
-use grebespool_accord::*;
+use grebespool_config_consensus::*;
 use proptest::prelude::*;
 use rstest::rstest;
 
--- a/crates/accord/tests/accord/helpers.rs
+++ b/crates/config-consensus/tests/accord/helpers.rs
@@ -1,7 +1,7 @@
 //! Members under a simulated network, disks and clocks that fail. Who owns the journal is the world's to say, as
 //! `grebespool-duties` would: one at a time, tokens that rise, and what stands with a majority is found by the next.
 
-use grebespool_accord::*;
+use grebespool_config_consensus::*;
 use grebespool_duties::{Record, Token};
 use grebespool_succession::Id;
 use rand::{Rng, SeedableRng};
--- a/crates/accord/tests/accord/world.rs
+++ b/crates/config-consensus/tests/accord/world.rs
@@ -1,7 +1,7 @@
 //! What must hold whatever happens to members, and what comes back once things are well.
 
 use crate::helpers::*;
-use grebespool_accord::*;
+use grebespool_config_consensus::*;
 use rand::Rng;
 use rstest::rstest;
 use std::collections::BTreeMap;
--- a/crates/accord/tests/fixtures.rs
+++ b/crates/config-consensus/tests/fixtures.rs
@@ -1,6 +1,6 @@
 //! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes.
 
-use grebespool_accord::{
+use grebespool_config_consensus::{
     Acts, Blob, Body, Change, Content, Done, Edition, Hash, Kept, Limit, Manifest, Proposal, Rack, Route,
     Server, State, View, Word,
 };
--- a/crates/distribution/src/chain.rs
+++ b/crates/distribution/src/chain.rs
@@ -5,7 +5,7 @@
 //! order or another history is detected and never applied.
 
 use crate::digest::Digest;
-use grebespool_accord::{Change, Content, View};
+use grebespool_config_consensus::{Change, Content, View};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use thiserror::Error;
--- a/crates/distribution/src/control.rs
+++ b/crates/distribution/src/control.rs
@@ -10,7 +10,7 @@
 use crate::replica::{Durable, Replica, Write};
 use crate::settings::Settings;
 use crate::store::Store;
-use grebespool_accord::{Change, check};
+use grebespool_config_consensus::{Change, check};
 use grebespool_succession::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/distribution/src/message.rs
+++ b/crates/distribution/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::chain::{Link, Position, Priority, Revision, ScopeId};
 use crate::digest::Digest;
-use grebespool_accord::Change;
+use grebespool_config_consensus::Change;
 use grebespool_succession::Id;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
--- a/crates/distribution/src/planner.rs
+++ b/crates/distribution/src/planner.rs
@@ -11,7 +11,7 @@
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::subscriber::{Manner, Subscriber};
-use grebespool_accord::View;
+use grebespool_config_consensus::View;
 use grebespool_succession::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/distribution/tests/parts.rs
+++ b/crates/distribution/tests/parts.rs
@@ -1,6 +1,6 @@
 //! The parts by themselves: chains and snapshots that are wrong, budgets, settings, and who is a relay.
 
-use grebespool_accord::{Change, Limit};
+use grebespool_config_consensus::{Change, Limit};
 use grebespool_distribution::*;
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/members/src/accord.rs
+++ b/crates/members/src/accord.rs
@@ -1,12 +1,12 @@
 //! Editions of a member that runs: their words on the streams of duties, what is held on the disk, and the journal that
-//! is a duty's. All decisions are [`grebespool_accord`]'s.
+//! is a duty's. All decisions are [`grebespool_config_consensus`]'s.
 
 use crate::duties::{Bench, EDITIONS};
 use crate::operator::{self, Answer};
 use crate::run::Shared;
 use crate::seal::Packet;
 use crate::store::Store;
-use grebespool_accord::{Acts, Change, Host, Kept, Member, Terms, Ticket, Word};
+use grebespool_config_consensus::{Acts, Change, Host, Kept, Member, Terms, Ticket, Word};
 use grebespool_duties::{Duty, Token};
 use grebespool_succession::Id;
 use std::cell::RefCell;
@@ -138,7 +138,7 @@
         let own = self.member.borrow();
         let seats = &own.kept_state().roster.seats;
         let named = |id: Id| seats.get(&id).map_or(format!("{id:016x}"), |s| s.name.clone());
-        let name = |(number, hash): grebespool_accord::Name| (number, hash.to_string());
+        let name = |(number, hash): grebespool_config_consensus::Name| (number, hash.to_string());
         Answer::Editions(Box::new(operator::Editions {
             name: self.name.clone(),
             acts: shown.acts,
--- a/crates/members/src/duties.rs
+++ b/crates/members/src/duties.rs
@@ -38,7 +38,7 @@
     pub terms: Terms,
     pub accounts: Option<Accounting>,
     /// Editions of settings and lists that members agree on.
-    pub agree: Option<grebespool_accord::Terms>,
+    pub agree: Option<grebespool_config_consensus::Terms>,
 }
 
 pub(crate) const EDITIONS: &str = "editions";
--- a/crates/members/src/seal.rs
+++ b/crates/members/src/seal.rs
@@ -40,7 +40,7 @@
     /// Of duties, on a stream of their own: many at once never wait before a beat.
     Duty(grebespool_duties::Word),
     /// Of editions.
-    Accord(grebespool_accord::Word),
+    Accord(grebespool_config_consensus::Word),
 }
 
 fn denied(text: String) -> io::Error {
--- a/crates/members/tests/fixtures.rs
+++ b/crates/members/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes, or a
 //! name and JSON.
 
-use grebespool_accord::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
+use grebespool_config_consensus::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
 use grebespool_duties::{Cell, Counts, Record, Tally, Token};
 use grebespool_members::seal::{Own, Packet, Sealed, VERSION};
 use grebespool_members::{
@@ -118,10 +118,10 @@
     ]
 }
 
-fn held_editions() -> grebespool_accord::Kept {
+fn held_editions() -> grebespool_config_consensus::Kept {
     let standing = Edition::default().next(&changes()[..1], &BTreeMap::new());
     let next = Some(standing.next(&changes()[1..], &BTreeMap::new()));
-    grebespool_accord::Kept { standing, next, seen: token() }
+    grebespool_config_consensus::Kept { standing, next, seen: token() }
 }
 
 fn kept() -> Kept {
@@ -391,8 +391,8 @@
     ]
 }
 
-fn of_editions() -> Vec<(&'static str, grebespool_accord::Word)> {
-    use grebespool_accord::Word;
+fn of_editions() -> Vec<(&'static str, grebespool_config_consensus::Word)> {
+    use grebespool_config_consensus::Word;
     let standing = held_editions().standing.name();
     vec![
         ("edition-call", Word::Call { token: token(), standing }),
--- a/crates/scale/benches/scale/series.rs
+++ b/crates/scale/benches/scale/series.rs
@@ -1,7 +1,7 @@
 //! The curves that are measured.
 
 use crate::args::{Arguments, Group};
-use grebespool_accord::{Blob, Change, Content, Edition, Rack, Route, Server, State};
+use grebespool_config_consensus::{Blob, Change, Content, Edition, Rack, Route, Server, State};
 use grebespool_scale::hollow::{Faults, Fleet, FleetCosts, FleetSettings, Links, Timing, Topology};
 use grebespool_scale::process::{MemberFleet, ProcessCosts, measure_platform};
 use grebespool_scale::resources::thread_time;
--- a/crates/scale/src/capacity/rows/peaks.rs
+++ b/crates/scale/src/capacity/rows/peaks.rs
@@ -10,7 +10,7 @@
     let missed = plan.changes_a_day / DAY * REGION_AWAY_S;
     let row = |role, what, formula: String, source: &str, value, budget, mechanism| {
         let figure = figures(role, When::WorstMinute);
-        figure(what, &formula, source, value, "bytes/s", Some(budget), "crates/accord", mechanism)
+        figure(what, &formula, source, value, "bytes/s", Some(budget), "crates/config-consensus", mechanism)
     };
     let planner = budget.planner_bytes_per_second;
     let control = budget.control_bytes_per_second;
@@ -72,7 +72,7 @@
     let restarts = plan.restarts_a_day / plan.planners * data.whole_bytes()?;
     let figure = figures("planner (today)", When::Day);
     let row = |what, formula: &str, source: &str, value, unit, budget| {
-        figure(what, formula, source, value, unit, budget, "crates/accord", SCOPE)
+        figure(what, formula, source, value, unit, budget, "crates/config-consensus", SCOPE)
     };
     Ok(vec![
         row(
--- a/crates/scale/src/capacity/rows/steady.rs
+++ b/crates/scale/src/capacity/rows/steady.rs
@@ -25,7 +25,7 @@
             data.at("fleet_idle/planners/allocated_per_planner", plan.planners)?,
             "bytes",
             memory,
-            "crates/succession, crates/duties, crates/accord",
+            "crates/succession, crates/duties, crates/config-consensus",
             LEASES,
         ),
         ordinary(
@@ -35,7 +35,7 @@
             entries,
             "bytes",
             memory,
-            "crates/accord",
+            "crates/config-consensus",
             SCOPE,
         ),
         ordinary(
@@ -45,7 +45,7 @@
             tenants,
             "bytes",
             memory,
-            "crates/accord",
+            "crates/config-consensus",
             TENANT_STATE,
         ),
         ordinary(
@@ -85,7 +85,7 @@
             data.whole_bytes()?,
             "bytes",
             Some(MOST_CONFIGURATION),
-            "crates/accord",
+            "crates/config-consensus",
             SCOPE,
         ),
         ordinary(
@@ -95,7 +95,7 @@
             data.at("fleet_idle/planners/bytes_per_planner", plan.planners)?,
             "bytes/s",
             bytes,
-            "crates/succession, crates/duties, crates/accord",
+            "crates/succession, crates/duties, crates/config-consensus",
             LEASES,
         ),
         ordinary(
@@ -105,7 +105,7 @@
             plan.changes_a_day * data.slope("fleet_rates/changes_a_day/bytes_per_planner")?.slope,
             "bytes/s",
             bytes,
-            "crates/accord",
+            "crates/config-consensus",
             HOLDS,
         ),
         ordinary(
@@ -125,7 +125,7 @@
             data.at("fleet_idle/planners/processor_per_planner", plan.planners)?,
             "core",
             processor,
-            "crates/succession, crates/duties, crates/accord",
+            "crates/succession, crates/duties, crates/config-consensus",
             LEASES,
         ),
         ordinary(
@@ -145,7 +145,7 @@
             plan.changes_a_day / DAY * change,
             "core",
             processor,
-            "crates/accord",
+            "crates/config-consensus",
             SCOPE,
         ),
         ordinary(
@@ -165,7 +165,7 @@
             plan.changes_a_day * data.slope("fleet_rates/changes_a_day/syncs_per_planner")?.slope,
             "1/s",
             None,
-            "crates/accord",
+            "crates/config-consensus",
             SCOPE,
         ),
         ordinary(
@@ -186,7 +186,16 @@
     let open = plan.restarts_a_day / DAY * (data.assumed("restart_down_s")? + data.assumed("lease_s")?);
     let figure = figures("control quorum (today: the leader of all members)", When::Ordinary);
     let row = |what, formula: &str, source: &str, value, unit, budget, mechanism| {
-        figure(what, formula, source, value, unit, Some(budget), "crates/accord, crates/duties", mechanism)
+        figure(
+            what,
+            formula,
+            source,
+            value,
+            unit,
+            Some(budget),
+            "crates/config-consensus, crates/duties",
+            mechanism,
+        )
     };
     Ok(vec![
         row(
--- a/crates/scale/src/hollow/fleet.rs
+++ b/crates/scale/src/hollow/fleet.rs
@@ -4,7 +4,7 @@
 use super::planner::{Component, Disk, Outbox, Planner, Timing, Written};
 use super::traffic::{Packets, Traffic, TrafficClass};
 use crate::resources::timed;
-use grebespool_accord::{Acts, Change, Limit, State, Ticket};
+use grebespool_config_consensus::{Acts, Change, Limit, State, Ticket};
 use grebespool_members::seal::Packet;
 use grebespool_succession::{Id, Seat};
 use rand::{Rng, SeedableRng};
--- a/crates/scale/src/hollow/planner.rs
+++ b/crates/scale/src/hollow/planner.rs
@@ -1,7 +1,7 @@
 //! One hollow planner: three state machines, joined as `grebespool-members` joins them on sockets.
 
 use crate::resources::timed;
-use grebespool_accord as consensus;
+use grebespool_config_consensus as consensus;
 use grebespool_duties::{self as tasks, Cell, Duties, Duty, Lost, Record, Rows, Tally, Token};
 use grebespool_members::seal::Packet;
 use grebespool_succession::{self as election, Id, Seat};
--- a/crates/scale/src/hollow/traffic.rs
+++ b/crates/scale/src/hollow/traffic.rs
@@ -38,7 +38,7 @@
 
     /// The type of a packet.
     pub fn of(packet: &Packet) -> TrafficClass {
-        use grebespool_accord::Word as Consensus;
+        use grebespool_config_consensus::Word as Consensus;
         use grebespool_duties::Word as Tasks;
         match packet {
             Packet::Duty(
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,7 +1,7 @@
 //! Real planners: the program as processes on loopback.
 
 use crate::resources::{ProcessUse, process_use};
-use grebespool_accord::{Acts, Change, Limit};
+use grebespool_config_consensus::{Acts, Change, Limit};
 use grebespool_members::{Answer, Keys, LIMITS, Question, fleet_id};
 use grebespool_scripted::{Discovery, Program, frame, server, settings};
 use serde_json::{Value, json};
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -1,6 +1,6 @@
 //! Hollow planners agree as the program's members do.
 
-use grebespool_accord::{Change, Content, Rack, Server, State};
+use grebespool_config_consensus::{Change, Content, Rack, Server, State};
 use grebespool_scale::hollow::*;
 use rstest::rstest;
 use std::time::Duration;
