--- a/crates/distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -1,5 +1,5 @@
 //! Distribution of configuration by scope: from a quorum of control machines over relays in each zone to planners
-//! (`docs/design/distribution.md`). No I/O and no clock: a [`ControlMachine`] and a [`Planner`] are told what happens and
+//! (`docs/design/config-distribution.md`). No I/O and no clock: a [`ControlMachine`] and a [`Planner`] are told what happens and
 //! when by their own clocks, and give what is to be sent and written.
 //!
 //! Whatever clocks do: a scope has one history, and nobody goes back in it or applies a link over a gap. With clocks within
--- a/crates/distribution/tests/fixtures.rs
+++ b/crates/config-distribution/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes.
 
 use grebespool_config_consensus::{Change, Limit, State};
-use grebespool_distribution::*;
+use grebespool_config_distribution::*;
 use rstest::rstest;
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
--- a/crates/distribution/tests/parts.rs
+++ b/crates/config-distribution/tests/parts.rs
@@ -1,7 +1,7 @@
 //! The parts by themselves: chains and snapshots that are wrong, budgets, settings, and who is a relay.
 
 use grebespool_config_consensus::{Change, Limit};
-use grebespool_distribution::*;
+use grebespool_config_distribution::*;
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/distribution/tests/schedules/promises.rs
+++ b/crates/config-distribution/tests/schedules/promises.rs
@@ -1,7 +1,7 @@
 //! The promises, one by one and under random schedules.
 
 use crate::world::*;
-use grebespool_distribution::*;
+use grebespool_config_distribution::*;
 use rand::Rng;
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/distribution/tests/schedules/size.rs
+++ b/crates/config-distribution/tests/schedules/size.rs
@@ -1,9 +1,9 @@
 //! Many planners, delays as between regions, and the plan's restarts in proportion: how long a change takes, and what a
-//! planner spends. `cargo test --release -p grebespool-distribution size -- --nocapture` prints the figures;
+//! planner spends. `cargo test --release -p grebespool-config-distribution size -- --nocapture` prints the figures;
 //! `DISTRIBUTION_PLANNERS=4000` before it has another size.
 
 use crate::world::*;
-use grebespool_distribution::ScopeId;
+use grebespool_config_distribution::ScopeId;
 use rand::Rng;
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/distribution/tests/schedules/world.rs
+++ b/crates/config-distribution/tests/schedules/world.rs
@@ -2,7 +2,7 @@
 //! `grebespool-succession` would: one at a time, terms that rise.
 
 use grebespool_config_consensus::{Change, Content, Limit, Rack, Server, State};
-use grebespool_distribution::*;
+use grebespool_config_distribution::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
