--- a/crates/cli/benches/takeover.rs
+++ b/crates/cli/benches/takeover.rs
@@ -2,11 +2,11 @@
 //! next, until all proxies are bound, and what that takes; what membership costs beside a lone planner; what a memory
 //! weighs. All in one run.
 
+use grebespool_leader_election::{Held, Listed, Memory, Phase as Known, Roster, Weight};
 use grebespool_members::Store;
 use grebespool_planner::dial::{Peer, next, shake_hands};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
 use grebespool_standin::{FleetHost, PlannerHost, ProcessHost};
-use grebespool_succession::{Held, Listed, Memory, Phase as Known, Roster, Weight};
 use grebespool_wire::*;
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,9 +1,9 @@
 //! `members`: state folders, and what operators ask of the controllers of a fleet.
 
 use clap::Subcommand;
+use grebespool_leader_election::Roster;
 use grebespool_members::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
 use grebespool_settings::{Members, Planned};
-use grebespool_succession::Roster;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,6 +3,7 @@
 use crate::record::Recording;
 use grebespool_duties::{Counts, NO_ROUTE, Terms as DutyTerms};
 use grebespool_engine::{SiteOrder, Start};
+use grebespool_leader_election::{Memory, Terms};
 use grebespool_members::{
     Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
     run as run_member,
@@ -11,7 +12,6 @@
     Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
 };
 use grebespool_settings::{Members, Planned};
-use grebespool_succession::{Memory, Terms};
 use grebespool_wire::{CameLine, Entry, Key, MetLine, Orders};
 use std::collections::BTreeMap;
 use std::io::Write;
--- a/crates/config-consensus/src/convene/mod.rs
+++ b/crates/config-consensus/src/convene/mod.rs
@@ -8,7 +8,7 @@
 use crate::terms::{Host, Terms};
 use crate::word::{MOST_INLINE, Manifest, Name, Proposal, Ticket, Word};
 use grebespool_duties::{Record, Token};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use queue::{Queue, Taken};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/config-consensus/src/convene/queue.rs
+++ b/crates/config-consensus/src/convene/queue.rs
@@ -5,7 +5,7 @@
 use crate::fetch::Fetch;
 use crate::terms::Host;
 use crate::word::{Body, Proposal, Ticket, Word};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::BTreeMap;
 
 /// A proposal whose changes are all here.
--- a/crates/config-consensus/src/holder.rs
+++ b/crates/config-consensus/src/holder.rs
@@ -6,7 +6,7 @@
 use crate::terms::{Host, Terms};
 use crate::word::{Manifest, Name, Word};
 use grebespool_duties::Token;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/config-consensus/src/member.rs
+++ b/crates/config-consensus/src/member.rs
@@ -8,7 +8,7 @@
 use crate::terms::{Host, Terms};
 use crate::word::{Body, MOST_INLINE, Name, Proposal, Ticket, Word};
 use grebespool_duties::{Record, Token};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/config-consensus/src/terms.rs
+++ b/crates/config-consensus/src/terms.rs
@@ -4,7 +4,7 @@
 use crate::holder::Acts;
 use crate::word::{Ticket, Word};
 use grebespool_duties::Token;
-use grebespool_succession::{Id, outlasting};
+use grebespool_leader_election::{Id, outlasting};
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
--- a/crates/config-consensus/src/word.rs
+++ b/crates/config-consensus/src/word.rs
@@ -3,7 +3,7 @@
 use crate::content::Change;
 use crate::edition::{Done, Hash};
 use grebespool_duties::Token;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/config-consensus/tests/accord/helpers.rs
+++ b/crates/config-consensus/tests/accord/helpers.rs
@@ -3,7 +3,7 @@
 
 use grebespool_config_consensus::*;
 use grebespool_duties::{Record, Token};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
--- a/crates/config-distribution/src/control.rs
+++ b/crates/config-distribution/src/control.rs
@@ -11,7 +11,7 @@
 use crate::settings::Settings;
 use crate::store::Store;
 use grebespool_config_consensus::{Change, check};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/config-distribution/src/distributor.rs
+++ b/crates/config-distribution/src/distributor.rs
@@ -9,7 +9,7 @@
 use crate::message::{Downward, Fact, Refusal, SessionId, SnapshotPart, Term};
 use crate::settings::Settings;
 use crate::store::Store;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/config-distribution/src/message.rs
+++ b/crates/config-distribution/src/message.rs
@@ -3,7 +3,7 @@
 use crate::chain::{Link, Position, Priority, Revision, ScopeId};
 use crate::digest::Digest;
 use grebespool_config_consensus::Change;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/config-distribution/src/planner.rs
+++ b/crates/config-distribution/src/planner.rs
@@ -12,7 +12,7 @@
 use crate::store::Store;
 use crate::subscriber::{Manner, Subscriber};
 use grebespool_config_consensus::View;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/config-distribution/src/rendezvous.rs
+++ b/crates/config-distribution/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Which planners of a zone are relays, and in which order a planner turns to them: by hashing, without an election.
 
 use crate::digest::Digest;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 
 /// The planners of a zone in the order in which they serve as relays.
 pub fn relay_order(zone: u32, planners: &[Id]) -> Vec<Id> {
--- a/crates/config-distribution/src/replica.rs
+++ b/crates/config-distribution/src/replica.rs
@@ -1,10 +1,10 @@
 //! The log of a control machine: records that a majority has on its disks are fixed, in one order for all.
 //!
-//! Who leads is decided elsewhere (`grebespool-succession`): one leader a term. A leader that begins asks what the others
+//! Who leads is decided elsewhere (`grebespool-leader-election`): one leader a term. A leader that begins asks what the others
 //! have, goes on with the most advanced log of a majority, and fixes what is before its own first record with that one.
 
 use crate::message::{Control, Entry, Record, RecordId, Term};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/config-distribution/src/subscriber.rs
+++ b/crates/config-distribution/src/subscriber.rs
@@ -5,7 +5,7 @@
 
 use crate::chain::{Position, Revision, ScopeId};
 use crate::message::{Downward, Fact, Refusal, SessionId, Term, Upward};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/config-distribution/tests/schedules/world.rs
+++ b/crates/config-distribution/tests/schedules/world.rs
@@ -1,5 +1,5 @@
 //! Control machines and planners under a simulated network, disks and clocks that fail. Who leads is the world's to say, as
-//! `grebespool-succession` would: one at a time, terms that rise.
+//! `grebespool-leader-election` would: one at a time, terms that rise.
 
 use grebespool_config_consensus::{Change, Content, Limit, Rack, Server, State};
 use grebespool_config_distribution::*;
--- a/crates/duties/src/account.rs
+++ b/crates/duties/src/account.rs
@@ -1,6 +1,6 @@
 //! Accounts of periods: what each member counted, summed over all and corrected where one is heard late.
 
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/duties/src/duties.rs
+++ b/crates/duties/src/duties.rs
@@ -6,7 +6,7 @@
 use crate::steward::{Refused, Shown, Steward};
 use crate::token::{Duty, Terms, Token};
 use crate::work::{Word, Work};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/duties/src/owner.rs
+++ b/crates/duties/src/owner.rs
@@ -3,7 +3,7 @@
 use crate::duties::Host;
 use crate::token::{Duty, Terms, Token};
 use crate::work::{Claims, Word};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::time::Duration;
--- a/crates/duties/src/register.rs
+++ b/crates/duties/src/register.rs
@@ -3,7 +3,7 @@
 use crate::duties::Host;
 use crate::token::{Duty, Token};
 use crate::work::Word;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/duties/src/share.rs
+++ b/crates/duties/src/share.rs
@@ -1,6 +1,6 @@
 //! Which member gets which duty.
 
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::BTreeMap;
 
 /// Shares duties out evenly, with as few moves as that takes: who has one keeps it up to an even share. `wanted`: where
--- a/crates/duties/src/steward.rs
+++ b/crates/duties/src/steward.rs
@@ -4,7 +4,7 @@
 use crate::share::share;
 use crate::token::{Duty, LONGEST_HOLD, Terms, Token};
 use crate::work::{Claims, Word};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use thiserror::Error;
--- a/crates/duties/src/token.rs
+++ b/crates/duties/src/token.rs
@@ -1,6 +1,6 @@
 //! What stands for an ownership, and how long one lasts.
 
-use grebespool_succession::outlasting;
+use grebespool_leader_election::outlasting;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::time::Duration;
--- a/crates/duties/src/work.rs
+++ b/crates/duties/src/work.rs
@@ -3,7 +3,7 @@
 use crate::duties::Host;
 use crate::register::{Cell, Record};
 use crate::token::{Duty, Token};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/duties/tests/world.rs
+++ b/crates/duties/tests/world.rs
@@ -1,9 +1,9 @@
 //! Members with duties under a simulated network, disks and clocks that fail: what must hold whatever happens, and what
-//! comes back once things are well. Who leads is the world's to say, as `grebespool-succession` would: a former leader's
+//! comes back once things are well. Who leads is the world's to say, as `grebespool-leader-election` would: a former leader's
 //! lease is over before the next leads.
 
 use grebespool_duties::*;
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
--- a/crates/succession/src/lib.rs
+++ b/crates/leader-election/src/lib.rs
@@ -1,4 +1,4 @@
-//! Several controllers over one fleet (`docs/design/succession.md`): which of them leads, in which epoch, and what the
+//! Several controllers over one fleet (`docs/design/leader-election.md`): which of them leads, in which epoch, and what the
 //! next one is to know. No I/O and no clock: a [`Member`] is told what happens and when by its own clock, and asks its
 //! [`Host`] to write, to say and to plan.
 //!
--- a/crates/succession/tests/every.rs
+++ b/crates/leader-election/tests/every.rs
@@ -1,6 +1,6 @@
 //! Three members and a few messages, in every order: what must hold does after each step of each schedule.
 
-use grebespool_succession::*;
+use grebespool_leader_election::*;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
--- a/crates/succession/tests/fixtures.rs
+++ b/crates/leader-election/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! Stored records and messages between members keep their bytes: what an earlier release wrote is read, and written
 //! again, without a difference.
 
-use grebespool_succession::*;
+use grebespool_leader_election::*;
 use rstest::rstest;
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::BTreeMap;
--- a/crates/succession/tests/memory.rs
+++ b/crates/leader-election/tests/memory.rs
@@ -1,6 +1,6 @@
 //! What the next leader is to know: whole or not at all, and true for as long as it says.
 
-use grebespool_succession::*;
+use grebespool_leader_election::*;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/succession/tests/world.rs
+++ b/crates/leader-election/tests/world.rs
@@ -1,7 +1,7 @@
 //! Members under a simulated network, disks and clocks that fail: what must hold whatever happens, and what comes
 //! back once things are well.
 
-use grebespool_succession::*;
+use grebespool_leader_election::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
--- a/crates/members/src/accord.rs
+++ b/crates/members/src/accord.rs
@@ -8,7 +8,7 @@
 use crate::store::Store;
 use grebespool_config_consensus::{Acts, Change, Host, Kept, Member, Terms, Ticket, Word};
 use grebespool_duties::{Duty, Token};
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/members/src/disk.rs
+++ b/crates/members/src/disk.rs
@@ -2,7 +2,7 @@
 
 use crate::store::Store;
 use grebespool_duties::{Cell, Tally};
-use grebespool_succession::Kept;
+use grebespool_leader_election::Kept;
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/members/src/duties.rs
+++ b/crates/members/src/duties.rs
@@ -10,7 +10,7 @@
 use grebespool_duties::{
     Cell, Counts, Duties, Duty, Host, Lost, Record, Refused, Rows, Tally, Terms, Token, Word,
 };
-use grebespool_succession::Id;
+use grebespool_leader_election::Id;
 use std::cell::{Cell as Slot, RefCell};
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,5 +1,5 @@
-//! A member of several controllers on sockets and disks (`docs/design/succession.md`). All decisions are
-//! [`grebespool_succession`]'s; here are the state folder ([`Store`]), the sealed streams between members ([`seal`]),
+//! A member of several controllers on sockets and disks (`docs/design/leader-election.md`). All decisions are
+//! [`grebespool_leader_election`]'s; here are the state folder ([`Store`]), the sealed streams between members ([`seal`]),
 //! and the task that runs one ([`run`]).
 
 mod accord;
--- a/crates/members/src/listen.rs
+++ b/crates/members/src/listen.rs
@@ -2,7 +2,7 @@
 
 use crate::run::{DIALLED_WITHIN, Shared};
 use crate::seal::{Packet, Sealed};
-use grebespool_succession::Memory;
+use grebespool_leader_election::Memory;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -73,7 +73,7 @@
     let Some(c) = coming.as_mut().filter(|c| c.order == order && c.parts == parts && c.next == part) else {
         return bad(format!("piece {part} of a memory out of its order"));
     };
-    if c.bytes.len() + bytes.len() > grebespool_succession::MOST_BYTES {
+    if c.bytes.len() + bytes.len() > grebespool_leader_election::MOST_BYTES {
         return bad("a memory that is too large".into());
     }
     c.bytes.extend_from_slice(bytes);
--- a/crates/members/src/run.rs
+++ b/crates/members/src/run.rs
@@ -10,7 +10,7 @@
 use crate::store::Store;
 use crate::ways::{DUTY_WORDS_KEPT, Queue, WORDS_KEPT, Way, carry, speak};
 use grebespool_duties::Counts;
-use grebespool_succession::{Host, Id, Kept, Member, Memory, Seat, Standing, Terms, Why, Word};
+use grebespool_leader_election::{Host, Id, Kept, Member, Memory, Seat, Standing, Terms, Why, Word};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -143,7 +143,7 @@
     /// # Errors
     ///
     /// It is too large to be kept.
-    pub fn remember(&self, memory: &Memory) -> Result<(), grebespool_succession::Damaged> {
+    pub fn remember(&self, memory: &Memory) -> Result<(), grebespool_leader_election::Damaged> {
         let bytes = Rc::new(memory.bytes()?);
         self.0.member.borrow_mut().host().disk.remember(memory.order(), bytes.to_vec());
         *self.0.memory.borrow_mut() = Some((memory.clone(), Instant::now()));
--- a/crates/members/src/seal.rs
+++ b/crates/members/src/seal.rs
@@ -3,7 +3,7 @@
 //! said can be read by who taps the wire; it has no secrets.
 
 use crate::keys::Keys;
-use grebespool_succession::{Id, Word};
+use grebespool_leader_election::{Id, Word};
 use rand::RngCore;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use std::io;
--- a/crates/members/src/store.rs
+++ b/crates/members/src/store.rs
@@ -1,7 +1,7 @@
 //! A member's state folder.
 
 use grebespool_duties::{Cell, Duty, Tally};
-use grebespool_succession::{Damaged, Id, Kept, Memory, Roster, Seat};
+use grebespool_leader_election::{Damaged, Id, Kept, Memory, Roster, Seat};
 use redb::{Database, ReadableTable, TableDefinition, TableError};
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::BTreeMap;
--- a/crates/members/src/ways.rs
+++ b/crates/members/src/ways.rs
@@ -3,7 +3,7 @@
 
 use crate::run::Shared;
 use crate::seal::Packet;
-use grebespool_succession::{Id, Seat};
+use grebespool_leader_election::{Id, Seat};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io;
--- a/crates/members/tests/fixtures.rs
+++ b/crates/members/tests/fixtures.rs
@@ -3,11 +3,11 @@
 
 use grebespool_config_consensus::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
 use grebespool_duties::{Cell, Counts, Record, Tally, Token};
+use grebespool_leader_election::{Drain, Held, Kept, Listed, Memory, Phase, Roster, Seat, Weight, Word};
 use grebespool_members::seal::{Own, Packet, Sealed, VERSION};
 use grebespool_members::{
     Answer, Audit, DutyOrder, Editions, Keys, Question, Shown, Store, audit, first_roster, fleet_id, seat_id,
 };
-use grebespool_succession::{Drain, Held, Kept, Listed, Memory, Phase, Roster, Seat, Weight, Word};
 use redb::{Database, ReadableTable, TableDefinition};
 use rstest::rstest;
 use serde::{Serialize, de::DeserializeOwned};
--- a/crates/planner/src/memory.rs
+++ b/crates/planner/src/memory.rs
@@ -2,7 +2,7 @@
 
 use crate::{Shared, Shell};
 use grebespool_engine::{Dealt, Engine};
-use grebespool_succession::{Drain, Held, Listed, Memory, Phase, Weight};
+use grebespool_leader_election::{Drain, Held, Listed, Memory, Phase, Weight};
 use grebespool_wire::{Entry, Phase as WirePhase, ServerId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/scale/src/hollow/planner.rs
+++ b/crates/scale/src/hollow/planner.rs
@@ -3,8 +3,8 @@
 use crate::resources::timed;
 use grebespool_config_consensus as consensus;
 use grebespool_duties::{self as tasks, Cell, Duties, Duty, Lost, Record, Rows, Tally, Token};
+use grebespool_leader_election::{self as election, Id, Seat};
 use grebespool_members::seal::Packet;
-use grebespool_succession::{self as election, Id, Seat};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Where a member says its id in its first bytes (`docs/design/succession.md`).
+/// Where a member says its id in its first bytes (`docs/design/leader-election.md`).
 const FIRST: usize = 46;
 const ID: usize = 14;
 
