--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,7 +1,6 @@
 //! `serve`: a planner until it is told to stop.
 
 use crate::record::Recording;
-use grebespool_duties::{Counts, NO_ROUTE, Terms as DutyTerms};
 use grebespool_engine::{SiteOrder, Start};
 use grebespool_leader_election::{Memory, Terms};
 use grebespool_members::{
@@ -12,6 +11,7 @@
     Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
 };
 use grebespool_settings::{Members, Planned};
+use grebespool_singleton_tasks::{Counts, NO_ROUTE, Terms as DutyTerms};
 use grebespool_wire::{CameLine, Entry, Key, MetLine, Orders};
 use std::collections::BTreeMap;
 use std::io::Write;
--- a/crates/config-consensus/src/member.rs
+++ b/crates/config-consensus/src/member.rs
@@ -7,8 +7,8 @@
 use crate::holder::{Acts, Holder};
 use crate::terms::{Host, Terms};
 use crate::word::{Body, MOST_INLINE, Name, Proposal, Ticket, Word};
-use grebespool_duties::{Record, Token};
 use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::{Record, Token};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/config-consensus/src/terms.rs
+++ b/crates/config-consensus/src/terms.rs
@@ -3,8 +3,8 @@
 use crate::edition::Kept;
 use crate::holder::Acts;
 use crate::word::{Ticket, Word};
-use grebespool_duties::Token;
 use grebespool_leader_election::{Id, outlasting};
+use grebespool_singleton_tasks::Token;
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
--- a/crates/config-consensus/src/word.rs
+++ b/crates/config-consensus/src/word.rs
@@ -2,8 +2,8 @@
 
 use crate::content::Change;
 use crate::edition::{Done, Hash};
-use grebespool_duties::Token;
 use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::Token;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/config-consensus/tests/accord/helpers.rs
+++ b/crates/config-consensus/tests/accord/helpers.rs
@@ -1,9 +1,9 @@
 //! Members under a simulated network, disks and clocks that fail. Who owns the journal is the world's to say, as
-//! `grebespool-duties` would: one at a time, tokens that rise, and what stands with a majority is found by the next.
+//! `grebespool-singleton-tasks` would: one at a time, tokens that rise, and what stands with a majority is found by the next.
 
 use grebespool_config_consensus::*;
-use grebespool_duties::{Record, Token};
 use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::{Record, Token};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
--- a/crates/config-consensus/tests/fixtures.rs
+++ b/crates/config-consensus/tests/fixtures.rs
@@ -4,7 +4,7 @@
     Acts, Blob, Body, Change, Content, Done, Edition, Hash, Kept, Limit, Manifest, Proposal, Rack, Route,
     Server, State, View, Word,
 };
-use grebespool_duties::Token;
+use grebespool_singleton_tasks::Token;
 use rstest::rstest;
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/members/src/accounts.rs
+++ b/crates/members/src/accounts.rs
@@ -4,7 +4,7 @@
 
 use crate::duties::{Accounting, Bench};
 use crate::run::Shared;
-use grebespool_duties::{Account, Duty, Ledger, MOST_CONTENT, Record, Token};
+use grebespool_singleton_tasks::{Account, Duty, Ledger, MOST_CONTENT, Record, Token};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{self, Write};
--- a/crates/members/src/disk.rs
+++ b/crates/members/src/disk.rs
@@ -1,8 +1,8 @@
 //! Writing on threads of their own, so that a slow disk holds up neither beats nor orders.
 
 use crate::store::Store;
-use grebespool_duties::{Cell, Tally};
 use grebespool_leader_election::Kept;
+use grebespool_singleton_tasks::{Cell, Tally};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/members/src/duties.rs
+++ b/crates/members/src/duties.rs
@@ -1,5 +1,5 @@
 //! The duties of a member that runs: their words on the streams between members, their journal on the disk, and the
-//! work itself. All decisions are [`grebespool_duties`]'s.
+//! work itself. All decisions are [`grebespool_singleton_tasks`]'s.
 
 use crate::accounts::accounts;
 use crate::disk::Writing;
@@ -7,10 +7,10 @@
 use crate::run::Shared;
 use crate::seal::Packet;
 use crate::store::{Store, number};
-use grebespool_duties::{
+use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::{
     Cell, Counts, Duties, Duty, Host, Lost, Record, Refused, Rows, Tally, Terms, Token, Word,
 };
-use grebespool_leader_election::Id;
 use std::cell::{Cell as Slot, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -320,7 +320,7 @@
         let member = self.member.borrow();
         let seats = &member.kept_state().roster.seats;
         let named = |id: Id| seats.get(&id).map_or(format!("{id:016x}"), |s| s.name.clone());
-        let line = |s: &grebespool_duties::Shown| {
+        let line = |s: &grebespool_singleton_tasks::Shown| {
             let owner = s.owner.map_or("nobody".into(), named);
             let span = now.saturating_sub(s.since).as_secs_f64();
             let mut text =
--- a/crates/members/src/store.rs
+++ b/crates/members/src/store.rs
@@ -1,7 +1,7 @@
 //! A member's state folder.
 
-use grebespool_duties::{Cell, Duty, Tally};
 use grebespool_leader_election::{Damaged, Id, Kept, Memory, Roster, Seat};
+use grebespool_singleton_tasks::{Cell, Duty, Tally};
 use redb::{Database, ReadableTable, TableDefinition, TableError};
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::BTreeMap;
--- a/crates/members/tests/fixtures.rs
+++ b/crates/members/tests/fixtures.rs
@@ -2,12 +2,12 @@
 //! name and JSON.
 
 use grebespool_config_consensus::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
-use grebespool_duties::{Cell, Counts, Record, Tally, Token};
 use grebespool_leader_election::{Drain, Held, Kept, Listed, Memory, Phase, Roster, Seat, Weight, Word};
 use grebespool_members::seal::{Own, Packet, Sealed, VERSION};
 use grebespool_members::{
     Answer, Audit, DutyOrder, Editions, Keys, Question, Shown, Store, audit, first_roster, fleet_id, seat_id,
 };
+use grebespool_singleton_tasks::{Cell, Counts, Record, Tally, Token};
 use redb::{Database, ReadableTable, TableDefinition};
 use rstest::rstest;
 use serde::{Serialize, de::DeserializeOwned};
@@ -380,8 +380,8 @@
 }
 
 /// Of the kinds of messages of duties and editions, of which the packages that own them have all.
-fn of_duties() -> Vec<(&'static str, grebespool_duties::Word)> {
-    use grebespool_duties::Word;
+fn of_duties() -> Vec<(&'static str, grebespool_singleton_tasks::Word)> {
+    use grebespool_singleton_tasks::Word;
     vec![
         ("duty-open", Word::Open { duty: 1, token: token() }),
         ("duty-opened", Word::Opened { duty: 1, token: token(), record: Some(record(false)) }),
--- a/crates/scale/src/capacity/rows/steady.rs
+++ b/crates/scale/src/capacity/rows/steady.rs
@@ -25,7 +25,7 @@
             data.at("fleet_idle/planners/allocated_per_planner", plan.planners)?,
             "bytes",
             memory,
-            "crates/leader-election, crates/duties, crates/config-consensus",
+            "crates/leader-election, crates/singleton-tasks, crates/config-consensus",
             LEASES,
         ),
         ordinary(
@@ -95,7 +95,7 @@
             data.at("fleet_idle/planners/bytes_per_planner", plan.planners)?,
             "bytes/s",
             bytes,
-            "crates/leader-election, crates/duties, crates/config-consensus",
+            "crates/leader-election, crates/singleton-tasks, crates/config-consensus",
             LEASES,
         ),
         ordinary(
@@ -125,7 +125,7 @@
             data.at("fleet_idle/planners/processor_per_planner", plan.planners)?,
             "core",
             processor,
-            "crates/leader-election, crates/duties, crates/config-consensus",
+            "crates/leader-election, crates/singleton-tasks, crates/config-consensus",
             LEASES,
         ),
         ordinary(
@@ -193,7 +193,7 @@
             value,
             unit,
             Some(budget),
-            "crates/config-consensus, crates/duties",
+            "crates/config-consensus, crates/singleton-tasks",
             mechanism,
         )
     };
--- a/crates/scale/src/hollow/planner.rs
+++ b/crates/scale/src/hollow/planner.rs
@@ -2,9 +2,9 @@
 
 use crate::resources::timed;
 use grebespool_config_consensus as consensus;
-use grebespool_duties::{self as tasks, Cell, Duties, Duty, Lost, Record, Rows, Tally, Token};
 use grebespool_leader_election::{self as election, Id, Seat};
 use grebespool_members::seal::Packet;
+use grebespool_singleton_tasks::{self as tasks, Cell, Duties, Duty, Lost, Record, Rows, Tally, Token};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/scale/src/hollow/traffic.rs
+++ b/crates/scale/src/hollow/traffic.rs
@@ -39,7 +39,7 @@
     /// The type of a packet.
     pub fn of(packet: &Packet) -> TrafficClass {
         use grebespool_config_consensus::Word as Consensus;
-        use grebespool_duties::Word as Tasks;
+        use grebespool_singleton_tasks::Word as Tasks;
         match packet {
             Packet::Duty(
                 Tasks::Open { .. } | Tasks::Opened { .. } | Tasks::Write { .. } | Tasks::Written { .. },
--- a/crates/duties/src/lib.rs
+++ b/crates/singleton-tasks/src/lib.rs
@@ -1,4 +1,4 @@
-//! Work that one member of a fleet at a time does on behalf of all (`docs/design/duties.md`). No I/O and no clock: a
+//! Work that one member of a fleet at a time does on behalf of all (`docs/design/singleton-tasks.md`). No I/O and no clock: a
 //! [`Duties`] is told what happens and when by its own clock, and asks its [`Host`] to say, to write and to work.
 //!
 //! Whatever clocks do: a token has at most one owner, tokens of a duty only rise, and what a majority knows to be begun
--- a/crates/duties/tests/fixtures.rs
+++ b/crates/singleton-tasks/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! Stored records and messages between members keep their bytes: what an earlier release wrote is read, and written
 //! again, without a difference.
 
-use grebespool_duties::*;
+use grebespool_singleton_tasks::*;
 use rstest::rstest;
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::BTreeMap;
--- a/crates/duties/tests/world.rs
+++ b/crates/singleton-tasks/tests/world.rs
@@ -2,8 +2,8 @@
 //! comes back once things are well. Who leads is the world's to say, as `grebespool-leader-election` would: a former leader's
 //! lease is over before the next leads.
 
-use grebespool_duties::*;
 use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
