--- a/crates/cli/benches/takeover.rs
+++ b/crates/cli/benches/takeover.rs
@@ -2,8 +2,8 @@
 //! next, until all proxies are bound, and what that takes; what membership costs beside a lone planner; what a memory
 //! weighs. All in one run.
 
+use grebespool_cluster::Store;
 use grebespool_leader_election::{Held, Listed, Memory, Phase as Known, Roster, Weight};
-use grebespool_members::Store;
 use grebespool_planner::dial::{Peer, next, shake_hands};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
 use grebespool_standin::{FleetHost, PlannerHost, ProcessHost};
--- a/crates/cli/src/duties.rs
+++ b/crates/cli/src/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{members_of, of_leader};
 use clap::Subcommand;
-use grebespool_members::{DutyOrder, Question};
+use grebespool_cluster::{DutyOrder, Question};
 use grebespool_singleton_tasks::LONGEST_HOLD;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/cli/src/editions.rs
+++ b/crates/cli/src/editions.rs
@@ -2,8 +2,8 @@
 
 use crate::members::{members_of, question};
 use clap::Subcommand;
+use grebespool_cluster::{Answer, Editions, Question};
 use grebespool_config_consensus::Change;
-use grebespool_members::{Answer, Editions, Question};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,8 +1,8 @@
 //! `members`: state folders, and what operators ask of the controllers of a fleet.
 
 use clap::Subcommand;
+use grebespool_cluster::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
 use grebespool_leader_election::Roster;
-use grebespool_members::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
 use grebespool_settings::{Members, Planned};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -43,7 +43,7 @@
 }
 
 pub fn members(command: MembersCommand) -> Result<ExitCode, String> {
-    let said = |why: grebespool_members::Unusable| why.to_string();
+    let said = |why: grebespool_cluster::Unusable| why.to_string();
     match command {
         MembersCommand::Form { settings } => {
             let m = members_of(&settings)?;
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,7 +1,7 @@
 //! `rehearse`: a day on loopback.
 
 use clap::ValueEnum;
-use grebespool_members::audit;
+use grebespool_cluster::audit;
 use grebespool_rules::Verdict;
 use grebespool_settings::{Day, What};
 use grebespool_standin::{
--- a/crates/cli/src/sites.rs
+++ b/crates/cli/src/sites.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{members_of, of_leader};
 use clap::Subcommand;
-use grebespool_members::Question;
+use grebespool_cluster::Question;
 use grebespool_settings::Day;
 use grebespool_sites::{Demand, Plan, Room, Site, plan};
 use std::collections::BTreeSet;
--- a/crates/cli/tests/fleet/editions.rs
+++ b/crates/cli/tests/fleet/editions.rs
@@ -2,9 +2,9 @@
 //! asked all the time over its own streams, and what they answered is checked.
 
 use crate::helpers::Fleet;
+use grebespool_cluster::seal::{Own, Packet, Sealed};
+use grebespool_cluster::{Answer, Keys, Question, fleet_id};
 use grebespool_config_consensus::{Acts, Change, Limit};
-use grebespool_members::seal::{Own, Packet, Sealed};
-use grebespool_members::{Answer, Keys, Question, fleet_id};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
--- a/crates/cli/tests/fleet/helpers.rs
+++ b/crates/cli/tests/fleet/helpers.rs
@@ -1,6 +1,6 @@
 //! Controllers that are processes, and how they are driven.
 
-use grebespool_members::audit;
+use grebespool_cluster::audit;
 use grebespool_standin::free_ports;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -2,7 +2,7 @@
 //! of something, and the rules are checked from what passed on the sockets.
 
 use crate::helpers::Fleet;
-use grebespool_members::audit;
+use grebespool_cluster::audit;
 use grebespool_rules::{Passed, Record};
 use grebespool_settings::Day;
 use grebespool_standin::{FleetHost, Played, rehearse};
--- a/crates/members/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -1,12 +1,12 @@
 //! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes, or a
 //! name and JSON.
 
-use grebespool_config_consensus::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
-use grebespool_leader_election::{Drain, Held, Kept, Listed, Memory, Phase, Roster, Seat, Weight, Word};
-use grebespool_members::seal::{Own, Packet, Sealed, VERSION};
-use grebespool_members::{
+use grebespool_cluster::seal::{Own, Packet, Sealed, VERSION};
+use grebespool_cluster::{
     Answer, Audit, DutyOrder, Editions, Keys, Question, Shown, Store, audit, first_roster, fleet_id, seat_id,
 };
+use grebespool_config_consensus::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
+use grebespool_leader_election::{Drain, Held, Kept, Listed, Memory, Phase, Roster, Seat, Weight, Word};
 use grebespool_singleton_tasks::{Cell, Counts, Record, Tally, Token};
 use redb::{Database, ReadableTable, TableDefinition};
 use rstest::rstest;
--- a/crates/members/tests/members.rs
+++ b/crates/cluster/tests/members.rs
@@ -1,9 +1,9 @@
 //! State folders that are torn, copied, shared or of another fleet; streams that are altered, played again or sealed
 //! with another key.
 
+use grebespool_cluster::seal::{Own, Packet, Sealed, VERSION};
+use grebespool_cluster::{Keys, Store, Unusable, fleet_id, seat_id};
 use grebespool_leader_election::{Kept, Memory, Roster, Seat, Word};
-use grebespool_members::seal::{Own, Packet, Sealed, VERSION};
-use grebespool_members::{Keys, Store, Unusable, fleet_id, seat_id};
 use rstest::rstest;
 use std::io::{ErrorKind, Write};
 use std::path::Path;
--- a/crates/scale/src/capacity/rows/steady.rs
+++ b/crates/scale/src/capacity/rows/steady.rs
@@ -175,7 +175,7 @@
             data.at("members/planners/descriptors_per_planner", plan.planners)?,
             "1",
             None,
-            "crates/members",
+            "crates/cluster",
             MEMBERSHIP,
         ),
     ])
--- a/crates/scale/src/hollow/planner.rs
+++ b/crates/scale/src/hollow/planner.rs
@@ -1,9 +1,9 @@
-//! One hollow planner: three state machines, joined as `grebespool-members` joins them on sockets.
+//! One hollow planner: three state machines, joined as `grebespool-cluster` joins them on sockets.
 
 use crate::resources::timed;
+use grebespool_cluster::seal::Packet;
 use grebespool_config_consensus as consensus;
 use grebespool_leader_election::{self as election, Id, Seat};
-use grebespool_members::seal::Packet;
 use grebespool_singleton_tasks::{self as tasks, Cell, Duties, Duty, Lost, Record, Rows, Tally, Token};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -167,7 +167,7 @@
                 renew: ms(500),
                 drift,
                 most_withdrawn: 0.5,
-                limits: grebespool_members::LIMITS.to_vec(),
+                limits: grebespool_cluster::LIMITS.to_vec(),
             },
         }
     }
--- a/crates/scale/src/hollow/traffic.rs
+++ b/crates/scale/src/hollow/traffic.rs
@@ -1,6 +1,6 @@
 //! Messages and bytes by type and direction.
 
-use grebespool_members::seal::Packet;
+use grebespool_cluster::seal::Packet;
 use std::collections::BTreeMap;
 
 /// Bytes that a frame costs beyond its body on a sealed stream: its length, and the message authentication code.
--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -1,8 +1,8 @@
 //! Real planners: the program as processes on loopback.
 
 use crate::resources::{ProcessUse, process_use};
+use grebespool_cluster::{Answer, Keys, LIMITS, Question, fleet_id};
 use grebespool_config_consensus::{Acts, Change, Limit};
-use grebespool_members::{Answer, Keys, LIMITS, Question, fleet_id};
 use grebespool_scripted::{Discovery, Program, frame, server, settings};
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -327,7 +327,7 @@
         let before = self.acted_by(keys, 0).await?;
         let began = Instant::now();
         let question = Question::Propose { changes, forced: false };
-        let answer = grebespool_members::ask(&self.addresses[0], fleet, keys, question).await?;
+        let answer = grebespool_cluster::ask(&self.addresses[0], fleet, keys, question).await?;
         if let Answer::Refused(cause) = answer {
             return Err(Unmeasured::Planner { planner: 0, cause });
         }
@@ -346,7 +346,7 @@
     /// The number of the configuration that a member acts by alone; zero where it acts by none or by two.
     async fn acted_by(&self, keys: &Keys, member: usize) -> io::Result<u64> {
         let fleet = fleet_id(FLEET);
-        match grebespool_members::ask(&self.addresses[member], fleet, keys, Question::Editions).await? {
+        match grebespool_cluster::ask(&self.addresses[member], fleet, keys, Question::Editions).await? {
             Answer::Editions(shown) => Ok(if let Acts::Alone(number) = shown.acts { number } else { 0 }),
             _ => Ok(0),
         }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Several controllers that follow each other, and the ways between them.
 
 use crate::host::PlannerHost;
-use grebespool_members::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
+use grebespool_cluster::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
 use grebespool_settings::{Deployment, ListSource, member_text};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
