--- a/crates/cli/src/sites.rs
+++ b/crates/cli/src/sites.rs
@@ -4,7 +4,7 @@
 use clap::Subcommand;
 use grebespool_cluster::Question;
 use grebespool_settings::Day;
-use grebespool_sites::{Demand, Plan, Room, Site, plan};
+use grebespool_site_failover::{Demand, Plan, Room, Site, plan};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -10,7 +10,7 @@
 use grebespool::decide::Planner;
 use grebespool::host::*;
 use grebespool_books::{Desk, Servers};
-use grebespool_sites::{Impossible, Order as SiteOrder, Plan, Refused, Status, Timing};
+use grebespool_site_failover::{Impossible, Order as SiteOrder, Plan, Refused, Status, Timing};
 use grebespool_wire as wire;
 use grebespool_wire::{Cause, Entry, Level, MetLine, Order, Orders, Reason, ServerId};
 use std::cell::RefCell;
@@ -190,7 +190,7 @@
         })
     }
 
-    /// Watches for the loss of whole sites from here on (docs/design/site-loss.md). Without it nothing of that is done.
+    /// Watches for the loss of whole sites from here on (docs/design/site-failover.md). Without it nothing of that is done.
     pub fn watch_sites(&mut self, routes: &[Route], timing: Timing) {
         self.watch = Some(Watch::new(self.list.zones().to_vec(), routes, timing));
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -18,5 +18,5 @@
 pub use channel::{Channel, Overrun};
 pub use confirm::Confirm;
 pub use engine::{Arrival, Bounds, Dealt, Engine, Outlet, Start, StreamId, Unsupported};
-pub use grebespool_sites::{Order as SiteOrder, Pacing, Plan, Refused, Standing, Status, Timing};
+pub use grebespool_site_failover::{Order as SiteOrder, Pacing, Plan, Refused, Standing, Status, Timing};
 pub use trust::{ListSense, ReportSense, Untrusted};
--- a/crates/engine/src/watch.rs
+++ b/crates/engine/src/watch.rs
@@ -3,7 +3,7 @@
 use crate::engine::Outlet;
 use grebespool::decide::Planner;
 use grebespool::host::{Host, Met, Phase, Route, Zone};
-use grebespool_sites::{Demand, Ground, Impossible, Order, Plan, Refused, Sites, Status, Timing};
+use grebespool_site_failover::{Demand, Ground, Impossible, Order, Plan, Refused, Sites, Status, Timing};
 use std::time::Duration;
 
 /// The sites as the engine watches them.
--- a/crates/sites/tests/chance.rs
+++ b/crates/site-failover/tests/chance.rs
@@ -3,7 +3,7 @@
 
 mod helpers;
 
-use grebespool_sites::*;
+use grebespool_site_failover::*;
 use helpers::TIMING;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/sites/tests/helpers/mod.rs
+++ b/crates/site-failover/tests/helpers/mod.rs
@@ -1,6 +1,6 @@
 //! How fast the tests' verdicts come.
 
-use grebespool_sites::{Pacing, Timing};
+use grebespool_site_failover::{Pacing, Timing};
 use std::time::Duration;
 
 pub const TIMING: Timing = Timing {
--- a/crates/sites/tests/sites.rs
+++ b/crates/site-failover/tests/sites.rs
@@ -2,7 +2,7 @@
 
 mod helpers;
 
-use grebespool_sites::*;
+use grebespool_site_failover::*;
 use helpers::TIMING;
 use rstest::rstest;
 use std::collections::BTreeSet;
