--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -5,7 +5,7 @@
     Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
     run as run_member,
 };
-use grebespool_engine::{SiteOrder, Start};
+use grebespool_controller::{SiteOrder, Start};
 use grebespool_leader_election::{Memory, Terms};
 use grebespool_planner::{
     Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
--- a/crates/engine/tests/engine.rs
+++ b/crates/controller/tests/engine.rs
@@ -2,7 +2,7 @@
 
 mod helpers;
 
-use grebespool_engine::*;
+use grebespool_controller::*;
 use grebespool_wire::{Cause, Order, Orders, Phase, Reason, Report, ServerId};
 use helpers::*;
 use rstest::rstest;
--- a/crates/engine/tests/helpers/mod.rs
+++ b/crates/controller/tests/helpers/mod.rs
@@ -1,7 +1,7 @@
 //! An outlet that keeps what it was asked, and an engine on a few servers that can be driven through time.
 
 use grebespool::host::*;
-use grebespool_engine::*;
+use grebespool_controller::*;
 use grebespool_wire::{Entry, MetLine, Order, Orders, Reason, ServerId};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/model/src/agenda.rs
+++ b/crates/model/src/agenda.rs
@@ -1,7 +1,7 @@
 //! What is due, and what the planner asks for, put on the agenda.
 
 use grebespool::host::Probed;
-use grebespool_engine::{Outlet, StreamId};
+use grebespool_controller::{Outlet, StreamId};
 use grebespool_rules::Passed;
 use grebespool_wire::{Answer, Call, Entry, Message, Orders, Reason, ServerId};
 use std::cell::RefCell;
--- a/crates/model/src/play.rs
+++ b/crates/model/src/play.rs
@@ -7,7 +7,7 @@
 use crate::servers::{Listing, Server, ability, server_id};
 use crate::troubles::InHand;
 use grebespool_behaviour::{Held, Service, Sums, Tally, facts};
-use grebespool_engine::{Dealt, Engine, Start, StreamId, Unsupported};
+use grebespool_controller::{Dealt, Engine, Start, StreamId, Unsupported};
 use grebespool_rules::{Checker, List, Passed, Verdict};
 use grebespool_settings::{Day, ListMode, What};
 use grebespool_wire::{Entry, Phase, ServerId};
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,5 +1,5 @@
 //! The planner on sockets: accepts proxies, follows the server list, probes servers, and carries out what the
-//! engine ([`grebespool_engine`]) asks. All decisions are the engine's and the module's; here are streams,
+//! engine ([`grebespool_controller`]) asks. All decisions are the engine's and the module's; here are streams,
 //! timers and backpressure.
 //!
 //! Everything runs on one thread, as tasks of a `LocalSet`; [`serve`] never returns while its future is
@@ -16,7 +16,7 @@
 
 pub use elsewhere::send_elsewhere;
 use grebespool::host::Probed;
-use grebespool_engine::{Engine, Outlet, Start, StreamId, Unsupported};
+use grebespool_controller::{Engine, Outlet, Start, StreamId, Unsupported};
 use grebespool_leader_election::Memory;
 use grebespool_settings::{Deployment, ListSource, Listen};
 use grebespool_wire::{CameLine, Entry, Key, Message, MetLine, Orders, Reason, ServerId};
--- a/crates/planner/src/memory.rs
+++ b/crates/planner/src/memory.rs
@@ -1,7 +1,7 @@
 //! What the next leader is to know of this planner, and what this one begins with.
 
 use crate::{Shared, Shell};
-use grebespool_engine::{Dealt, Engine};
+use grebespool_controller::{Dealt, Engine};
 use grebespool_leader_election::{Drain, Held, Listed, Memory, Phase, Weight};
 use grebespool_wire::{Entry, Phase as WirePhase, ServerId};
 use std::collections::BTreeMap;
--- a/crates/planner/src/sites.rs
+++ b/crates/planner/src/sites.rs
@@ -1,7 +1,7 @@
 //! Operators' questions and orders on whole sites.
 
 use crate::{Shared, Shell};
-use grebespool_engine::{Engine, Plan, SiteOrder};
+use grebespool_controller::{Engine, Plan, SiteOrder};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -38,7 +38,7 @@
         return Err("sites are not watched: deployment.sites.watched is not set".into());
     }
     let SiteWhat::Order { site, order, forced, dry } = what else {
-        let line = |(name, s): &(String, grebespool_engine::Status)| {
+        let line = |(name, s): &(String, grebespool_controller::Status)| {
             let span = now.saturating_sub(s.since).as_secs_f64();
             format!("{name}: {} for {span:.1} s ({})", s.standing, s.evidence)
         };
--- a/crates/planner/src/stream.rs
+++ b/crates/planner/src/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::Shared;
 use crate::outgoing::Outgoing;
-use grebespool_engine::{Arrival, StreamId};
+use grebespool_controller::{Arrival, StreamId};
 use grebespool_outgoing::Patience;
 use grebespool_wire::{Inbox, MOST_BODY, MOST_BODY_UNJOINED, Message, Reason, Role, VERSION};
 use rand::RngCore;
--- a/crates/planner/tests/streams.rs
+++ b/crates/planner/tests/streams.rs
@@ -1,6 +1,6 @@
 //! Peers that say what they must not: each is told why and closed, and the others go on.
 
-use grebespool_engine::Start;
+use grebespool_controller::Start;
 use grebespool_planner::dial::{Dialled, Peer, next, shake_hands};
 use grebespool_planner::{Untouched, Unwatched, serve};
 use grebespool_settings::{ListMode, ListSource, Listen, Planned, Span};
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use crate::read::{Bad, field, nickel, parse, read};
 use grebespool::host;
-use grebespool_engine::Bounds;
+use grebespool_controller::Bounds;
 use ipnet::IpNet;
 use iprange::IpRange;
 use serde::{Deserialize, Deserializer, de::Error as _};
@@ -510,9 +510,9 @@
     }
 
     /// How the loss of a whole zone is watched for; unset where it is not.
-    pub fn watch(&self) -> Option<grebespool_engine::Timing> {
+    pub fn watch(&self) -> Option<grebespool_controller::Timing> {
         let slo = self.routes.iter().map(|r| r.slo.0).min().unwrap_or(Duration::from_secs(1));
-        let pacing = grebespool_engine::Pacing {
+        let pacing = grebespool_controller::Pacing {
             warm_up: self.servers.warm_up.0,
             settling: self.channel.worst_transit.0 + self.reports.cycle.0,
             late: 0.4 * slo.as_secs_f64(),
@@ -522,7 +522,14 @@
         // Where nothing may be probed, only calls can show that a site is back.
         let trickle = if self.reports.probing { 0.0 } else { 0.02 };
         let fill = sites.fill;
-        sites.watched.then_some(grebespool_engine::Timing { window, confirm, calm, trickle, fill, pacing })
+        sites.watched.then_some(grebespool_controller::Timing {
+            window,
+            confirm,
+            calm,
+            trickle,
+            fill,
+            pacing,
+        })
     }
 
     /// `unconfirmed`: how long a proxy may leave orders unconfirmed.
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,6 +1,6 @@
 //! What runs the planner of a rehearsal, and can kill or stall it.
 
-use grebespool_engine::Start;
+use grebespool_controller::Start;
 use grebespool_planner::{Passage, Untouched, Unwatched, serve};
 use grebespool_settings::{Deployment, ListSource, Listen, settings_text};
 use grebespool_wire::Key;
@@ -154,7 +154,7 @@
 impl Passage for Boxed {
     fn pass(
         &mut self,
-        stream: grebespool_engine::StreamId,
+        stream: grebespool_controller::StreamId,
         orders: grebespool_wire::Orders,
     ) -> Option<grebespool_wire::Orders> {
         self.0.pass(stream, orders)
