--- a/crates/cli/benches/scale.rs
+++ b/crates/cli/benches/scale.rs
@@ -1,7 +1,7 @@
 //! A planner as a process of its own under many proxies and servers: joins all at once, a change until all who
 //! hold the server have it in force, CPU and memory. All sizes in one run, one after another.
 
-use grebespool_planner::dial::{Peer, next, shake_hands};
+use grebespool_controller_server::dial::{Peer, next, shake_hands};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
 use grebespool_standin::{PlannerHost, ProcessHost};
 use grebespool_wire::*;
--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -1,6 +1,6 @@
 //! Recording what a running planner hears.
 
-use grebespool_planner::Watch;
+use grebespool_controller_server::Watch;
 use grebespool_settings::{Deployment, deployment_text};
 use grebespool_standin::listed;
 use grebespool_trace::{Cloak, Event, Recorder, Timed};
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -6,10 +6,10 @@
     run as run_member,
 };
 use grebespool_controller::{SiteOrder, Start};
-use grebespool_leader_election::{Memory, Terms};
-use grebespool_planner::{
+use grebespool_controller_server::{
     Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
 };
+use grebespool_leader_election::{Memory, Terms};
 use grebespool_settings::{Members, Planned};
 use grebespool_singleton_tasks::{Counts, NO_ROUTE, Terms as DutyTerms};
 use grebespool_wire::{CameLine, Entry, Key, MetLine, Orders};
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,6 +1,6 @@
 //! The command line as it is called: exit codes, what is printed where.
 
-use grebespool_planner::dial::{Peer, shake_hands};
+use grebespool_controller_server::dial::{Peer, shake_hands};
 use grebespool_wire::{CameLine, Key, Message, Role};
 use rstest::rstest;
 use std::io::{BufRead, BufReader};
--- a/crates/planner/tests/streams.rs
+++ b/crates/controller-server/tests/streams.rs
@@ -1,8 +1,8 @@
 //! Peers that say what they must not: each is told why and closed, and the others go on.
 
 use grebespool_controller::Start;
-use grebespool_planner::dial::{Dialled, Peer, next, shake_hands};
-use grebespool_planner::{Untouched, Unwatched, serve};
+use grebespool_controller_server::dial::{Dialled, Peer, next, shake_hands};
+use grebespool_controller_server::{Untouched, Unwatched, serve};
 use grebespool_settings::{ListMode, ListSource, Listen, Planned, Span};
 use grebespool_wire::*;
 use rstest::rstest;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! Settings and day files: typed records with defaults, constraints and units, written in Nickel
-//! (`docs/design/planner.md` weighs it). One Rust type for each concern.
+//! (`docs/design/controller.md` weighs it). One Rust type for each concern.
 //!
 //! [`Planned::read`] reads what a planner is started with, [`Day::read`] a day to rehearse. What is wrong is
 //! named by file, line and field; what cannot be said in the records' own words (a route that no caller may
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -1,7 +1,7 @@
 //! What runs the planner of a rehearsal, and can kill or stall it.
 
 use grebespool_controller::Start;
-use grebespool_planner::{Passage, Untouched, Unwatched, serve};
+use grebespool_controller_server::{Passage, Untouched, Unwatched, serve};
 use grebespool_settings::{Deployment, ListSource, Listen, settings_text};
 use grebespool_wire::Key;
 use std::io::{self, BufRead, BufReader};
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,7 +1,7 @@
 //! The server list on a socket.
 
 use crate::world::World;
-use grebespool_planner::dial::next;
+use grebespool_controller_server::dial::next;
 use grebespool_rules::{List, Passed};
 use grebespool_wire::{Entry, Inbox, Join, MOST_BODY, Message, Phase, Reason, ServerId, VERSION};
 use std::cell::{Cell, RefCell};
--- a/crates/standin/src/proxy.rs
+++ b/crates/standin/src/proxy.rs
@@ -3,8 +3,8 @@
 use crate::link::Link;
 use crate::world::World;
 use grebespool_behaviour::{Held, Sums};
-use grebespool_planner::ALIVE;
-use grebespool_planner::dial::{Peer, next, shake_hands};
+use grebespool_controller_server::ALIVE;
+use grebespool_controller_server::dial::{Peer, next, shake_hands};
 use grebespool_rules::Passed;
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, Reason, Role, ServerId, Tries};
@@ -175,7 +175,7 @@
         &self,
         socket: &mut TcpStream,
         name: &str,
-    ) -> io::Result<grebespool_planner::dial::Dialled> {
+    ) -> io::Result<grebespool_controller_server::dial::Dialled> {
         let (bare, held, epoch) = {
             let held = self.held.borrow();
             (held.bare(), held.last, held.epoch())
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::world::World;
 use grebespool_behaviour::{Ability, Machine};
-use grebespool_planner::dial::next;
+use grebespool_controller_server::dial::next;
 use grebespool_rules::Passed;
 use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, ProbeState, ServerId};
 use std::cell::{Cell, RefCell};
--- a/crates/standin/src/visitor.rs
+++ b/crates/standin/src/visitor.rs
@@ -2,7 +2,7 @@
 
 use crate::link::Link;
 use crate::world::World;
-use grebespool_planner::dial::{Peer, next, shake_hands};
+use grebespool_controller_server::dial::{Peer, next, shake_hands};
 use grebespool_rules::Passed;
 use grebespool_wire::{Message, Role};
 use std::io;
--- a/crates/standin/tests/days.rs
+++ b/crates/standin/tests/days.rs
@@ -2,7 +2,7 @@
 //! removed, which the checker has to find.
 
 use grebespool_behaviour::facts;
-use grebespool_planner::{Passage, Untouched};
+use grebespool_controller_server::{Passage, Untouched};
 use grebespool_rules::{Passed, Record, Rule, check};
 use grebespool_settings::{Day, Deployment, ListSource};
 use grebespool_standin::{PlannerHost, Played, ThreadHost, rehearse};
