--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -136,7 +136,7 @@
         Command::Serve { settings, listen, record, cloak } => {
             serve::serve(&settings, listen, record.as_deref(), cloak.as_deref())
         }
-        Command::Platform => Ok(grebespool_platform_run::run()),
+        Command::Platform => Ok(grebespool_platform_server::run()),
         Command::Rehearse { day, planner, seed, record } => {
             rehearse::rehearse(day.as_deref(), planner, seed, record.as_deref())
         }
--- a/crates/start/src/main.rs
+++ b/crates/start/src/main.rs
@@ -10,8 +10,8 @@
 
 fn main() -> ExitCode {
     if std::env::args_os().skip(1).eq(["platform"]) {
-        let log = grebespool_platform_run::Log::start();
-        let ended = grebespool_platform_run::run();
+        let log = grebespool_platform_server::Log::start();
+        let ended = grebespool_platform_server::run();
         log.end();
         return ended;
     }
