--- a/crates/platform/tests/fixtures.rs
+++ b/crates/platform-protocol/tests/fixtures.rs
@@ -5,7 +5,7 @@
 mod helpers;
 
 use grebespool::host::{Effect, Field, ThrottleBy};
-use grebespool_platform::{Call, Came, Frames, Message, Met, Terms, Watch, read};
+use grebespool_platform_protocol::{Call, Came, Frames, Message, Met, Terms, Watch, read};
 use helpers::*;
 use rstest::rstest;
 use serde_json::json;
--- a/crates/platform/tests/frames.rs
+++ b/crates/platform-protocol/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Bytes to messages: any split, any truncation, and what cannot be.
 
-use grebespool_platform::{Frames, Message, NotFrames, Unread, read};
+use grebespool_platform_protocol::{Frames, Message, NotFrames, Unread, read};
 use proptest::prelude::*;
 use rstest::rstest;
 use serde_json::json;
--- a/crates/platform/tests/helpers/mod.rs
+++ b/crates/platform-protocol/tests/helpers/mod.rs
@@ -1,6 +1,6 @@
 //! A station whose outlet is kept, and a small deployment.
 
-use grebespool_platform::{Conn, Outlet, Station, Terms};
+use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/platform/tests/watch.rs
+++ b/crates/platform-protocol/tests/watch.rs
@@ -1,6 +1,6 @@
 //! What is asked of discovery next, through failures, moves and ends.
 
-use grebespool_platform::{Call, Watch};
+use grebespool_platform_protocol::{Call, Watch};
 use rstest::rstest;
 use std::net::SocketAddr;
 
--- a/crates/platform-server/src/discovery.rs
+++ b/crates/platform-server/src/discovery.rs
@@ -3,7 +3,7 @@
 use crate::http::{Client, get};
 use crate::{Shared, unix_ms};
 use bytes::Bytes;
-use grebespool_platform::Call;
+use grebespool_platform_protocol::Call;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/platform-server/src/lib.rs
+++ b/crates/platform-server/src/lib.rs
@@ -1,5 +1,5 @@
 //! The planner on the platform's protocol: streams, discovery over HTTP, probes and signals, around the station
-//! ([`grebespool_platform`]). No decision is made here.
+//! ([`grebespool_platform_protocol`]). No decision is made here.
 //!
 //! Everything runs on one thread, as tasks of a `LocalSet`.
 
@@ -13,7 +13,7 @@
 
 use grebespool::host::Probed;
 use grebespool_outgoing::Outgoing;
-use grebespool_platform::{Conn, Outlet, Station, Terms};
+use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -43,7 +43,7 @@
 
 /// What discovery's task is to do.
 struct Watch {
-    state: RefCell<grebespool_platform::Watch>,
+    state: RefCell<grebespool_platform_protocol::Watch>,
     come: Notify,
     moved: Notify,
 }
@@ -179,7 +179,7 @@
     let began = Instant::now();
     let streams = Rc::new(RefCell::new(BTreeMap::new()));
     let watch = Rc::new(Watch {
-        state: RefCell::new(grebespool_platform::Watch::new(terms.discovery)),
+        state: RefCell::new(grebespool_platform_protocol::Watch::new(terms.discovery)),
         come: Notify::new(),
         moved: Notify::new(),
     });
--- a/crates/platform-server/src/stream.rs
+++ b/crates/platform-server/src/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::Shared;
 use grebespool_outgoing::{Ended, Outgoing, Patience};
-use grebespool_platform::Conn;
+use grebespool_platform_protocol::Conn;
 use std::io::ErrorKind;
 use std::pin::pin;
 use std::rc::Rc;
--- a/crates/scale/src/capacity/rows/steady.rs
+++ b/crates/scale/src/capacity/rows/steady.rs
@@ -55,7 +55,7 @@
             list,
             "bytes",
             memory,
-            "crates/platform, src/decide",
+            "crates/platform-protocol, src/decide",
             SCOPE,
         ),
         ordinary(
@@ -65,7 +65,7 @@
             proxies * data.slope("station/proxies/allocated")?.slope,
             "bytes",
             memory,
-            "crates/platform, crates/books",
+            "crates/platform-protocol, crates/books",
             HOLDS,
         ),
         ordinary(
@@ -115,7 +115,7 @@
             reports,
             "bytes/s",
             bytes,
-            "crates/platform",
+            "crates/platform-protocol",
             LOAD,
         ),
         ordinary(
@@ -155,7 +155,7 @@
             proxies * data.slope("station/proxies/processor_idle")?.slope,
             "core",
             processor,
-            "src/decide, crates/platform",
+            "src/decide, crates/platform-protocol",
             HOLDS,
         ),
         ordinary(
@@ -273,7 +273,7 @@
             plan.planners * data.assumed("report_bytes")? / data.assumed("report_every_s")?,
             "bytes/s",
             Some(budget.planner_bytes_per_second),
-            "crates/platform",
+            "crates/platform-protocol",
             LOAD,
         ),
         row(
@@ -284,7 +284,7 @@
             plan.restarts_a_day / DAY * list_bytes,
             "bytes/s",
             Some(budget.control_bytes_per_second),
-            "crates/platform",
+            "crates/platform-protocol",
             SCOPE,
         ),
         row(
--- a/crates/scale/src/station.rs
+++ b/crates/scale/src/station.rs
@@ -2,7 +2,7 @@
 //! of servers and, where asked, proxies whose bytes go nowhere.
 
 use crate::resources::timed;
-use grebespool_platform::{Conn, Outlet, Station, Terms};
+use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
 use grebespool_scripted::{frame, server, settings};
 use serde_json::{Value, json};
 use std::cell::Cell;
--- a/crates/scripted/src/program.rs
+++ b/crates/scripted/src/program.rs
@@ -175,7 +175,7 @@
 /// The deployment that the station's own tests play; its servers answer no probes here.
 pub fn settings() -> Value {
     let mut settings: Value =
-        serde_json::from_str(include_str!("../../platform/tests/settings.json")).unwrap();
+        serde_json::from_str(include_str!("../../platform-protocol/tests/settings.json")).unwrap();
     settings["allowed"]["probing"] = json!(false);
     settings
 }
