--- a/crates/books/tests/books.rs
+++ b/crates/assignments/tests/books.rs
@@ -1,7 +1,7 @@
 //! What a turn makes of orders, and which index a server has.
 
 use grebespool::host::{Host, Tries};
-use grebespool_books::{Desk, Servers};
+use grebespool_assignments::{Desk, Servers};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/controller/src/engine.rs
+++ b/crates/controller/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::watch::Watch;
 use grebespool::decide::Planner;
 use grebespool::host::*;
-use grebespool_books::{Desk, Servers};
+use grebespool_assignments::{Desk, Servers};
 use grebespool_site_failover::{Impossible, Order as SiteOrder, Plan, Refused, Status, Timing};
 use grebespool_wire as wire;
 use grebespool_wire::{Cause, Entry, Level, MetLine, Order, Orders, Reason, ServerId};
--- a/crates/platform-protocol/src/orders.rs
+++ b/crates/platform-protocol/src/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to bytes.
 
 use grebespool::host::{RouteSet, Server, Tries};
-use grebespool_books::{Level, Told};
+use grebespool_assignments::{Level, Told};
 use serde_json::{Map, Value, json};
 
 /// What the platform calls routes and servers.
--- a/crates/platform-protocol/src/station.rs
+++ b/crates/platform-protocol/src/station.rs
@@ -9,7 +9,7 @@
 use crate::weight_log::WeightLog;
 use grebespool::decide::Planner;
 use grebespool::host::{self, Listed, Phase, Probed, Proxy, Server, Table, Zone};
-use grebespool_books::{Desk, Servers};
+use grebespool_assignments::{Desk, Servers};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/scale/src/capacity/rows/steady.rs
+++ b/crates/scale/src/capacity/rows/steady.rs
@@ -65,7 +65,7 @@
             proxies * data.slope("station/proxies/allocated")?.slope,
             "bytes",
             memory,
-            "crates/platform-protocol, crates/books",
+            "crates/platform-protocol, crates/assignments",
             HOLDS,
         ),
         ordinary(
