--- a/crates/controller-server/src/outgoing.rs
+++ b/crates/controller-server/src/outgoing.rs
@@ -1,7 +1,7 @@
 //! What waits to be written to one stream, and who joined on it.
 
-use grebespool_outgoing::{Ended, Outgoing as Bytes, Patience};
 use grebespool_wire::{Message, Proof, Reason};
+use grebespool_write_queue::{Ended, Outgoing as Bytes, Patience};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::net::tcp::OwnedWriteHalf;
--- a/crates/controller-server/src/stream.rs
+++ b/crates/controller-server/src/stream.rs
@@ -3,8 +3,8 @@
 use crate::Shared;
 use crate::outgoing::Outgoing;
 use grebespool_controller::{Arrival, StreamId};
-use grebespool_outgoing::Patience;
 use grebespool_wire::{Inbox, MOST_BODY, MOST_BODY_UNJOINED, Message, Reason, Role, VERSION};
+use grebespool_write_queue::Patience;
 use rand::RngCore;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/platform-server/src/lib.rs
+++ b/crates/platform-server/src/lib.rs
@@ -12,8 +12,8 @@
 pub use log::Log;
 
 use grebespool::host::Probed;
-use grebespool_outgoing::Outgoing;
 use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
+use grebespool_write_queue::Outgoing;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/platform-server/src/stream.rs
+++ b/crates/platform-server/src/stream.rs
@@ -1,8 +1,8 @@
 //! Connections at the planner's address.
 
 use crate::Shared;
-use grebespool_outgoing::{Ended, Outgoing, Patience};
 use grebespool_platform_protocol::Conn;
+use grebespool_write_queue::{Ended, Outgoing, Patience};
 use std::io::ErrorKind;
 use std::pin::pin;
 use std::rc::Rc;
--- a/crates/outgoing/tests/outgoing.rs
+++ b/crates/write-queue/tests/outgoing.rs
@@ -1,6 +1,6 @@
 //! When a reader has had long enough, and what its socket sees.
 
-use grebespool_outgoing::{Ended, Outgoing, Patience, Verdict};
+use grebespool_write_queue::{Ended, Outgoing, Patience, Verdict};
 use rstest::rstest;
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
