--- a/crates/platform-protocol/src/terms.rs
+++ b/crates/platform-protocol/src/terms.rs
@@ -1,7 +1,7 @@
 //! The file that a planner is started with.
 
 use grebespool::host::*;
-use grebespool_stated::Stated;
+use grebespool_platform_settings::Stated;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -78,7 +78,8 @@
             items.iter().map(name).collect::<Option<_>>().map_or_else(|| bad(field, "holds no names"), Ok)
         };
         let stated = Stated::json(settings);
-        let within = |m: grebespool_stated::Malformed| BadTerms { field: "settings".into(), fault: m.0 };
+        let within =
+            |m: grebespool_platform_settings::Malformed| BadTerms { field: "settings".into(), fault: m.0 };
         let classes = match settings.get("classes") {
             Some(Value::Array(classes)) => {
                 classes.iter().map(|c| c.get("name").cloned().unwrap_or_default()).collect()
--- a/crates/stated/tests/fixtures.rs
+++ b/crates/platform-settings/tests/fixtures.rs
@@ -1,7 +1,7 @@
 //! A fixed text with every key of the settings, as pairs and as nested JSON: each key is read into its field.
 
 use grebespool::host::{Effect, Field, Group, ThrottleBy};
-use grebespool_stated::Stated;
+use grebespool_platform_settings::Stated;
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/stated/tests/stated.rs
+++ b/crates/platform-settings/tests/stated.rs
@@ -1,7 +1,7 @@
 //! The same deployment as pairs of text and as nested JSON.
 
 use grebespool::host::ThrottleBy;
-use grebespool_stated::Stated;
+use grebespool_platform_settings::Stated;
 use rstest::rstest;
 use serde_json::{Value, json};
 
--- a/crates/wirehost/src/frame.rs
+++ b/crates/wirehost/src/frame.rs
@@ -16,8 +16,8 @@
     }
 }
 
-impl From<grebespool_stated::Malformed> for Malformed {
-    fn from(stated: grebespool_stated::Malformed) -> Self {
+impl From<grebespool_platform_settings::Malformed> for Malformed {
+    fn from(stated: grebespool_platform_settings::Malformed) -> Self {
         Malformed(stated.0)
     }
 }
--- a/crates/wirehost/src/hosted.rs
+++ b/crates/wirehost/src/hosted.rs
@@ -3,7 +3,7 @@
 use crate::frame::{Address, Batch, ENTRY, Fields, Malformed, Reply, malformed};
 use grebespool::decide::Planner;
 use grebespool::host::*;
-use grebespool_stated::Stated;
+use grebespool_platform_settings::Stated;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
