--- a/crates/cli/benches/scale.rs
+++ b/crates/cli/benches/scale.rs
@@ -2,8 +2,8 @@
 //! hold the server have it in force, CPU and memory. All sizes in one run, one after another.
 
 use grebespool_controller_server::dial::{Peer, next, shake_hands};
+use grebespool_emulator::{PlannerHost, ProcessHost};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
-use grebespool_standin::{PlannerHost, ProcessHost};
 use grebespool_wire::*;
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
--- a/crates/cli/benches/takeover.rs
+++ b/crates/cli/benches/takeover.rs
@@ -4,9 +4,9 @@
 
 use grebespool_cluster::Store;
 use grebespool_controller_server::dial::{Peer, next, shake_hands};
+use grebespool_emulator::{FleetHost, PlannerHost, ProcessHost};
 use grebespool_leader_election::{Held, Listed, Memory, Phase as Known, Roster, Weight};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
-use grebespool_standin::{FleetHost, PlannerHost, ProcessHost};
 use grebespool_wire::*;
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -3,9 +3,9 @@
 use crate::rehearse::{BAD_DAY, Runs, host};
 use clap::Args;
 use grebespool_behaviour::Service;
+use grebespool_emulator::rehearse;
 use grebespool_model::{PlannedBy, model};
 use grebespool_settings::Day;
-use grebespool_standin::rehearse;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -1,8 +1,8 @@
 //! Recording what a running planner hears.
 
 use grebespool_controller_server::Watch;
+use grebespool_emulator::listed;
 use grebespool_settings::{Deployment, deployment_text};
-use grebespool_standin::listed;
 use grebespool_trace::{Cloak, Event, Recorder, Timed};
 use grebespool_wire as wire;
 use std::cell::RefCell;
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -2,11 +2,11 @@
 
 use clap::ValueEnum;
 use grebespool_cluster::audit;
-use grebespool_rules::Verdict;
-use grebespool_settings::{Day, What};
-use grebespool_standin::{
+use grebespool_emulator::{
     FleetHost, PlannerHost, Played, ProcessHost, Progress, SeveralHost, ThreadHost, rehearse as play,
 };
+use grebespool_rules::Verdict;
+use grebespool_settings::{Day, What};
 use grebespool_trace::Recorder;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::{self, IsTerminal};
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -43,7 +43,7 @@
 
 /// A short day with a deploy; `grace` says how long proxies may go on sending to what drains.
 fn short_day(grace: &str) -> String {
-    let small = include_str!("../../standin/tests/small.ncl");
+    let small = include_str!("../../emulator/tests/small.ncl");
     let slow =
         "{ at = \"1s\", lasts = \"4s\", what = 'SlowOrders { delay = \"350ms\", bytes_per_s = 90000 } }";
     let deploy = "what = 'Deploy { servers = 2, every = \"100ms\", drain = \"2500ms\", down = \"200ms\" }";
@@ -184,7 +184,7 @@
 
 #[rstest]
 fn a_day_on_sockets_and_in_the_model_comes_to_about_the_same() {
-    let small = include_str!("../../standin/tests/small.ncl");
+    let small = include_str!("../../emulator/tests/small.ncl");
     let text = format!("({small}) & {{ troubles = [] }}").replace("length = \"11s\"", "length = \"5s\"");
     let (_folder, file) = written("day.ncl", &text);
     let tolerance = ["--tolerance", "0.05", "--worst-tolerance", "0.1"];
--- a/crates/cli/tests/fleet/helpers.rs
+++ b/crates/cli/tests/fleet/helpers.rs
@@ -1,7 +1,7 @@
 //! Controllers that are processes, and how they are driven.
 
 use grebespool_cluster::audit;
-use grebespool_standin::free_ports;
+use grebespool_emulator::free_ports;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -3,15 +3,15 @@
 
 use crate::helpers::Fleet;
 use grebespool_cluster::audit;
+use grebespool_emulator::{FleetHost, Played, rehearse};
 use grebespool_rules::{Passed, Record};
 use grebespool_settings::Day;
-use grebespool_standin::{FleetHost, Played, rehearse};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 use std::time::Duration;
 
-const SMALL: &str = include_str!("../../../standin/tests/small.ncl");
+const SMALL: &str = include_str!("../../../emulator/tests/small.ncl");
 const DEPLOY: &str = "{ at = \"3s\", what = 'Deploy { servers = 3, every = \"500ms\", drain = \"2500ms\", down = \"300ms\" } }";
 
 fn day(troubles: &str) -> Day {
--- a/crates/standin/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -3,9 +3,9 @@
 
 use grebespool_behaviour::facts;
 use grebespool_controller_server::{Passage, Untouched};
+use grebespool_emulator::{PlannerHost, Played, ThreadHost, rehearse};
 use grebespool_rules::{Passed, Record, Rule, check};
 use grebespool_settings::{Day, Deployment, ListSource};
-use grebespool_standin::{PlannerHost, Played, ThreadHost, rehearse};
 use grebespool_wire::{Call, Level, Order, Orders, Phase, ServerId, Tries};
 use rstest::rstest;
 use std::collections::BTreeSet;
