--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -2,9 +2,9 @@
 
 use crate::rehearse::{BAD_DAY, Runs, host};
 use clap::Args;
-use grebespool_behaviour::Service;
 use grebespool_emulator::rehearse;
 use grebespool_model::{PlannedBy, model};
+use grebespool_server_model::Service;
 use grebespool_settings::Day;
 use std::path::PathBuf;
 use std::process::ExitCode;
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -1,10 +1,10 @@
 //! Days on loopback around the real planner: each fault alone, several together, and planners with one guard
 //! removed, which the checker has to find.
 
-use grebespool_behaviour::facts;
 use grebespool_controller_server::{Passage, Untouched};
 use grebespool_emulator::{PlannerHost, Played, ThreadHost, rehearse};
 use grebespool_rules::{Passed, Record, Rule, check};
+use grebespool_server_model::facts;
 use grebespool_settings::{Day, Deployment, ListSource};
 use grebespool_wire::{Call, Level, Order, Orders, Phase, ServerId, Tries};
 use rstest::rstest;
--- a/crates/model/src/proxies.rs
+++ b/crates/model/src/proxies.rs
@@ -2,9 +2,9 @@
 
 use crate::agenda::{Due, HOP};
 use crate::play::{Model, PlannedBy};
-use grebespool_behaviour::{Held, Sums};
 use grebespool_controller::{Arrival, StreamId};
 use grebespool_rules::Passed;
+use grebespool_server_model::{Held, Sums};
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{Message, ServerId};
 use rand::Rng;
--- a/crates/replay/src/chart.rs
+++ b/crates/replay/src/chart.rs
@@ -2,7 +2,7 @@
 
 use crate::compare::gain;
 use crate::run::{Replayed, Replays};
-use grebespool_behaviour::Service;
+use grebespool_server_model::Service;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::io;
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,9 +1,9 @@
 //! Runs, dealt to all cores and put together by their places.
 
 use crate::past::Recorded;
-use grebespool_behaviour::Service;
 use grebespool_model::{PlannedBy, Unplayable, model};
 use grebespool_rules::Verdict;
+use grebespool_server_model::Service;
 use grebespool_settings::Day;
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/behaviour/tests/cores.rs
+++ b/crates/server-model/tests/cores.rs
@@ -1,6 +1,6 @@
 //! What a proxy holds and how it picks, and a server's work, beside what the textbook gives.
 
-use grebespool_behaviour::{Ability, Held, Machine, Stale};
+use grebespool_server_model::{Ability, Held, Machine, Stale};
 use grebespool_settings::{Figure, Picks, ServerKind, Span};
 use grebespool_wire::{Cause, Level, Order, Orders, ServerId, Tries};
 use rand::{Rng, SeedableRng};
