--- a/crates/scale/src/process.rs
+++ b/crates/scale/src/process.rs
@@ -3,7 +3,7 @@
 use crate::resources::{ProcessUse, process_use};
 use grebespool_cluster::{Answer, Keys, LIMITS, Question, fleet_id};
 use grebespool_config_consensus::{Acts, Change, Limit};
-use grebespool_scripted::{Discovery, Program, frame, server, settings};
+use grebespool_test_cluster::{Discovery, Program, frame, server, settings};
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/scale/src/station.rs
+++ b/crates/scale/src/station.rs
@@ -3,7 +3,7 @@
 
 use crate::resources::timed;
 use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
-use grebespool_scripted::{frame, server, settings};
+use grebespool_test_cluster::{frame, server, settings};
 use serde_json::{Value, json};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/crates/start/tests/crossings.rs
+++ b/crates/start/tests/crossings.rs
@@ -1,7 +1,7 @@
 //! The instant in which something ends while something is still owed: forced by parties that hold their last byte, half
 //! an answer or the planner itself until the other side has come as far, and never hoped for.
 
-use grebespool_scripted::*;
+use grebespool_test_cluster::*;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::io::{ErrorKind, Read, Write};
--- a/crates/start/tests/fleet.rs
+++ b/crates/start/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several planners of the platform's protocol, each a process of its own, over one list: restarted, killed, stopped and
 //! cut off while servers are replaced under them. The rules are checked from what passed on the sockets.
 
-use grebespool_scripted::*;
+use grebespool_test_cluster::*;
 use rstest::rstest;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_grebespool");
--- a/crates/start/tests/platform.rs
+++ b/crates/start/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The program as the platform starts it, against scripted proxies, collectors, strangers and a discovery.
 
-use grebespool_scripted::*;
+use grebespool_test_cluster::*;
 use rstest::rstest;
 use serde_json::json;
 use std::io::Write;
