--- a/crates/cli/benches/replaying.rs
+++ b/crates/cli/benches/replaying.rs
@@ -1,9 +1,9 @@
 //! The model's pace and memory, and what a recording costs a running planner. All in one run: each measurement that
 //! looks at memory is a process of its own (this program again).
 
-use grebespool_model::{PlannedBy, model};
 use grebespool_replay::{Job, Recorded};
 use grebespool_settings::{Day, Span};
+use grebespool_simulation::{PlannedBy, model};
 use grebespool_trace::{Call, Event, Timed, Writer};
 use std::fs::File;
 use std::path::Path;
--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -3,9 +3,9 @@
 use crate::rehearse::{BAD_DAY, Runs, host};
 use clap::Args;
 use grebespool_emulator::rehearse;
-use grebespool_model::{PlannedBy, model};
 use grebespool_server_model::Service;
 use grebespool_settings::Day;
+use grebespool_simulation::{PlannedBy, model};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
--- a/crates/replay/src/experiment.rs
+++ b/crates/replay/src/experiment.rs
@@ -5,7 +5,7 @@
 use crate::past::Recorded;
 use crate::report::{Page, rules, service, told, write_report};
 use crate::run::{Job, Outcome, Replays, Variant, run_all};
-use grebespool_model::Unplayable;
+use grebespool_simulation::Unplayable;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions, TryLockError};
--- a/crates/replay/src/past.rs
+++ b/crates/replay/src/past.rs
@@ -1,7 +1,7 @@
 //! Recorded days, as the model follows them: read as a stream, in the order of time, one block held.
 
-use grebespool_model::{FirstCall, Past, PastEntry, Recording};
 use grebespool_settings::{Day, Trouble, What};
+use grebespool_simulation::{FirstCall, Past, PastEntry, Recording};
 use grebespool_trace::{Call, End, Event, Flaw, Listed, Phase, Reader, Timed};
 use grebespool_wire as wire;
 use rand::{Rng, SeedableRng};
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,10 +1,10 @@
 //! Runs, dealt to all cores and put together by their places.
 
 use crate::past::Recorded;
-use grebespool_model::{PlannedBy, Unplayable, model};
 use grebespool_rules::Verdict;
 use grebespool_server_model::Service;
 use grebespool_settings::Day;
+use grebespool_simulation::{PlannedBy, Unplayable, model};
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,10 +1,10 @@
 //! Variants over seeds: the same on any number of threads, compared in pairs, broken rules caught and told.
 
-use grebespool_model::Past;
 use grebespool_replay::{
     Experiment, Gain, Kept, Recorded, SweptDay, Unswept, Variant, gain_of, replay, write_report,
 };
 use grebespool_settings::{Day, Deployment, What, deployment_text};
+use grebespool_simulation::Past;
 use grebespool_trace::{Call, Event, Listed, Phase, Timed, Writer};
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/model/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,8 +1,8 @@
 //! The model: the same day twice, on one thread and on four; rules kept and breaches caught; recorded days.
 
-use grebespool_model::{FirstCall, Modelled, Past, PastEntry, PlannedBy, Recording, model};
 use grebespool_rules::{Passed, Record, Rule};
 use grebespool_settings::{Day, What};
+use grebespool_simulation::{FirstCall, Modelled, Past, PastEntry, PlannedBy, Recording, model};
 use grebespool_wire::{Outcome, Phase};
 use rstest::rstest;
 use std::collections::BTreeSet;
