--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -5,7 +5,7 @@
 use grebespool_emulator::{
     FleetHost, PlannerHost, Played, ProcessHost, Progress, SeveralHost, ThreadHost, rehearse as play,
 };
-use grebespool_rules::Verdict;
+use grebespool_invariants::Verdict;
 use grebespool_settings::{Day, What};
 use grebespool_trace::Recorder;
 use indicatif::{ProgressBar, ProgressStyle};
--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -4,7 +4,7 @@
 use crate::helpers::Fleet;
 use grebespool_cluster::audit;
 use grebespool_emulator::{FleetHost, Played, rehearse};
-use grebespool_rules::{Passed, Record};
+use grebespool_invariants::{Passed, Record};
 use grebespool_settings::Day;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -3,7 +3,7 @@
 use crate::proxy::Proxy;
 use crate::world::World;
 use grebespool_controller_server::dial::next;
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_settings::CallerKind;
 use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome};
 use rand::{Rng, SeedableRng};
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -1,7 +1,7 @@
 //! The way between one proxy and the planner: delays, slows, holds, breaks, and records what passes.
 
 use crate::world::World;
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_wire::{Inbox, MOST_BODY, Message};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::world::World;
 use grebespool_controller_server::dial::next;
-use grebespool_rules::{List, Passed};
+use grebespool_invariants::{List, Passed};
 use grebespool_wire::{Entry, Inbox, Join, MOST_BODY, Message, Phase, Reason, ServerId, VERSION};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -4,7 +4,7 @@
 use crate::world::World;
 use grebespool_controller_server::ALIVE;
 use grebespool_controller_server::dial::{Peer, next, shake_hands};
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_server_model::{Held, Sums};
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, Reason, Role, ServerId, Tries};
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -8,7 +8,7 @@
 use crate::server::Server;
 use crate::visitor::visit;
 use crate::world::World;
-use grebespool_rules::{Passed, Record, Verdict, check};
+use grebespool_invariants::{Passed, Record, Verdict, check};
 use grebespool_server_model::{Ability, Service, facts};
 use grebespool_settings::{Day, ListSource, Trouble, What};
 use grebespool_trace::Recorder;
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::world::World;
 use grebespool_controller_server::dial::next;
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_server_model::{Ability, Machine};
 use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, ProbeState, ServerId};
 use std::cell::{Cell, RefCell};
--- a/crates/emulator/src/visitor.rs
+++ b/crates/emulator/src/visitor.rs
@@ -3,7 +3,7 @@
 use crate::link::Link;
 use crate::world::World;
 use grebespool_controller_server::dial::{Peer, next, shake_hands};
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_wire::{Message, Role};
 use std::io;
 use std::rc::Rc;
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,6 +1,6 @@
 //! What all stand-ins of one day share: the clock, the record, and which zones are cut off.
 
-use grebespool_rules::{Passed, Record};
+use grebespool_invariants::{Passed, Record};
 use grebespool_settings::{Deployment, deployment_text};
 use grebespool_trace::{Call, Event, Listed, Phase, Recorder, Timed};
 use grebespool_wire::Key;
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -3,7 +3,7 @@
 
 use grebespool_controller_server::{Passage, Untouched};
 use grebespool_emulator::{PlannerHost, Played, ThreadHost, rehearse};
-use grebespool_rules::{Passed, Record, Rule, check};
+use grebespool_invariants::{Passed, Record, Rule, check};
 use grebespool_server_model::facts;
 use grebespool_settings::{Day, Deployment, ListSource};
 use grebespool_wire::{Call, Level, Order, Orders, Phase, ServerId, Tries};
--- a/crates/rules/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -1,6 +1,6 @@
 //! The checker over small days: a clean one, and the same with one breach planted.
 
-use grebespool_rules::*;
+use grebespool_invariants::*;
 use grebespool_wire::*;
 use rstest::rstest;
 use std::time::Duration;
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,7 +1,7 @@
 //! Runs, dealt to all cores and put together by their places.
 
 use crate::past::Recorded;
-use grebespool_rules::Verdict;
+use grebespool_invariants::Verdict;
 use grebespool_server_model::Service;
 use grebespool_settings::Day;
 use grebespool_simulation::{PlannedBy, Unplayable, model};
--- a/crates/server-model/src/lib.rs
+++ b/crates/server-model/src/lib.rs
@@ -11,7 +11,7 @@
 pub use service::{RouteService, Service, Tally, ZoneService};
 pub use sums::Sums;
 
-use grebespool_rules::{Facts, Limits, RouteFacts};
+use grebespool_invariants::{Facts, Limits, RouteFacts};
 use grebespool_settings::{Day, Group, Repeats};
 
 /// What the rules need to know of a day.
--- a/crates/server-model/src/service.rs
+++ b/crates/server-model/src/service.rs
@@ -1,7 +1,7 @@
 //! Service, as the users define it: importance answered within the SLO time over importance asked for, with a
 //! caller's repeats counted under its first attempt. Beside it, what the day cost.
 
-use grebespool_rules::{Passed, Record};
+use grebespool_invariants::{Passed, Record};
 use grebespool_settings::Deployment;
 use grebespool_wire::{Outcome, ServerId};
 use hdrhistogram::Histogram;
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -2,7 +2,7 @@
 
 use grebespool::host::Probed;
 use grebespool_controller::{Outlet, StreamId};
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_wire::{Answer, Call, Entry, Message, Orders, Reason, ServerId};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::agenda::{Due, HOP, TryId};
 use crate::play::{Model, PlannedBy};
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_wire::{Answer, Call, Outcome, Report, ServerId, Tries};
 use rand::Rng;
 use std::time::Duration;
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -7,7 +7,7 @@
 use crate::servers::{Listing, Server, ability, server_id};
 use crate::troubles::InHand;
 use grebespool_controller::{Dealt, Engine, Start, StreamId, Unsupported};
-use grebespool_rules::{Checker, List, Passed, Verdict};
+use grebespool_invariants::{Checker, List, Passed, Verdict};
 use grebespool_server_model::{Held, Service, Sums, Tally, facts};
 use grebespool_settings::{Day, ListMode, What};
 use grebespool_wire::{Entry, Phase, ServerId};
--- a/crates/simulation/src/proxies.rs
+++ b/crates/simulation/src/proxies.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{Due, HOP};
 use crate::play::{Model, PlannedBy};
 use grebespool_controller::{Arrival, StreamId};
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_server_model::{Held, Sums};
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{Message, ServerId};
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{Due, HOP, TryId};
 use crate::play::{Model, PlannedBy};
 use grebespool::host::Probed;
-use grebespool_rules::{List, Passed};
+use grebespool_invariants::{List, Passed};
 use grebespool_server_model::{Ability, Machine};
 use grebespool_settings::{Day, ServerKind};
 use grebespool_wire::{Answer, Call, Entry, Outcome, Phase, ServerId};
--- a/crates/simulation/src/troubles.rs
+++ b/crates/simulation/src/troubles.rs
@@ -2,7 +2,7 @@
 
 use crate::agenda::{Due, HOP};
 use crate::play::{Model, PlannedBy};
-use grebespool_rules::Passed;
+use grebespool_invariants::Passed;
 use grebespool_settings::What;
 use grebespool_wire::Phase;
 use rand::seq::SliceRandom;
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,6 +1,6 @@
 //! The model: the same day twice, on one thread and on four; rules kept and breaches caught; recorded days.
 
-use grebespool_rules::{Passed, Record, Rule};
+use grebespool_invariants::{Passed, Record, Rule};
 use grebespool_settings::{Day, What};
 use grebespool_simulation::{FirstCall, Modelled, Past, PastEntry, PlannedBy, Recording, model};
 use grebespool_wire::{Outcome, Phase};
