--- a/crates/scale/benches/scale/main.rs
+++ b/crates/scale-bench/benches/scale/main.rs
@@ -1,7 +1,7 @@
 //! Measures how the cost of a fleet grows with its size, fits the curves and writes `docs/capacity`.
 //!
-//!     cargo bench -p grebespool-scale                                   # all of it, with the usual sizes
-//!     cargo bench -p grebespool-scale -- --only fleet --planners 3,10,30,100
+//!     cargo bench -p grebespool-scale-bench                                   # all of it, with the usual sizes
+//!     cargo bench -p grebespool-scale-bench -- --only fleet --planners 3,10,30,100
 //!
 //! Without `--only` the data and the chart in `--folder` are made anew; with it, results are printed only.
 
@@ -10,9 +10,9 @@
 
 use args::Arguments;
 use clap::Parser;
-use grebespool_scale::capacity::{PlanFile, page, work_out};
-use grebespool_scale::chart::{Chart, curves, draw};
-use grebespool_scale::sample::{Sample, Slope, read, slopes, write};
+use grebespool_scale_bench::capacity::{PlanFile, page, work_out};
+use grebespool_scale_bench::chart::{Chart, curves, draw};
+use grebespool_scale_bench::sample::{Sample, Slope, read, slopes, write};
 use peak_alloc::PeakAlloc;
 use std::error::Error;
 use std::process::{Command, ExitCode};
@@ -89,7 +89,7 @@
         format!(
             "machine: {kernel}, {cores} cores; processor times are of its threads, not of a reference machine"
         ),
-        "command: cargo bench -p grebespool-scale".into(),
+        "command: cargo bench -p grebespool-scale-bench".into(),
     ]
 }
 
--- a/crates/scale/benches/scale/series.rs
+++ b/crates/scale-bench/benches/scale/series.rs
@@ -2,11 +2,11 @@
 
 use crate::args::{Arguments, Group};
 use grebespool_config_consensus::{Blob, Change, Content, Edition, Rack, Route, Server, State};
-use grebespool_scale::hollow::{Faults, Fleet, FleetCosts, FleetSettings, Links, Timing, Topology};
-use grebespool_scale::process::{MemberFleet, ProcessCosts, measure_platform};
-use grebespool_scale::resources::thread_time;
-use grebespool_scale::sample::{PlannerKind, Sample, rounded};
-use grebespool_scale::station::{self, StationSize};
+use grebespool_scale_bench::hollow::{Faults, Fleet, FleetCosts, FleetSettings, Links, Timing, Topology};
+use grebespool_scale_bench::process::{MemberFleet, ProcessCosts, measure_platform};
+use grebespool_scale_bench::resources::thread_time;
+use grebespool_scale_bench::sample::{PlannerKind, Sample, rounded};
+use grebespool_scale_bench::station::{self, StationSize};
 use std::error::Error;
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/scale/tests/capacity.rs
+++ b/crates/scale-bench/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! The page on capacity is what the data say, and the plan's file is checked.
 
-use grebespool_scale::capacity::{BadPlan, PlanFile, page, work_out};
-use grebespool_scale::sample::{PlannerKind, Sample, Slope, read, slopes};
+use grebespool_scale_bench::capacity::{BadPlan, PlanFile, page, work_out};
+use grebespool_scale_bench::sample::{PlannerKind, Sample, Slope, read, slopes};
 use rstest::rstest;
 use std::path::{Path, PathBuf};
 
@@ -22,7 +22,10 @@
 #[rstest]
 fn the_page_is_what_the_data_say() {
     let differs = page::check(&text(), &tables());
-    assert!(differs.is_empty(), "cargo bench -p grebespool-scale -- --page makes it anew: {differs:#?}");
+    assert!(
+        differs.is_empty(),
+        "cargo bench -p grebespool-scale-bench -- --page makes it anew: {differs:#?}"
+    );
 }
 
 /// Each table's every figure: one digit altered is found.
--- a/crates/scale/tests/fit.rs
+++ b/crates/scale-bench/tests/fit.rs
@@ -1,6 +1,6 @@
 //! Fits of curves whose shape is known.
 
-use grebespool_scale::fit::*;
+use grebespool_scale_bench::fit::*;
 use rstest::rstest;
 
 fn points(sizes: &[f64], cost: impl Fn(f64) -> f64) -> Vec<Point> {
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale-bench/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow planners agree as the program's members do.
 
 use grebespool_config_consensus::{Change, Content, Rack, Server, State};
-use grebespool_scale::hollow::*;
+use grebespool_scale_bench::hollow::*;
 use rstest::rstest;
 use std::time::Duration;
 
