--- a/crates/scale-bench/benches/scale/series.rs
+++ b/crates/scale-bench/benches/scale/series.rs
@@ -267,7 +267,7 @@
 
 fn processes(arguments: &Arguments, samples: &mut Vec<Sample>) -> Result<(), Box<dyn Error>> {
     const SPAN: Duration = Duration::from_secs(10);
-    let platform = program("grebespool-start", "grebespool")?;
+    let platform = program("grebespool-launcher", "grebespool")?;
     let members = program("grebespool-cli", "grebespool-cli")?;
     for planners in arguments.processes.iter().copied() {
         let costs = measure_platform(&platform, planners, 200, SPAN)?;
