--- a/crates/assignments/src/lib.rs
+++ b/crates/assignments/src/lib.rs
@@ -1,4 +1,4 @@
-//! Between the decisions ([`grebespool::decide`]) and whatever carries their orders: what is ordered as it stands, one
+//! Between the decisions ([`grebespool::policy`]) and whatever carries their orders: what is ordered as it stands, one
 //! message for each proxy and turn, and the small indices that stand for ids. Free of I/O and clocks, and of any
 //! protocol.
 
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,4 +1,4 @@
-//! Everything between the wire's messages and the decisions ([`grebespool::decide`]): indices for ids,
+//! Everything between the wire's messages and the decisions ([`grebespool::policy`]): indices for ids,
 //! timers, one message a turn for each proxy, the channel's queue and its pace, and what is believed of
 //! lists, sums and reports. Free of I/O and clocks: time comes in as spans since the planner's start.
 //!
--- a/crates/controller/src/watch.rs
+++ b/crates/controller/src/watch.rs
@@ -1,8 +1,8 @@
 //! What the engine hears, told to the sites, and what these order, told to the decisions.
 
 use crate::engine::Outlet;
-use grebespool::decide::Planner;
 use grebespool::host::{Host, Met, Phase, Route, Zone};
+use grebespool::policy::Planner;
 use grebespool_site_failover::{Demand, Ground, Impossible, Order, Plan, Refused, Sites, Status, Timing};
 use std::time::Duration;
 
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! The platform's protocol between its bytes and the decisions ([`grebespool::decide`]). Free of I/O and clocks: time
+//! The platform's protocol between its bytes and the decisions ([`grebespool::policy`]). Free of I/O and clocks: time
 //! comes in as spans since the planner's start, and the list's also with the machines' own time.
 //!
 //! Call one method of [`Station`] for each thing that happens; it acts by calling the [`Outlet`] that it was started
--- a/crates/scale-bench/src/capacity/rows/steady.rs
+++ b/crates/scale-bench/src/capacity/rows/steady.rs
@@ -55,7 +55,7 @@
             list,
             "bytes",
             memory,
-            "crates/platform-protocol, src/decide",
+            "crates/platform-protocol, src/policy",
             SCOPE,
         ),
         ordinary(
@@ -135,7 +135,7 @@
             data.at("station/servers/processor_idle", plan.servers)?,
             "core",
             processor,
-            "src/decide",
+            "src/policy",
             SCOPE,
         ),
         ordinary(
@@ -155,7 +155,7 @@
             proxies * data.slope("station/proxies/processor_idle")?.slope,
             "core",
             processor,
-            "src/decide, crates/platform-protocol",
+            "src/policy, crates/platform-protocol",
             HOLDS,
         ),
         ordinary(
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Sites`] is told what happens, one method for each thing, and acts through the [`Ground`] that it is handed. What
 //! tells a loss from a cut, a silent collector or a late list is in [`evidence`], what is left for whom in [`plan`], the
-//! steps of a return in [`pace`]. Servers, weights and levels stay the decisions' own (`src/decide`): a site's
+//! steps of a return in [`pace`]. Servers, weights and levels stay the decisions' own (`src/policy`): a site's
 //! verdict only bounds them.
 
 pub mod evidence;
--- a/crates/wirehost/src/hosted.rs
+++ b/crates/wirehost/src/hosted.rs
@@ -1,8 +1,8 @@
 //! Instances: events turned into calls on their planners, their orders into records.
 
 use crate::frame::{Address, Batch, ENTRY, Fields, Malformed, Reply, malformed};
-use grebespool::decide::Planner;
 use grebespool::host::*;
+use grebespool::policy::Planner;
 use grebespool_platform_settings::Stated;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
--- a/src/decide/mod.rs
+++ b/src/policy/mod.rs
@@ -3,19 +3,19 @@
 //! Start a [`Planner`] with a [`Host`] and what the deployment states, then call one method for each thing
 //! that happens; it answers by calling the host before it returns. Times are spans since its start.
 
-mod channel;
-mod health;
-mod joins;
-mod levels;
-mod lists;
-mod orders;
-mod pools;
-mod ramp;
-mod zones;
+mod admission;
+mod control_channel;
+mod endpoints;
+mod outlier_detection;
+mod proxy_binding;
+mod publishing;
+mod slow_start;
+mod subsetting;
+mod zone_spill;
 
 use crate::host::*;
-pub use crate::kept::Planner;
-use crate::kept::*;
+pub use crate::state::Planner;
+use crate::state::*;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/src/kept.rs
+++ b/src/state.rs
@@ -235,7 +235,7 @@
     pub bound: bool,
 }
 
-/// One planner: see [`crate::decide`].
+/// One planner: see [`crate::policy`].
 pub struct Planner<H> {
     pub(crate) host: H,
     pub(crate) rng: Pcg64Mcg,
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -1,7 +1,7 @@
 //! A host that keeps what it was asked for, and a planner that can be driven through time.
 
-use grebespool::decide::Planner;
 use grebespool::host::*;
+use grebespool::policy::Planner;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
