--- a/crates/assignments/src/books.rs
+++ b/crates/assignments/src/books.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 /// What share of some routes' calls is let in, and when they are tried again.
-pub type Level = (RouteSet, f32, Tries);
+pub type Level = (RouteSet, f32, RetryPolicy);
 
 /// What one proxy is told at the end of a turn.
 pub struct Told<'a> {
-    pub table: Table,
+    pub table: TableId,
     /// How often the table has changed.
     pub version: u64,
     /// Set where the proxy is put on the table in this turn: for these routes, and the lines are all of it.
     pub bound: Option<RouteSet>,
-    pub lines: &'a [(Server, f32)],
+    pub lines: &'a [(ServerIndex, f32)],
     pub levels: &'a [Level],
     pub mark: Option<u16>,
 }
@@ -24,26 +24,26 @@
 #[derive(Default)]
 struct Book {
     version: u64,
-    lines: BTreeMap<Server, f32>,
-    changed: BTreeSet<Server>,
+    lines: BTreeMap<ServerIndex, f32>,
+    changed: BTreeSet<ServerIndex>,
 }
 
 #[derive(Default)]
 struct Held {
-    table: Option<(Table, RouteSet)>,
+    table: Option<(TableId, RouteSet)>,
     /// Bound in this turn: a whole table is due.
     fresh: bool,
 }
 
 #[derive(Default)]
 struct Books {
-    tables: BTreeMap<Table, Book>,
-    levels: BTreeMap<RouteSet, (f32, Tries)>,
+    tables: BTreeMap<TableId, Book>,
+    levels: BTreeMap<RouteSet, (f32, RetryPolicy)>,
     levels_changed: BTreeSet<RouteSet>,
-    proxies: BTreeMap<Proxy, Held>,
+    proxies: BTreeMap<ProxyId, Held>,
     mark: Option<u16>,
-    wakes: BTreeSet<(Duration, u32)>,
-    probes: BTreeSet<Server>,
+    wakes: BTreeSet<(Duration, Timer)>,
+    probes: BTreeSet<ServerIndex>,
     ask: bool,
 }
 
@@ -51,11 +51,11 @@
 #[derive(Clone, Default)]
 pub struct Desk(Rc<RefCell<Books>>);
 
-impl Host for Desk {
-    fn wake(&mut self, at: Duration, token: u32) {
-        self.0.borrow_mut().wakes.insert((at, token));
+impl PolicyHost for Desk {
+    fn set_timer(&mut self, at: Duration, timer: Timer) {
+        self.0.borrow_mut().wakes.insert((at, timer));
     }
-    fn set_line(&mut self, table: Table, server: Server, weight: f32) {
+    fn set_weight(&mut self, table: TableId, server: ServerIndex, weight: f32) {
         let mut books = self.0.borrow_mut();
         let book = books.tables.entry(table).or_default();
         match weight > 0.0 {
@@ -64,38 +64,38 @@
         };
         book.changed.insert(server);
     }
-    fn bind(&mut self, proxy: Proxy, table: Table, routes: RouteSet) {
+    fn bind_proxy(&mut self, proxy: ProxyId, table: TableId, routes: RouteSet) {
         if let Some(held) = self.0.borrow_mut().proxies.get_mut(&proxy) {
             (held.table, held.fresh) = (Some((table, routes)), true);
         }
     }
-    fn admit(&mut self, routes: RouteSet, level: f32, tries: Tries) {
+    fn set_admission(&mut self, routes: RouteSet, level: f32, tries: RetryPolicy) {
         let mut books = self.0.borrow_mut();
         books.levels.insert(routes, (level, tries));
         books.levels_changed.insert(routes);
     }
-    fn mark(&mut self, number: u16) {
+    fn request_ack(&mut self, number: u16) {
         self.0.borrow_mut().mark = Some(number);
     }
-    fn probe(&mut self, server: Server) {
+    fn start_health_check(&mut self, server: ServerIndex) {
         self.0.borrow_mut().probes.insert(server);
     }
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.0.borrow_mut().ask = true;
     }
 }
 
 impl Desk {
-    pub fn joined(&self, proxy: Proxy) {
+    pub fn joined(&self, proxy: ProxyId) {
         self.0.borrow_mut().proxies.insert(proxy, Held::default());
     }
 
-    pub fn left(&self, proxy: Proxy) {
+    pub fn left(&self, proxy: ProxyId) {
         self.0.borrow_mut().proxies.remove(&proxy);
     }
 
     /// Whether some table has the server.
-    pub fn holds(&self, server: Server) -> bool {
+    pub fn holds(&self, server: ServerIndex) -> bool {
         let books = self.0.borrow();
         books.tables.values().any(|b| b.lines.contains_key(&server) || b.changed.contains(&server))
     }
@@ -106,13 +106,13 @@
     }
 
     /// What is due by now: each token once, however late.
-    pub fn wakes(&self, now: Duration) -> BTreeSet<u32> {
+    pub fn wakes(&self, now: Duration) -> BTreeSet<Timer> {
         let wakes = &mut self.0.borrow_mut().wakes;
-        let later = wakes.split_off(&(now + Duration::from_nanos(1), 0));
+        let later = wakes.split_off(&(now + Duration::from_nanos(1), Timer::Tick));
         std::mem::replace(wakes, later).into_iter().map(|w| w.1).collect()
     }
 
-    pub fn probes(&self) -> BTreeSet<Server> {
+    pub fn probes(&self) -> BTreeSet<ServerIndex> {
         std::mem::take(&mut self.0.borrow_mut().probes)
     }
 
@@ -121,15 +121,15 @@
     }
 
     /// Ends a turn: one message for each proxy that it concerns.
-    pub fn settle(&self, mut tell: impl FnMut(Proxy, &Told)) {
+    pub fn settle(&self, mut tell: impl FnMut(ProxyId, &Told)) {
         let books = &mut *self.0.borrow_mut();
         books.tables.values_mut().filter(|b| !b.changed.is_empty()).for_each(|b| b.version += 1);
-        let level = |l: (&RouteSet, &(f32, Tries))| (*l.0, l.1.0, l.1.1);
+        let level = |l: (&RouteSet, &(f32, RetryPolicy))| (*l.0, l.1.0, l.1.1);
         let levels: Vec<Level> = books.levels.iter().map(level).collect();
         let changed = |l: &&Level| books.levels_changed.contains(&l.0);
         let new_levels: Vec<Level> = levels.iter().filter(changed).copied().collect();
         // Many proxies share a table: what they are told of it is put together once.
-        let mut parts: BTreeMap<(Table, bool), Vec<(Server, f32)>> = BTreeMap::new();
+        let mut parts: BTreeMap<(TableId, bool), Vec<(ServerIndex, f32)>> = BTreeMap::new();
         for (proxy, held) in &mut books.proxies {
             let Some((table, routes)) = held.table else { continue };
             let fresh = std::mem::take(&mut held.fresh);
@@ -137,7 +137,7 @@
             let lines = parts.entry((table, fresh)).or_insert_with(|| match fresh {
                 true => book.lines.iter().map(|(s, w)| (*s, *w)).collect(),
                 false => {
-                    let weight = |s: &Server| book.lines.get(s).copied().unwrap_or(0.0);
+                    let weight = |s: &ServerIndex| book.lines.get(s).copied().unwrap_or(0.0);
                     book.changed.iter().map(|s| (*s, weight(s))).collect()
                 }
             });
--- a/crates/assignments/src/door.rs
+++ b/crates/assignments/src/door.rs
@@ -1,15 +1,15 @@
 //! Ids of servers, and the small indices that stand for them inside.
 
-use grebespool::host::Server;
+use grebespool::host::ServerIndex;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Servers by index. An index goes to another server only long after its own was listed as gone: nothing that is still
 /// under way may be taken for news of the other.
 pub struct Servers<I> {
-    indices: BTreeMap<I, Server>,
+    indices: BTreeMap<I, ServerIndex>,
     ids: Vec<I>,
-    gone: BTreeMap<Server, Duration>,
+    gone: BTreeMap<ServerIndex, Duration>,
     kept: Duration,
 }
 
@@ -20,12 +20,12 @@
     }
 
     /// `held` tells whether some table still has the server of an index.
-    pub fn enter(&mut self, now: Duration, id: &I, held: impl Fn(Server) -> bool) -> Server {
+    pub fn enter(&mut self, now: Duration, id: &I, held: impl Fn(ServerIndex) -> bool) -> ServerIndex {
         if let Some(&index) = self.indices.get(id) {
             self.gone.remove(&index);
             return index;
         }
-        let over = |g: &(&Server, &Duration)| now.saturating_sub(*g.1) >= self.kept && !held(*g.0);
+        let over = |g: &(&ServerIndex, &Duration)| now.saturating_sub(*g.1) >= self.kept && !held(*g.0);
         let old = self.gone.iter().find(over).map(|g| *g.0);
         let index = old.unwrap_or(self.ids.len());
         match old {
@@ -40,15 +40,15 @@
         index
     }
 
-    pub fn gone(&mut self, now: Duration, server: Server) {
+    pub fn gone(&mut self, now: Duration, server: ServerIndex) {
         self.gone.entry(server).or_insert(now);
     }
 
-    pub fn find(&self, id: &I) -> Option<Server> {
+    pub fn find(&self, id: &I) -> Option<ServerIndex> {
         self.indices.get(id).copied()
     }
 
-    pub fn id(&self, server: Server) -> &I {
+    pub fn id(&self, server: ServerIndex) -> &I {
         &self.ids[server]
     }
 
--- a/crates/assignments/tests/books.rs
+++ b/crates/assignments/tests/books.rs
@@ -1,6 +1,6 @@
 //! What a turn makes of orders, and which index a server has.
 
-use grebespool::host::{Host, Tries};
+use grebespool::host::{PolicyHost, RetryPolicy};
 use grebespool_assignments::{Desk, Servers};
 use rstest::rstest;
 use std::time::Duration;
@@ -23,28 +23,28 @@
     for proxy in [1, 2, 3] {
         desk.joined(proxy);
     }
-    host.set_line(0, 7, 1.0);
-    host.set_line(0, 8, 0.5);
-    host.set_line(1, 9, 1.0);
-    host.bind(1, 0, 0);
-    host.bind(2, 1, 0);
-    host.mark(5);
+    host.set_weight(0, 7, 1.0);
+    host.set_weight(0, 8, 0.5);
+    host.set_weight(1, 9, 1.0);
+    host.bind_proxy(1, 0, 0);
+    host.bind_proxy(2, 1, 0);
+    host.request_ack(5);
     let both = vec![(7, 1.0), (8, 0.5)];
     assert_eq!(settled(&desk), [(1, true, both, 0, Some(5)), (2, true, vec![(9, 1.0)], 0, Some(5))]);
     // A mark alone concerns nobody, and what was told is not told again.
-    host.mark(6);
+    host.request_ack(6);
     assert_eq!(settled(&desk), []);
-    host.set_line(0, 8, 0.0);
-    host.admit(1, 0.5, Tries::One);
-    host.mark(7);
+    host.set_weight(0, 8, 0.0);
+    host.set_admission(1, 0.5, RetryPolicy::Never);
+    host.request_ack(7);
     let levels_alone = (2, false, vec![], 1, Some(7));
     assert_eq!(settled(&desk), [(1, false, vec![(8, 0.0)], 1, Some(7)), levels_alone]);
     // Bound anew it gets what stands, with the levels that a whole table forgets.
     desk.joined(1);
-    host.bind(1, 0, 0);
+    host.bind_proxy(1, 0, 0);
     assert_eq!(settled(&desk), [(1, true, vec![(7, 1.0)], 1, None)]);
     desk.left(2);
-    host.set_line(1, 9, 0.3);
+    host.set_weight(1, 9, 0.3);
     assert_eq!(settled(&desk), []);
     assert_eq!((desk.holds(7), desk.holds(8), desk.holds(9)), (true, false, true));
 }
--- a/crates/controller-server/src/lib.rs
+++ b/crates/controller-server/src/lib.rs
@@ -15,7 +15,7 @@
 mod stream;
 
 pub use elsewhere::send_elsewhere;
-use grebespool::host::Probed;
+use grebespool::host::HealthCheckResult;
 use grebespool_controller::{Engine, Outlet, Start, StreamId, Unsupported};
 use grebespool_leader_election::Memory;
 use grebespool_settings::{Deployment, ListSource, Listen};
@@ -369,7 +369,7 @@
         }
     }
 
-    fn probed(&self, server: ServerId, result: Probed) {
+    fn probed(&self, server: ServerId, result: HealthCheckResult) {
         self.call(|engine, now| engine.probed(now, server, result));
     }
 }
--- a/crates/controller-server/src/probe.rs
+++ b/crates/controller-server/src/probe.rs
@@ -2,7 +2,7 @@
 
 use crate::Shared;
 use crate::dial::next;
-use grebespool::host::Probed;
+use grebespool::host::HealthCheckResult;
 use grebespool_wire::{Inbox, MOST_BODY_UNJOINED, Message, ProbeState, ServerId};
 use std::io;
 use std::rc::Rc;
@@ -23,9 +23,9 @@
             let shared = shared.clone();
             under_way.spawn_local(async move {
                 let result = match tokio::time::timeout(limit, probe(server)).await {
-                    Ok(Ok(ProbeState::Ready)) => Probed::Answered,
-                    Ok(Ok(ProbeState::Draining | ProbeState::Busy)) => Probed::Rejected,
-                    Ok(Err(_)) | Err(_) => Probed::Failed,
+                    Ok(Ok(ProbeState::Ready)) => HealthCheckResult::Healthy,
+                    Ok(Ok(ProbeState::Draining | ProbeState::Busy)) => HealthCheckResult::Rejected,
+                    Ok(Err(_)) | Err(_) => HealthCheckResult::Failed,
                 };
                 shared.probed(server, result);
             });
--- a/crates/controller/src/channel.rs
+++ b/crates/controller/src/channel.rs
@@ -1,7 +1,7 @@
 //! The queue through which all orders leave, and its pace.
 
 use crate::engine::StreamId;
-use grebespool::host::Pace;
+use grebespool::host::ControlChannelLimits;
 use grebespool_wire::Orders;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 /// The decisions keep to the limits by what they can tell of the channel. Here they are kept by count, as a
 /// last net: what would pass one is not queued, and the proxy concerned has to join anew.
 pub struct Channel {
-    pace: Pace,
+    pace: ControlChannelLimits,
     queue: VecDeque<Waiting>,
     lines: f64,
     /// When the message at the front may begin to leave.
@@ -36,7 +36,7 @@
 }
 
 impl Channel {
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(pace: ControlChannelLimits) -> Self {
         Channel { pace, queue: VecDeque::new(), lines: 0.0, free_at: Duration::ZERO, sent: BTreeMap::new() }
     }
 
@@ -46,18 +46,18 @@
     ///
     /// The limit that it would pass. Nothing is queued then.
     pub fn put(&mut self, now: Duration, to: StreamId, orders: Orders, lines: usize) -> Result<(), Overrun> {
-        let cost = lines as f64 + self.pace.head;
+        let cost = lines as f64 + self.pace.message_overhead;
         let sent = self.sent.entry(to).or_default();
         while sent.front().is_some_and(|t| now.saturating_sub(*t) > self.pace.window) {
             sent.pop_front();
         }
-        if self.lines + cost > self.pace.most_waiting {
+        if self.lines + cost > self.pace.max_queued_entries {
             return Err(Overrun::Lines);
         }
-        if self.pace.most_messages > 0 && sent.len() >= self.pace.most_messages {
+        if self.pace.max_messages > 0 && sent.len() >= self.pace.max_messages {
             return Err(Overrun::Messages);
         }
-        if self.pace.most_messages > 0 {
+        if self.pace.max_messages > 0 {
             sent.push_back(now);
         }
         if self.queue.is_empty() {
@@ -69,7 +69,7 @@
     }
 
     fn leaves_at(&self, cost: f64) -> Duration {
-        self.free_at + Duration::from_secs_f64(cost / self.pace.lines_per_s)
+        self.free_at + Duration::from_secs_f64(cost / self.pace.entries_per_s)
     }
 
     /// When the next message leaves.
--- a/crates/controller/src/engine.rs
+++ b/crates/controller/src/engine.rs
@@ -8,7 +8,7 @@
 use crate::trust::{ListSense, ReportSense, Untrusted};
 use crate::watch::Watch;
 use grebespool::host::*;
-use grebespool::policy::Planner;
+use grebespool::policy::Policy;
 use grebespool_assignments::{Desk, Servers};
 use grebespool_site_failover::{Impossible, Order as SiteOrder, Plan, Refused, Status, Timing};
 use grebespool_wire as wire;
@@ -82,7 +82,7 @@
 
 struct Joined {
     stream: StreamId,
-    zone: Zone,
+    zone: ZoneId,
     seq: u64,
 }
 
@@ -91,10 +91,10 @@
     start: Start,
     bounds: Bounds,
     routes: usize,
-    fields: Vec<Field>,
-    planner: Planner<Desk>,
+    fields: Vec<LoadMetric>,
+    planner: Policy<Desk>,
     desk: Desk,
-    joined: BTreeMap<Proxy, Joined>,
+    joined: BTreeMap<ProxyId, Joined>,
     channel: Channel,
     list: ListSense,
     reports: ReportSense,
@@ -106,7 +106,7 @@
     woken_at: Duration,
     servers: Servers<ServerId>,
     proxies: Proxies,
-    streams: BTreeMap<StreamId, Proxy>,
+    streams: BTreeMap<StreamId, ProxyId>,
     /// Servers that drain, since when this planner has known.
     drains: BTreeMap<ServerId, Duration>,
     /// When the list was sent by its own clock, and when it came.
@@ -143,10 +143,10 @@
         bounds: Bounds,
         zones: Vec<String>,
         routes: Vec<Route>,
-        plane: DataPlane,
-        graces: Graces,
-        pace: Pace,
-        sight: Sight,
+        plane: ProxyCapabilities,
+        graces: Timeouts,
+        pace: ControlChannelLimits,
+        sight: Observability,
     ) -> Result<Self, Unsupported> {
         if plane.slices > 0 {
             return Err(Unsupported::Slices(plane.slices));
@@ -158,9 +158,9 @@
             return Err(Unsupported::Zones);
         }
         let desk = Desk::default();
-        let (n, fields, tell_every) = (routes.len(), sight.fields.clone(), sight.cycle / 4);
+        let (n, fields, tell_every) = (routes.len(), sight.metrics.clone(), sight.report_interval / 4);
         let window = if pace.window.is_zero() { Duration::from_secs(10) } else { pace.window };
-        let planner = Planner::start(desk.clone(), start.seed, routes, plane, graces, pace, sight);
+        let planner = Policy::new(desk.clone(), start.seed, routes, plane, graces, pace, sight);
         outlet.ask_list(0);
         Ok(Engine {
             outlet,
@@ -206,7 +206,7 @@
     /// # Errors
     ///
     /// Nothing tells what some site is able to, or none would be left.
-    pub fn site_plan(&self, zone: Zone) -> Result<Plan, Impossible> {
+    pub fn site_plan(&self, zone: ZoneId) -> Result<Plan, Impossible> {
         let plan = self.watch.as_ref().map(|w| w.plan_without(zone));
         plan.unwrap_or(Err(Impossible::Nothing))
     }
@@ -219,7 +219,7 @@
     pub fn order_site(
         &mut self,
         now: Duration,
-        zone: Zone,
+        zone: ZoneId,
         order: SiteOrder,
         forced: bool,
     ) -> Result<Option<Plan>, Option<Refused>> {
@@ -235,22 +235,22 @@
     pub fn recall(&mut self, weights: &BTreeMap<ServerId, f64>) {
         for (id, weight) in weights {
             if let Some(server) = self.listed(id) {
-                self.planner.recall(server, *weight);
+                self.planner.restore_weight(server, *weight);
             }
         }
     }
 
-    fn listed(&self, id: &ServerId) -> Option<grebespool::host::Server> {
+    fn listed(&self, id: &ServerId) -> Option<grebespool::host::ServerIndex> {
         self.servers.find(id).filter(|_| self.list.lists(*id))
     }
 
     /// What each pool holds, and which one each proxy has, by name.
     pub fn dealt(&self) -> Dealt {
-        let (pools, bound) = self.planner.dealt();
-        let zone = |z: Zone| self.list.zones().get(usize::from(z)).cloned().unwrap_or_default();
+        let (pools, bound) = self.planner.pool_assignments();
+        let zone = |z: ZoneId| self.list.zones().get(usize::from(z)).cloned().unwrap_or_default();
         let id = |s: &usize| *self.servers.id(*s);
         let pools = pools.iter().map(|(z, held)| (zone(*z), held.iter().map(id).collect()));
-        let at = |(name, p): (&str, Proxy)| Some((name.to_string(), *bound.get(&p)?));
+        let at = |(name, p): (&str, ProxyId)| Some((name.to_string(), *bound.get(&p)?));
         Dealt { pools: pools.collect(), bound: self.proxies.names().filter_map(at).collect() }
     }
 
@@ -269,12 +269,12 @@
                 bound.insert(proxy, place);
             }
         }
-        self.planner.recall_dealt(&pools, &bound);
+        self.planner.restore_pool_assignments(&pools, &bound);
     }
 
     /// What it has learnt of servers, each as a multiple of its pool's mean.
     pub fn learnt(&self) -> Vec<(ServerId, f64)> {
-        let learnt = self.planner.learnt().into_iter().map(|(s, w)| (*self.servers.id(s), w));
+        let learnt = self.planner.learned_weights().into_iter().map(|(s, w)| (*self.servers.id(s), w));
         learnt.filter(|(id, _)| self.list.lists(*id)).collect()
     }
 
@@ -292,7 +292,7 @@
 
     /// Joined proxies by name, and the last message that each is known to have in force; 0 for none.
     pub fn in_force(&self) -> Vec<(String, u64)> {
-        let stream = |proxy: Proxy| self.joined.get(&proxy).map(|j| j.stream);
+        let stream = |proxy: ProxyId| self.joined.get(&proxy).map(|j| j.stream);
         let joined = self.proxies.names().filter_map(|(name, proxy)| Some((name, stream(proxy)?)));
         joined.map(|(name, s)| (name.into(), self.applied.get(&s).copied().unwrap_or(0))).collect()
     }
@@ -302,7 +302,7 @@
         self.list.version()
     }
 
-    pub fn zone(&self, name: &str) -> Option<Zone> {
+    pub fn zone(&self, name: &str) -> Option<ZoneId> {
         self.list.zone(name)
     }
 
@@ -345,7 +345,7 @@
         self.streams.insert(stream, proxy);
         self.outlet.welcome(stream);
         self.watch.iter_mut().for_each(|w| w.joined(now, zone));
-        self.planner.joined(now, proxy, zone, arrival.bare, f64::from(arrival.rate.max(0.0)));
+        self.planner.proxy_joined(now, proxy, zone, arrival.bare, f64::from(arrival.rate.max(0.0)));
         self.settle(now, Cause::Join);
         // What it was told may have been too much for the channel.
         self.streams.contains_key(&stream)
@@ -373,7 +373,7 @@
             self.channel.drop_stream(stream);
             self.confirm.ended(stream);
             self.applied.remove(&stream);
-            self.planner.left(proxy);
+            self.planner.proxy_left(proxy);
         }
     }
 
@@ -390,7 +390,7 @@
         if told == (self.start.id, stream) && self.streams.contains_key(&stream) {
             self.confirm.answered(stream, seq);
             self.applied.insert(stream, seq);
-            mark.into_iter().for_each(|m| self.planner.applied(now, m));
+            mark.into_iter().for_each(|m| self.planner.acknowledged(now, m));
             self.settle(now, Cause::Interval);
         }
     }
@@ -424,11 +424,11 @@
         let mut listed = vec![];
         let taken = self.list.take(now, (version, base, now_ms), entries, |id, entry| {
             let server = servers.enter(now, &id, |s| desk.holds(s));
-            if entry.phase == Phase::Gone {
+            if entry.state == EndpointState::Removed {
                 servers.gone(now, server);
                 reports.forget(server);
             }
-            listed.push(Listed { server, ..entry });
+            listed.push(Endpoint { server, ..entry });
         });
         match taken {
             Ok(()) => {
@@ -444,7 +444,7 @@
                     watch.listed(now, self.list.standing());
                 }
                 // What the list left out was put as gone, so all that is whole about it is in the entries.
-                self.planner.list(now, false, &listed);
+                self.planner.endpoints_updated(now, false, &listed);
                 self.settle(now, Cause::List);
             }
             Err(why) => {
@@ -459,17 +459,17 @@
 
     /// A call for the list failed, or its watch ended.
     pub fn list_failed(&mut self, now: Duration) {
-        self.planner.list_failed(now);
+        self.planner.endpoint_poll_failed(now);
         self.settle(now, Cause::List);
     }
 
-    pub fn probed(&mut self, now: Duration, server: ServerId, result: Probed) {
+    pub fn probed(&mut self, now: Duration, server: ServerId, result: HealthCheckResult) {
         if let (Some(watch), Some(zone)) = (&mut self.watch, self.list.zone_of(server)) {
             // One that says no is there.
-            watch.probed(now, zone, result != Probed::Failed);
+            watch.probed(now, zone, result != HealthCheckResult::Failed);
         }
         if let Some(server) = self.servers.find(&server) {
-            self.planner.probed(server, result);
+            self.planner.health_check_finished(server, result);
             self.settle(now, Cause::Interval);
         }
     }
@@ -498,13 +498,13 @@
                     let (planner, watch) = &mut *both.borrow_mut();
                     let at = list.zone_of(*servers.id(server));
                     watch.iter_mut().zip(at).for_each(|(w, at)| w.met(now, at, met));
-                    planner.met(now, server, met);
+                    planner.load_reported(now, server, met);
                 },
                 |proxy, route, calls| {
                     let (planner, watch) = &mut *both.borrow_mut();
                     let of = joined.get(&proxy).map(|j| j.zone);
                     watch.iter_mut().zip(of).for_each(|(w, of)| w.heard(now, of));
-                    planner.came(now, proxy, route, calls);
+                    planner.requests_received(now, proxy, route, calls);
                 },
             );
             let Engine { planner, watch, outlet, .. } = self;
@@ -514,7 +514,7 @@
             }
         }
         for token in self.desk.wakes(now) {
-            self.planner.woken(now, token);
+            self.planner.timer_fired(now, token);
             self.settle(now, Cause::Interval);
         }
     }
@@ -540,7 +540,7 @@
                 cost = 1 + lines.len() + levels.len();
                 parts = vec![Order::Bind { table, version, routes, lines, levels: levels.collect() }];
             } else {
-                let line = |(s, weight): &(Server, f32)| {
+                let line = |(s, weight): &(ServerIndex, f32)| {
                     let (server, weight) = (*servers.id(*s), *weight);
                     Order::Line { table, version, server, weight }
                 };
@@ -586,10 +586,10 @@
     }
 }
 
-fn tries(tries: Tries) -> wire::Tries {
+fn tries(tries: RetryPolicy) -> wire::Tries {
     match tries {
-        Tries::One => wire::Tries::One,
-        Tries::AfterProof => wire::Tries::AfterProof,
-        Tries::AfterFailure => wire::Tries::AfterFailure,
+        RetryPolicy::Never => wire::Tries::One,
+        RetryPolicy::IfNotExecuted => wire::Tries::AfterProof,
+        RetryPolicy::AfterFailure => wire::Tries::AfterFailure,
     }
 }
--- a/crates/controller/src/trust.rs
+++ b/crates/controller/src/trust.rs
@@ -1,6 +1,6 @@
 //! What is believed of lists, sums and reports.
 
-use grebespool::host::{Field, Listed, Server, Zone};
+use grebespool::host::{Endpoint, LoadMetric, ServerIndex, ZoneId};
 use grebespool_wire::{Entry, Phase, Report, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 }
 
 struct Known {
-    zone: Zone,
+    zone: ZoneId,
     phase: Phase,
     started_ms: u64,
     /// The same instant on the planner's clock, which may lie before its start.
@@ -61,20 +61,22 @@
         listed.map(entry).collect()
     }
 
-    pub fn zone(&self, name: &str) -> Option<Zone> {
-        self.zones.iter().position(|z| z == name).map(|z| z as Zone)
+    pub fn zone(&self, name: &str) -> Option<ZoneId> {
+        self.zones.iter().position(|z| z == name).map(|z| z as ZoneId)
     }
 
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    pub fn zone_of(&self, server: ServerId) -> Option<Zone> {
+    pub fn zone_of(&self, server: ServerId) -> Option<ZoneId> {
         self.known.get(&server).map(|k| k.zone)
     }
 
     /// Each server's zone and phase, and its start on the planner's clock where that is known and lies after its own.
-    pub fn standing(&self) -> impl Iterator<Item = (Zone, grebespool::host::Phase, Option<Duration>)> {
+    pub fn standing(
+        &self,
+    ) -> impl Iterator<Item = (ZoneId, grebespool::host::EndpointState, Option<Duration>)> {
         self.known.values().map(|k| {
             let started = k.age_at.1.and_then(|age| k.age_at.0.checked_sub(age));
             (k.zone, phase(k.phase), started)
@@ -97,7 +99,7 @@
         now: Duration,
         (version, base, now_ms): (u64, u64, u64),
         entries: &[Entry],
-        mut put: impl FnMut(ServerId, Listed),
+        mut put: impl FnMut(ServerId, Endpoint),
     ) -> Result<(), Untrusted> {
         let known = self.version;
         if version <= known {
@@ -130,7 +132,7 @@
         let over = |id: &ServerId| placed.get(&id.addr).is_some_and(|number| *number != id.number);
         let left_out = |id: &ServerId| !named.contains(id) && (base == 0 || over(id));
         for (id, known) in self.known.iter().filter(|(id, k)| k.phase != Phase::Gone && left_out(id)) {
-            put(*id, Listed { server: 0, zone: known.zone, kind: 0, phase: phase(Phase::Gone), age: None });
+            put(*id, Endpoint { server: 0, zone: known.zone, kind: 0, state: phase(Phase::Gone), age: None });
         }
         self.known.retain(|id, _| !left_out(id));
         for (e, zone) in entries.iter().zip(zones) {
@@ -140,7 +142,7 @@
             let told = (e.started_ms > 0).then(|| Duration::from_millis(now_ms.saturating_sub(e.started_ms)));
             let age_at = same.unwrap_or((now, told));
             let age = age_at.1.map(|age| age + (now - age_at.0));
-            put(e.server, Listed { server: 0, zone, kind: 0, phase: phase(e.phase), age });
+            put(e.server, Endpoint { server: 0, zone, kind: 0, state: phase(e.phase), age });
             let known = Known { zone, phase: e.phase, started_ms: e.started_ms, age_at };
             self.known.insert(e.server, known);
         }
@@ -149,11 +151,11 @@
     }
 }
 
-fn phase(phase: Phase) -> grebespool::host::Phase {
+fn phase(phase: Phase) -> grebespool::host::EndpointState {
     match phase {
-        Phase::Gone => grebespool::host::Phase::Gone,
-        Phase::Ready => grebespool::host::Phase::Ready,
-        Phase::Draining => grebespool::host::Phase::Draining,
+        Phase::Gone => grebespool::host::EndpointState::Removed,
+        Phase::Ready => grebespool::host::EndpointState::Ready,
+        Phase::Draining => grebespool::host::EndpointState::Draining,
     }
 }
 
@@ -161,7 +163,7 @@
 /// comes late from a server that was restarted tells of its former life.
 #[derive(Default)]
 pub struct ReportSense {
-    newest: BTreeMap<Server, (u64, u32)>,
+    newest: BTreeMap<ServerIndex, (u64, u32)>,
 }
 
 impl ReportSense {
@@ -171,19 +173,25 @@
     pub const MOST_TRIES: u32 = 1 << 20;
 
     /// The figures of a report that is no older than what is known, with those that cannot be as no number.
-    pub fn figures(&mut self, server: Server, report: &Report, fields: &[Field]) -> Option<Vec<f32>> {
+    pub fn figures(
+        &mut self,
+        server: ServerIndex,
+        report: &Report,
+        fields: &[LoadMetric],
+    ) -> Option<Vec<f32>> {
         let this = (report.start, report.number);
         let newest = self.newest.entry(server).or_insert(this);
         if this < *newest {
             return None;
         }
         *newest = this;
-        let most = |field: &Field| if *field == Field::CpuShare { Self::MOST.0 } else { Self::MOST.1 };
+        let most =
+            |field: &LoadMetric| if *field == LoadMetric::Utilization { Self::MOST.0 } else { Self::MOST.1 };
         let told = fields.iter().zip(&report.figures);
         Some(told.map(|(f, v)| if (0.0..=most(f)).contains(v) { *v } else { f32::NAN }).collect())
     }
 
-    pub fn forget(&mut self, server: Server) {
+    pub fn forget(&mut self, server: ServerIndex) {
         self.newest.remove(&server);
     }
 }
--- a/crates/controller/src/watch.rs
+++ b/crates/controller/src/watch.rs
@@ -1,8 +1,8 @@
 //! What the engine hears, told to the sites, and what these order, told to the decisions.
 
 use crate::engine::Outlet;
-use grebespool::host::{Host, Met, Phase, Route, Zone};
-use grebespool::policy::Planner;
+use grebespool::host::{EndpointState, LoadReport, PolicyHost, Route, ZoneId};
+use grebespool::policy::Policy;
 use grebespool_site_failover::{Demand, Ground, Impossible, Order, Plan, Refused, Sites, Status, Timing};
 use std::time::Duration;
 
@@ -19,17 +19,17 @@
 /// What a verdict acts on: the decisions, and the log.
 struct Act<'a, H, O> {
     now: Duration,
-    planner: &'a mut Planner<H>,
+    planner: &'a mut Policy<H>,
     outlet: &'a mut O,
     names: &'a [String],
 }
 
-impl<H: Host, O: Outlet> Ground for Act<'_, H, O> {
+impl<H: PolicyHost, O: Outlet> Ground for Act<'_, H, O> {
     fn part(&mut self, site: usize, part: f64) {
-        self.planner.hold(self.now, site as Zone, part);
+        self.planner.limit_zone_share(self.now, site as ZoneId, part);
     }
     fn levels(&mut self, most: &[f64]) {
-        self.planner.bound(self.now, most);
+        self.planner.limit_admission(self.now, most);
     }
     fn say(&mut self, text: String) {
         // Sites are known by their places there, and by their names to operators.
@@ -47,39 +47,44 @@
     const LOOKS: u32 = 8;
 
     pub fn new(names: Vec<String>, routes: &[Route], timing: Timing) -> Watch {
-        let demand = |r: &Route| Demand { importance: r.importance, stays: r.stays_local };
+        let demand = |r: &Route| Demand { importance: r.priority_weight, stays: r.zone_local };
         let zones = names.len();
         let sites = Sites::new(zones, routes.iter().map(demand).collect(), timing);
         let (window, looked_at, listed) = (timing.window, Duration::ZERO, vec![(0, None); zones]);
         Watch { sites, names, window, looked_at, listed }
     }
 
-    pub fn met(&mut self, now: Duration, at: Zone, met: &Met) {
-        let (tries, answered) = (f64::from(met.tries), f64::from(met.tries.saturating_sub(met.dropped)));
-        let waited = met.wait.map_or(0.0, |w| w.as_secs_f64() * answered);
-        self.sites.met(now, usize::from(met.from), usize::from(at), tries, answered, waited);
+    pub fn met(&mut self, now: Duration, at: ZoneId, met: &LoadReport) {
+        let (tries, answered) =
+            (f64::from(met.attempts), f64::from(met.attempts.saturating_sub(met.failures)));
+        let waited = met.latency.map_or(0.0, |w| w.as_secs_f64() * answered);
+        self.sites.met(now, usize::from(met.client_zone), usize::from(at), tries, answered, waited);
     }
 
-    pub fn heard(&mut self, now: Duration, zone: Zone) {
+    pub fn heard(&mut self, now: Duration, zone: ZoneId) {
         self.sites.heard(now, usize::from(zone));
     }
 
-    pub fn probed(&mut self, now: Duration, zone: Zone, answered: bool) {
+    pub fn probed(&mut self, now: Duration, zone: ZoneId, answered: bool) {
         self.sites.probed(now, usize::from(zone), answered);
     }
 
-    pub fn joined(&mut self, now: Duration, zone: Zone) {
+    pub fn joined(&mut self, now: Duration, zone: ZoneId) {
         self.sites.joined(now, usize::from(zone));
     }
 
-    pub fn left(&mut self, now: Duration, zone: Zone) {
+    pub fn left(&mut self, now: Duration, zone: ZoneId) {
         self.sites.left(now, usize::from(zone));
     }
 
     /// The list as it stands now: each server's zone, phase, and start on the planner's clock if that is known.
-    pub fn listed(&mut self, now: Duration, all: impl Iterator<Item = (Zone, Phase, Option<Duration>)>) {
+    pub fn listed(
+        &mut self,
+        now: Duration,
+        all: impl Iterator<Item = (ZoneId, EndpointState, Option<Duration>)>,
+    ) {
         self.listed.iter_mut().for_each(|l| *l = (0, None));
-        for (zone, _, started) in all.filter(|(_, phase, _)| *phase == Phase::Ready) {
+        for (zone, _, started) in all.filter(|(_, phase, _)| *phase == EndpointState::Ready) {
             let (ready, latest) = &mut self.listed[usize::from(zone)];
             (*ready, *latest) = (*ready + 1, (*latest).max(started));
         }
@@ -89,28 +94,28 @@
     }
 
     /// Whether anything was looked at.
-    pub fn look<H: Host>(
+    pub fn look<H: PolicyHost>(
         &mut self,
         now: Duration,
-        planner: &mut Planner<H>,
+        planner: &mut Policy<H>,
         outlet: &mut impl Outlet,
     ) -> bool {
         if now.saturating_sub(self.looked_at) < self.window / Self::LOOKS {
             return false;
         }
         self.looked_at = now;
-        for (zone, (able, asked)) in planner.rooms(now).into_iter().enumerate() {
+        for (zone, (able, asked)) in planner.zone_capacity(now).into_iter().enumerate() {
             self.sites.room(zone, able, asked);
         }
         self.sites.look(now, &mut Act { now, planner, outlet, names: &self.names });
         true
     }
 
-    pub fn order<H: Host>(
+    pub fn order<H: PolicyHost>(
         &mut self,
         now: Duration,
-        (zone, order, forced): (Zone, Order, bool),
-        planner: &mut Planner<H>,
+        (zone, order, forced): (ZoneId, Order, bool),
+        planner: &mut Policy<H>,
         outlet: &mut impl Outlet,
     ) -> Result<Option<Plan>, Refused> {
         self.sites.order(
@@ -122,7 +127,7 @@
         )
     }
 
-    pub fn plan_without(&self, zone: Zone) -> Result<Plan, Impossible> {
+    pub fn plan_without(&self, zone: ZoneId) -> Result<Plan, Impossible> {
         let mut lost = self.sites.out();
         lost.insert(usize::from(zone));
         self.sites.plan(&lost)
--- a/crates/controller/tests/engine.rs
+++ b/crates/controller/tests/engine.rs
@@ -177,7 +177,7 @@
 #[case::of_a_later_start(2, 1, true)]
 fn only_a_report_that_is_no_older_is_news(#[case] start: u64, #[case] number: u32, #[case] news: bool) {
     let mut sense = ReportSense::default();
-    let fields = [grebespool::host::Field::CpuShare];
+    let fields = [grebespool::host::LoadMetric::Utilization];
     sense.figures(0, &Report { start: 1, number: 4, figures: vec![0.5] }, &fields);
     let told = sense.figures(0, &Report { start, number, figures: vec![0.7] }, &fields);
     assert_eq!(told.is_some(), news);
@@ -268,7 +268,7 @@
 
 #[rstest]
 fn the_channel_paces_and_keeps_its_limits() {
-    let mut channel = Channel::new(grebespool::host::Pace { most_messages: 3, ..PACE });
+    let mut channel = Channel::new(grebespool::host::ControlChannelLimits { max_messages: 3, ..PACE });
     // 16 lines and a head of 4 at 2,000 a second take 10 ms each.
     assert_eq!(channel.put(ms(100), 1, orders(), 16), Ok(()));
     assert_eq!(channel.put(ms(100), 2, orders(), 16), Ok(()));
--- a/crates/controller/tests/helpers/mod.rs
+++ b/crates/controller/tests/helpers/mod.rs
@@ -58,13 +58,13 @@
     (0..count).map(|n| entry(n, grebespool_wire::Phase::Ready, 0)).collect()
 }
 
-pub const PACE: Pace = Pace {
-    lines_per_s: 2000.0,
-    most_waiting: 3000.0,
-    head: 4.0,
-    most_messages: 20,
+pub const PACE: ControlChannelLimits = ControlChannelLimits {
+    entries_per_s: 2000.0,
+    max_queued_entries: 3000.0,
+    message_overhead: 4.0,
+    max_messages: 20,
     window: Duration::from_secs(10),
-    worst_transit: Duration::from_millis(300),
+    max_transit: Duration::from_millis(300),
 };
 
 pub struct Rig {
@@ -77,19 +77,29 @@
 }
 
 impl Rig {
-    pub fn new(pace: Pace, slices: usize) -> Result<Rig, Unsupported> {
+    pub fn new(pace: ControlChannelLimits, slices: usize) -> Result<Rig, Unsupported> {
         let desk = Desk::default();
         let kept = desk.0.clone();
-        let route = Route { importance: 1.0, slo: ms(500), effect: Effect::Repeatable, stays_local: false };
-        let plane = DataPlane {
+        let route = Route {
+            priority_weight: 1.0,
+            latency_objective: ms(500),
+            idempotency: Idempotency::Idempotent,
+            zone_local: false,
+        };
+        let plane = ProxyCapabilities {
             zones: 2,
             slices,
-            throttle_by: ThrottleBy::Share,
-            try_factor: 1.0,
+            admission_mode: AdmissionMode::Share,
+            attempt_timeout_factor: 1.0,
             proxies: 100,
-            least_conns: 1e4,
+            min_server_connections: 1e4,
+        };
+        let sight = Observability {
+            metrics: vec![LoadMetric::Utilization],
+            report_interval: ms(500),
+            health_checks: true,
+            endpoint_poll_interval: None,
         };
-        let sight = Sight { fields: vec![Field::CpuShare], cycle: ms(500), probing: true, ask_within: None };
         let engine = Engine::start(
             desk,
             Start { id: 77, seed: 1, epoch: 0 },
@@ -97,7 +107,7 @@
             vec!["a".into(), "b".into()],
             vec![route],
             plane,
-            Graces { warm_up: Duration::from_secs(8), gone_binds: true },
+            Timeouts { warm_up: Duration::from_secs(8), removal_is_final: true },
             pace,
             sight,
         )?;
@@ -110,10 +120,10 @@
 
     /// A channel that does not take even the shortest tables for a hundred proxies at once.
     pub fn narrow(count: u32) -> Rig {
-        Rig::paced(Pace { lines_per_s: 1000.0, most_waiting: 1000.0, ..PACE }, count)
+        Rig::paced(ControlChannelLimits { entries_per_s: 1000.0, max_queued_entries: 1000.0, ..PACE }, count)
     }
 
-    fn paced(pace: Pace, count: u32) -> Rig {
+    fn paced(pace: ControlChannelLimits, count: u32) -> Rig {
         let mut rig = Rig::new(pace, 0).unwrap();
         rig.engine.list(rig.now, 1, 0, 5000, &ready(count));
         rig
--- a/crates/platform-protocol/src/lives.rs
+++ b/crates/platform-protocol/src/lives.rs
@@ -1,7 +1,7 @@
 //! Lives of connections: unjoined, a collector, a proxy's stream; when each is let go, and who goes first.
 
 use crate::frames::Frames;
-use grebespool::host::{Proxy, Zone};
+use grebespool::host::{ProxyId, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
     Unjoined,
-    Collector(Zone),
-    Proxy(Proxy),
+    Collector(ZoneId),
+    Proxy(ProxyId),
 }
 
 pub struct Life {
@@ -77,7 +77,7 @@
     }
 
     /// Collectors of a zone beyond as many as may be: the one that was silent for the longest.
-    pub fn spare_collector(&self, zone: Zone) -> Option<Conn> {
+    pub fn spare_collector(&self, zone: ZoneId) -> Option<Conn> {
         let of_zone = || self.of.iter().filter(|(_, l)| l.role == Role::Collector(zone));
         let spare = of_zone().count() > Self::COLLECTORS;
         of_zone().min_by_key(|(_, l)| l.heard_at).map(|(c, _)| *c).filter(|_| spare)
--- a/crates/platform-protocol/src/log.rs
+++ b/crates/platform-protocol/src/log.rs
@@ -1,6 +1,6 @@
 //! What is said of the same again and again, and what happened to whom.
 
-use grebespool::host::{Listed, Phase, Proxy, Server};
+use grebespool::host::{Endpoint, EndpointState, ProxyId, ServerIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 /// follow one of them through a day. Lines are as many as looks, whatever happens.
 #[derive(Default)]
 pub struct Diary {
-    joined: Vec<Proxy>,
-    bound: Vec<Proxy>,
-    left: Vec<Proxy>,
-    closed: Vec<Proxy>,
-    replaced: Vec<Proxy>,
-    ordered: BTreeMap<Server, f32>,
-    out: BTreeSet<Server>,
+    joined: Vec<ProxyId>,
+    bound: Vec<ProxyId>,
+    left: Vec<ProxyId>,
+    closed: Vec<ProxyId>,
+    replaced: Vec<ProxyId>,
+    ordered: BTreeMap<ServerIndex, f32>,
+    out: BTreeSet<ServerIndex>,
 }
 
 /// How a proxy's stream ended.
@@ -38,16 +38,16 @@
 }
 
 impl Diary {
-    pub fn joined(&mut self, proxy: Proxy) {
+    pub fn joined(&mut self, proxy: ProxyId) {
         self.joined.push(proxy);
     }
 
     /// A whole table was written to it.
-    pub fn bound(&mut self, proxy: Proxy) {
+    pub fn bound(&mut self, proxy: ProxyId) {
         self.bound.push(proxy);
     }
 
-    pub fn left(&mut self, proxy: Proxy, how: Left) {
+    pub fn left(&mut self, proxy: ProxyId, how: Left) {
         let of = match how {
             Left::ByItself => &mut self.left,
             Left::Closed => &mut self.closed,
@@ -57,7 +57,7 @@
     }
 
     /// Of several tables the least weight counts: it is what a drain or a fault is seen by.
-    pub fn ordered(&mut self, lines: &[(Server, f32)]) {
+    pub fn ordered(&mut self, lines: &[(ServerIndex, f32)]) {
         for (server, weight) in lines {
             let least = self.ordered.entry(*server).or_insert(f32::MAX);
             *least = least.min(*weight);
@@ -66,7 +66,7 @@
 
     /// A line for each kind of which there is anything. Weights are in none, only who was taken out of some table and
     /// who is back in all that changed.
-    pub fn lines<'a>(&mut self, id: impl Fn(Server) -> &'a str) -> Vec<String> {
+    pub fn lines<'a>(&mut self, id: impl Fn(ServerIndex) -> &'a str) -> Vec<String> {
         let fresh = Diary { out: std::mem::take(&mut self.out), ..Diary::default() };
         let Diary { joined, bound, left, closed, replaced, ordered, .. } = std::mem::replace(self, fresh);
         let proxies = [
@@ -80,8 +80,8 @@
         let mut lines: Vec<String> =
             proxies.map(|(how, of)| format!("proxies {how}: {}", named(of.iter()))).collect();
         let (gone, kept): (Vec<_>, Vec<_>) = ordered.into_iter().partition(|(_, weight)| *weight <= 0.0);
-        let gone: Vec<Server> = gone.into_iter().map(|o| o.0).filter(|s| self.out.insert(*s)).collect();
-        let back: Vec<Server> = kept.into_iter().map(|o| o.0).filter(|s| self.out.remove(s)).collect();
+        let gone: Vec<ServerIndex> = gone.into_iter().map(|o| o.0).filter(|s| self.out.insert(*s)).collect();
+        let back: Vec<ServerIndex> = kept.into_iter().map(|o| o.0).filter(|s| self.out.remove(s)).collect();
         for (how, of) in [("out", gone), ("back", back)] {
             if !of.is_empty() {
                 lines.push(format!("servers {how}: {}", named(of.iter().map(|s| id(*s)))));
@@ -92,12 +92,16 @@
 }
 
 /// What an answer of the list changed.
-pub fn list_line(version: Option<u64>, since: Option<u64>, entries: &[(String, Listed)]) -> String {
+pub fn list_line(version: Option<u64>, since: Option<u64>, entries: &[(String, Endpoint)]) -> String {
     let version = version.map_or("none".into(), |v| v.to_string());
     let since = since.map_or("the start".into(), |v| v.to_string());
     let mut line = format!("list {version} since {since}:");
-    for (state, phase) in [("draining", Phase::Draining), ("gone", Phase::Gone), ("ready", Phase::Ready)] {
-        let of: Vec<&String> = entries.iter().filter(|e| e.1.phase == phase).map(|e| &e.0).collect();
+    for (state, phase) in [
+        ("draining", EndpointState::Draining),
+        ("gone", EndpointState::Removed),
+        ("ready", EndpointState::Ready),
+    ] {
+        let of: Vec<&String> = entries.iter().filter(|e| e.1.state == phase).map(|e| &e.0).collect();
         if !of.is_empty() {
             line += &format!(" {} {state} ({})", of.len(), named(of.into_iter()));
         }
--- a/crates/platform-protocol/src/orders.rs
+++ b/crates/platform-protocol/src/orders.rs
@@ -1,26 +1,26 @@
 //! Orders to bytes.
 
-use grebespool::host::{RouteSet, Server, Tries};
+use grebespool::host::{RetryPolicy, RouteSet, ServerIndex};
 use grebespool_assignments::{Level, Told};
 use serde_json::{Map, Value, json};
 
 /// What the platform calls routes and servers.
-pub struct Words<'a, F: Fn(Server) -> &'a str> {
+pub struct Words<'a, F: Fn(ServerIndex) -> &'a str> {
     pub routes: &'a [String],
     pub server: F,
 }
 
-fn tries(tries: Tries) -> u8 {
+fn tries(tries: RetryPolicy) -> u8 {
     match tries {
-        Tries::One => 0,
-        Tries::AfterProof => 1,
-        Tries::AfterFailure => 2,
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNotExecuted => 1,
+        RetryPolicy::AfterFailure => 2,
     }
 }
 
 /// One part for each level that differs, of which the first also has the lines and the mark: `whole` forgets levels,
 /// so these come after it, and a level for all routes is one line where they agree.
-fn levels(levels: &[Level], routes: usize) -> Vec<(RouteSet, f32, Tries)> {
+fn levels(levels: &[Level], routes: usize) -> Vec<(RouteSet, f32, RetryPolicy)> {
     let every = (0..routes).fold(0, |set, r| set | (1 << r));
     let mut merged: Vec<Level> = vec![];
     for (set, share, tries) in levels {
@@ -47,12 +47,12 @@
 }
 
 /// One message, as one frame for each of its parts.
-pub fn frame<'a, F: Fn(Server) -> &'a str>(told: &Told, words: &Words<'a, F>) -> Vec<u8> {
+pub fn frame<'a, F: Fn(ServerIndex) -> &'a str>(told: &Told, words: &Words<'a, F>) -> Vec<u8> {
     let mut parts: Vec<Map<String, Value>> = vec![];
     let mut levels = levels(told.levels, words.routes.len()).into_iter().peekable();
     let mut first = Map::new();
     if told.bound.is_some() || !told.lines.is_empty() {
-        let line = |(s, weight): &(Server, f32)| json!([(words.server)(*s), shortest(*weight)]);
+        let line = |(s, weight): &(ServerIndex, f32)| json!([(words.server)(*s), shortest(*weight)]);
         first.insert("lines".into(), told.lines.iter().map(line).collect());
     }
     if let Some(set) = told.bound {
--- a/crates/platform-protocol/src/roster.rs
+++ b/crates/platform-protocol/src/roster.rs
@@ -1,7 +1,7 @@
 //! The list of servers as it is believed, entry by entry.
 
 use crate::message::Fields;
-use grebespool::host::{Kind, Listed, Phase, Zone};
+use grebespool::host::{Endpoint, EndpointState, ServerKind, ZoneId};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 
 struct Known {
     addr: Option<SocketAddr>,
-    zone: Zone,
-    kind: Kind,
-    phase: Phase,
+    zone: ZoneId,
+    kind: ServerKind,
+    phase: EndpointState,
     started_ms: f64,
     /// The same instant on the planner's clock, which may lie before its start.
     age_at: (Duration, Option<Duration>),
@@ -29,7 +29,7 @@
 /// What a list changes: for each server that it names or leaves out, what is believed of it now.
 #[derive(Default)]
 pub struct Judged {
-    pub entries: Vec<(String, Listed)>,
+    pub entries: Vec<(String, Endpoint)>,
     /// What could not be believed.
     pub faults: Vec<String>,
     /// The whole list has to be asked for.
@@ -38,9 +38,9 @@
 
 struct Entry<'a> {
     id: &'a str,
-    phase: Phase,
+    phase: EndpointState,
     kind: Option<&'a str>,
-    placed: Result<(Option<SocketAddr>, Zone, f64), String>,
+    placed: Result<(Option<SocketAddr>, ZoneId, f64), String>,
 }
 
 impl Roster {
@@ -57,12 +57,12 @@
         self.version
     }
 
-    pub fn zone(&self, name: &str) -> Option<Zone> {
-        self.zones.iter().position(|z| z == name).map(|z| z as Zone)
+    pub fn zone(&self, name: &str) -> Option<ZoneId> {
+        self.zones.iter().position(|z| z == name).map(|z| z as ZoneId)
     }
 
     /// Against a list that names ever new kinds: past the most, all others are one.
-    fn kind(&mut self, name: &str) -> Kind {
+    fn kind(&mut self, name: &str) -> ServerKind {
         let known = self.kinds.iter().position(|k| k == name);
         let at = known.unwrap_or_else(|| {
             if self.kinds.len() < Self::MOST_KINDS {
@@ -70,7 +70,7 @@
             }
             self.kinds.len() - 1
         });
-        at as Kind + 1
+        at as ServerKind + 1
     }
 
     pub fn address(&self, id: &str) -> Option<SocketAddr> {
@@ -85,9 +85,9 @@
             return Err("an entry with an id that cannot be".into());
         }
         let phase = match fields.text("state") {
-            Ok("SERVING") => Phase::Ready,
-            Ok("DRAINING") => Phase::Draining,
-            Ok("DELETED") => Phase::Gone,
+            Ok("SERVING") => EndpointState::Ready,
+            Ok("DRAINING") => EndpointState::Draining,
+            Ok("DELETED") => EndpointState::Removed,
             Ok(other) => return Err(format!("server {id:?} in state {other:?}")),
             Err(spoilt) => return Err(format!("server {id:?}: {spoilt}")),
         };
@@ -154,11 +154,11 @@
                 // Which word came last, only the whole list tells: gone and back, it would be missed for good.
                 judged.ask_whole = true;
                 // Of two words the one that takes calls away is the one that must not be lost.
-                if entry.phase == Phase::Ready {
+                if entry.phase == EndpointState::Ready {
                     continue;
                 }
             }
-            if back && entry.phase == Phase::Ready {
+            if back && entry.phase == EndpointState::Ready {
                 continue;
             }
             self.enter(now, unix_ms, &entry, &mut judged);
@@ -178,13 +178,19 @@
         if let Some(known) = self.known.remove(&id) {
             judged.entries.push((
                 id,
-                Listed { server: 0, zone: known.zone, kind: known.kind, phase: Phase::Gone, age: None },
+                Endpoint {
+                    server: 0,
+                    zone: known.zone,
+                    kind: known.kind,
+                    state: EndpointState::Removed,
+                    age: None,
+                },
             ));
         }
     }
 
     fn enter(&mut self, now: Duration, unix_ms: f64, entry: &Entry, judged: &mut Judged) {
-        if entry.phase == Phase::Gone {
+        if entry.phase == EndpointState::Removed {
             return self.gone(entry.id.into(), judged);
         }
         let kind = entry.kind.map(|k| self.kind(k));
@@ -196,7 +202,7 @@
                 judged.faults.push(format!("server {:?}: {fault}", entry.id));
                 judged.ask_whole = true;
                 match old {
-                    Some(known) if entry.phase == Phase::Draining => {
+                    Some(known) if entry.phase == EndpointState::Draining => {
                         (known.addr, known.zone, known.started_ms)
                     }
                     _ => return,
@@ -212,7 +218,7 @@
             || Duration::try_from_secs_f64((unix_ms - started_ms).max(0.0) / 1000.0).unwrap_or_default();
         let age_at = same.unwrap_or_else(|| (now, (started_ms > 0.0).then(age)));
         let age = age_at.1.map(|age| age + now.saturating_sub(age_at.0));
-        let listed = Listed { server: 0, zone, kind, phase: entry.phase, age };
+        let listed = Endpoint { server: 0, zone, kind, state: entry.phase, age };
         let addr = addr.or(old.and_then(|k| k.addr));
         self.known
             .insert(entry.id.into(), Known { addr, zone, kind, phase: entry.phase, started_ms, age_at });
@@ -221,6 +227,6 @@
 
     /// Servers that are listed, and how many of them are ready.
     pub fn counts(&self) -> (usize, usize) {
-        (self.known.len(), self.known.values().filter(|k| k.phase == Phase::Ready).count())
+        (self.known.len(), self.known.values().filter(|k| k.phase == EndpointState::Ready).count())
     }
 }
--- a/crates/platform-protocol/src/station.rs
+++ b/crates/platform-protocol/src/station.rs
@@ -7,8 +7,10 @@
 use crate::roster::Roster;
 use crate::terms::Terms;
 use crate::weight_log::WeightLog;
-use grebespool::host::{self, Listed, Phase, Probed, Proxy, Server, Table, Zone};
-use grebespool::policy::Planner;
+use grebespool::host::{
+    self, Endpoint, EndpointState, HealthCheckResult, ProxyId, ServerIndex, TableId, ZoneId,
+};
+use grebespool::policy::Policy;
 use grebespool_assignments::{Desk, Servers};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -34,13 +36,13 @@
 
 pub struct Station<O> {
     outlet: O,
-    planner: Planner<Desk>,
+    planner: Policy<Desk>,
     desk: Desk,
     servers: Servers<String>,
     roster: Roster,
     lives: Lives,
     /// The stream that holds of each joined proxy.
-    joined: BTreeMap<Proxy, Conn>,
+    joined: BTreeMap<ProxyId, Conn>,
     proxies: usize,
     routes: Vec<String>,
     fields: Vec<String>,
@@ -69,7 +71,7 @@
         let Terms { seed, routes, plane, graces, pace, sight, .. } = terms;
         let collectors = terms.zones.len() * Lives::COLLECTORS;
         let most_unjoined = terms.limits.sockets.saturating_sub(kept_free + collectors + plane.proxies);
-        let planner = Planner::start(desk.clone(), seed, routes, plane, graces, pace, sight);
+        let planner = Policy::new(desk.clone(), seed, routes, plane, graces, pace, sight);
         let mut station = Station {
             outlet,
             planner,
@@ -174,7 +176,7 @@
                 log.left(proxy);
             }
             self.desk.left(proxy);
-            self.planner.left(proxy);
+            self.planner.proxy_left(proxy);
             self.settle();
         }
     }
@@ -249,7 +251,7 @@
                     (Some(proxy), Some(route))
                         if matches!(role, Role::Collector(_)) || role == Role::Proxy(proxy) =>
                     {
-                        self.planner.came(now, proxy, route, came.calls);
+                        self.planner.requests_received(now, proxy, route, came.calls);
                         self.settle();
                     }
                     _ => {
@@ -266,11 +268,11 @@
     }
 
     /// The proxy of a number, if the settings have so many.
-    fn proxy(&self, number: u32) -> Option<Proxy> {
-        Proxy::try_from(number).ok().filter(|p| usize::from(*p) < self.proxies)
+    fn proxy(&self, number: u32) -> Option<ProxyId> {
+        ProxyId::try_from(number).ok().filter(|p| usize::from(*p) < self.proxies)
     }
 
-    fn collector(&mut self, now: Duration, conn: Conn, zone: Zone) {
+    fn collector(&mut self, now: Duration, conn: Conn, zone: ZoneId) {
         if let Some(life) = self.lives.of.get_mut(&conn) {
             life.role = Role::Collector(zone);
             life.frames.allow(Lives::MOST_JOINED_BODY);
@@ -280,7 +282,7 @@
         }
     }
 
-    fn join(&mut self, now: Duration, conn: Conn, proxy: Proxy, zone: Zone, rate: f64, bare: bool) {
+    fn join(&mut self, now: Duration, conn: Conn, proxy: ProxyId, zone: ZoneId, rate: f64, bare: bool) {
         if let Some(old) = self.joined.get(&proxy).copied() {
             if old > conn {
                 // It came first and was read last: the proxy has given it up and dialled again.
@@ -297,7 +299,7 @@
         self.joined.insert(proxy, conn);
         self.diary.joined(proxy);
         self.desk.joined(proxy);
-        self.planner.joined(now, proxy, zone, bare, rate);
+        self.planner.proxy_joined(now, proxy, zone, bare, rate);
         self.settle();
     }
 
@@ -311,8 +313,14 @@
         let report: Vec<f32> = self.fields.iter().map(figure).collect();
         let report = if report.iter().all(|f| f.is_nan()) { vec![] } else { report };
         let wait = met.wait_ms.map(|ms| Duration::from_secs_f64(ms / 1000.0));
-        let met = host::Met { from, tries: met.tries, dropped: met.dropped, wait, report: &report };
-        self.planner.met(now, server, &met);
+        let met = host::LoadReport {
+            client_zone: from,
+            attempts: met.tries,
+            failures: met.dropped,
+            latency: wait,
+            metrics: &report,
+        };
+        self.planner.load_reported(now, server, &met);
         self.settle();
     }
 
@@ -321,7 +329,7 @@
         match life.marks.iter().position(|m| u32::from(*m) == mark) {
             Some(i) => {
                 life.marks.drain(..=i);
-                self.planner.applied(now, mark as u16);
+                self.planner.acknowledged(now, mark as u16);
                 self.settle();
             }
             None => self.spoilt(now, &format!("an answer to mark {mark}, which is not open there")),
@@ -358,19 +366,19 @@
         if !judged.entries.is_empty() {
             self.outlet.note(&list_line(self.roster.version(), asked, &judged.entries));
         }
-        let mut listed: Vec<Listed> = vec![];
+        let mut listed: Vec<Endpoint> = vec![];
         for (id, entry) in judged.entries {
             let desk = &self.desk;
             let server = self.servers.enter(now, &id, |s| desk.holds(s));
-            if entry.phase == Phase::Gone {
+            if entry.state == EndpointState::Removed {
                 self.servers.gone(now, server);
             }
-            listed.push(Listed { server, ..entry });
+            listed.push(Endpoint { server, ..entry });
         }
         // An answer that changes nothing is told once after the decisions asked, so that they know it was answered.
         if std::mem::take(&mut self.asked) || !listed.is_empty() {
             // What the list left out is among the entries as gone.
-            self.planner.list(now, false, &listed);
+            self.planner.endpoints_updated(now, false, &listed);
             self.settle();
         }
         // A whole list that is wrong in part would be wrong again.
@@ -384,17 +392,17 @@
     pub fn list_failed(&mut self, now: Duration, why: &str) {
         self.say(now, "the list is out of reach", why);
         self.asked = false;
-        self.planner.list_failed(now);
+        self.planner.endpoint_poll_failed(now);
         self.settle();
     }
 
     /// The answer of `address`, which may be a former life's of the server: that one tells nothing of it now.
-    pub fn probed(&mut self, server: &str, address: SocketAddr, result: Probed) {
+    pub fn probed(&mut self, server: &str, address: SocketAddr, result: HealthCheckResult) {
         if self.roster.address(server) != Some(address) {
             return;
         }
         if let Some(server) = self.servers.find(&server.to_string()) {
-            self.planner.probed(server, result);
+            self.planner.health_check_finished(server, result);
             self.settle();
         }
     }
@@ -415,7 +423,7 @@
             }
         }
         for token in self.desk.wakes(now) {
-            self.planner.woken(now, token);
+            self.planner.timer_fired(now, token);
             self.settle();
         }
     }
@@ -425,9 +433,9 @@
         let Station {
             desk, servers, outlet, planner, joined, lives, routes, roster, diary, weight_log, ..
         } = self;
-        let words = Words { routes, server: |s: Server| servers.id(s).as_str() };
+        let words = Words { routes, server: |s: ServerIndex| servers.id(s).as_str() };
         // Many proxies are told the same.
-        let mut frames: BTreeMap<(Table, bool), Vec<u8>> = BTreeMap::new();
+        let mut frames: BTreeMap<(TableId, bool), Vec<u8>> = BTreeMap::new();
         desk.settle(|proxy, told| {
             let Some(&conn) = joined.get(&proxy) else { return };
             if told.bound.is_some() {
@@ -459,7 +467,7 @@
             match roster.address(id) {
                 Some(address) => outlet.probe(id, address),
                 // Nowhere to dial is no answer.
-                None => planner.probed(server, Probed::Failed),
+                None => planner.health_check_finished(server, HealthCheckResult::Failed),
             }
         }
         if desk.asks() {
--- a/crates/platform-protocol/src/terms.rs
+++ b/crates/platform-protocol/src/terms.rs
@@ -36,10 +36,10 @@
     /// The platform's own names, which pairs of text would not keep.
     pub route_names: Vec<String>,
     pub zones: Vec<String>,
-    pub plane: DataPlane,
-    pub graces: Graces,
-    pub pace: Pace,
-    pub sight: Sight,
+    pub plane: ProxyCapabilities,
+    pub graces: Timeouts,
+    pub pace: ControlChannelLimits,
+    pub sight: Observability,
     /// Names of the load report's figures, in the order of `sight.fields`.
     pub fields: Vec<String>,
 }
@@ -89,7 +89,7 @@
         let report = settings.get("report").and_then(|r| r.get("fields"));
         let (routes, mut sight) = (stated.routes().map_err(within)?, stated.sight().map_err(within)?);
         // Where the simulator pushes the list, the platform still tells it only to who asks and goes on asking.
-        sight.ask_within.get_or_insert(Self::ASK_WITHIN);
+        sight.endpoint_poll_interval.get_or_insert(Self::ASK_WITHIN);
         let plane = stated.plane().map_err(within)?;
         if routes.is_empty() {
             return bad("settings.classes", "is empty");
--- a/crates/platform-protocol/src/weight_log.rs
+++ b/crates/platform-protocol/src/weight_log.rs
@@ -4,7 +4,7 @@
 //! A table is written once a look at the most, with its newest weights, and so many tables a look at the most; the rest
 //! wait for the next look. Memory is bounded by the tables themselves.
 
-use grebespool::host::{Proxy, Server, Table};
+use grebespool::host::{ProxyId, ServerIndex, TableId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tables that are written at one look.
@@ -14,9 +14,9 @@
 
 #[derive(Default)]
 struct LoggedTable {
-    weights: BTreeMap<Server, f32>,
+    weights: BTreeMap<ServerIndex, f32>,
     /// Servers whose weight was not logged since it changed.
-    changed: BTreeSet<Server>,
+    changed: BTreeSet<ServerIndex>,
     proxies: usize,
     /// Something about the table was not logged since it changed.
     due: bool,
@@ -25,35 +25,35 @@
 /// What was written to proxies, kept to be logged.
 #[derive(Default)]
 pub struct WeightLog {
-    tables: BTreeMap<Table, LoggedTable>,
-    holds: BTreeMap<Proxy, Table>,
+    tables: BTreeMap<TableId, LoggedTable>,
+    holds: BTreeMap<ProxyId, TableId>,
     /// Where the next look begins, so that tables which change at every look do not keep others out.
-    next: Table,
+    next: TableId,
 }
 
 impl WeightLog {
     /// A proxy holds this table from now on.
-    pub fn bound(&mut self, proxy: Proxy, table: Table) {
+    pub fn bound(&mut self, proxy: ProxyId, table: TableId) {
         self.left(proxy);
         self.holds.insert(proxy, table);
         self.recount(table, 1);
     }
 
     /// A proxy holds no table any more.
-    pub fn left(&mut self, proxy: Proxy) {
+    pub fn left(&mut self, proxy: ProxyId) {
         if let Some(table) = self.holds.remove(&proxy) {
             self.recount(table, -1);
         }
     }
 
-    fn recount(&mut self, table: Table, by: isize) {
+    fn recount(&mut self, table: TableId, by: isize) {
         let logged = self.tables.entry(table).or_default();
         logged.proxies = logged.proxies.saturating_add_signed(by);
         logged.due = true;
     }
 
     /// These lines of a table were written; a weight of zero takes the server out.
-    pub fn written(&mut self, table: Table, lines: &[(Server, f32)]) {
+    pub fn written(&mut self, table: TableId, lines: &[(ServerIndex, f32)]) {
         let logged = self.tables.entry(table).or_default();
         for (server, weight) in lines {
             let before = if *weight > 0.0 {
@@ -69,8 +69,8 @@
     }
 
     /// The lines of one look.
-    pub fn lines<'a>(&mut self, id: impl Fn(Server) -> &'a str) -> Vec<String> {
-        let due = |range: &mut dyn Iterator<Item = (&Table, &LoggedTable)>| -> Vec<Table> {
+    pub fn lines<'a>(&mut self, id: impl Fn(ServerIndex) -> &'a str) -> Vec<String> {
+        let due = |range: &mut dyn Iterator<Item = (&TableId, &LoggedTable)>| -> Vec<TableId> {
             range.filter(|(_, logged)| logged.due).map(|(table, _)| *table).collect()
         };
         let mut tables = due(&mut self.tables.range(self.next..));
@@ -87,11 +87,11 @@
 }
 
 impl LoggedTable {
-    fn lines<'a>(&mut self, table: Table, id: impl Fn(Server) -> &'a str) -> Vec<String> {
+    fn lines<'a>(&mut self, table: TableId, id: impl Fn(ServerIndex) -> &'a str) -> Vec<String> {
         self.due = false;
         let sum: f32 = self.weights.values().sum();
         let head = format!("weights of table {table}, {} proxies, sum {sum:.3}:", self.proxies);
-        let weight = |server: &Server| self.weights.get(server).copied().unwrap_or(0.0);
+        let weight = |server: &ServerIndex| self.weights.get(server).copied().unwrap_or(0.0);
         let named: Vec<String> = std::mem::take(&mut self.changed)
             .iter()
             .map(|server| format!(" {} {:.3}", id(*server), weight(server)))
--- a/crates/platform-protocol/tests/station.rs
+++ b/crates/platform-protocol/tests/station.rs
@@ -3,7 +3,7 @@
 mod helpers;
 mod same;
 
-use grebespool::host::Probed;
+use grebespool::host::HealthCheckResult;
 use helpers::*;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -348,7 +348,7 @@
     // It answers no calls and, twice, no probe: then it is out, if it was it that was asked.
     for _ in 0..24 {
         rig.until(rig.now + ms(500));
-        rig.station.probed("s0", answered.parse().unwrap(), Probed::Failed);
+        rig.station.probed("s0", answered.parse().unwrap(), HealthCheckResult::Failed);
         let met = |k: usize| {
             json!({"msg": "LOAD", "locality": "north", "endpoint": format!("s{k}"), "total": 9,
             "errors": 0, "rtt": 20.0, "interval": 500, "metrics": {"cpu_share": 0.5 + 0.001 * rig.now.as_secs_f64()}})
--- a/crates/platform-server/src/lib.rs
+++ b/crates/platform-server/src/lib.rs
@@ -11,7 +11,7 @@
 
 pub use log::Log;
 
-use grebespool::host::Probed;
+use grebespool::host::HealthCheckResult;
 use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
 use grebespool_write_queue::Outgoing;
 use std::cell::RefCell;
@@ -111,7 +111,7 @@
         done
     }
 
-    fn probed(&self, server: String, address: SocketAddr, result: Probed) {
+    fn probed(&self, server: String, address: SocketAddr, result: HealthCheckResult) {
         let probe = (server, address);
         self.probes.named.borrow_mut().remove(&probe);
         self.call(|station, _| station.probed(&probe.0, address, result));
--- a/crates/platform-server/src/probe.rs
+++ b/crates/platform-server/src/probe.rs
@@ -2,7 +2,7 @@
 
 use crate::Shared;
 use crate::http::get;
-use grebespool::host::Probed;
+use grebespool::host::HealthCheckResult;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::task::JoinSet;
@@ -23,9 +23,9 @@
             let shared = shared.clone();
             under_way.spawn_local(async move {
                 let result = match get(&mut None, address, "/health", LIMIT).await {
-                    Ok((200, _)) => Probed::Answered,
-                    Ok((503, _)) => Probed::Rejected,
-                    Ok(_) | Err(_) => Probed::Failed,
+                    Ok((200, _)) => HealthCheckResult::Healthy,
+                    Ok((503, _)) => HealthCheckResult::Rejected,
+                    Ok(_) | Err(_) => HealthCheckResult::Failed,
                 };
                 shared.probed(server, address, result);
             });
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -77,85 +77,85 @@
         let key = |name: &str| format!("classes.{i}.{name}");
         let effect: String = self.needed(&key("effect"))?;
         let effect = match effect.as_str() {
-            "retryable" => Effect::Repeatable,
+            "retryable" => Idempotency::Idempotent,
             "dedup" => {
                 let scope: Option<String> = self.optional(&key("dedupScope"))?;
                 let group = match scope.as_deref() {
-                    Some("all") => Group::All,
-                    Some("zone") => Group::Zone,
-                    _ => Group::Cell,
+                    Some("all") => DeduplicationScope::All,
+                    Some("zone") => DeduplicationScope::Zone,
+                    _ => DeduplicationScope::Cell,
                 };
-                Effect::Marked { group, window: self.span(&key("dedupWindowMs"))? }
+                Idempotency::Keyed { scope: group, window: self.span(&key("dedupWindowMs"))? }
             }
-            "fragile" => Effect::Mutating,
+            "fragile" => Idempotency::NonIdempotent,
             other => return malformed(format!("setting {} is unknown: {other}", key("effect"))),
         };
         Ok(Route {
-            importance: self.needed(&key("points"))?,
-            slo: self.span(&key("aimMs"))?,
-            effect,
-            stays_local,
+            priority_weight: self.needed(&key("points"))?,
+            latency_objective: self.span(&key("aimMs"))?,
+            idempotency: effect,
+            zone_local: stays_local,
         })
     }
 
-    pub fn plane(&self) -> Result<DataPlane, Malformed> {
+    pub fn plane(&self) -> Result<ProxyCapabilities, Malformed> {
         let throttle_by: Option<String> = self.optional("familyInfo.throttleBy")?;
         let throttle_by = match throttle_by.as_deref() {
-            Some("share") => ThrottleBy::Share,
-            Some("rate") => ThrottleBy::Rate,
-            None | Some("off") => ThrottleBy::Off,
+            Some("share") => AdmissionMode::Share,
+            Some("rate") => AdmissionMode::Rate,
+            None | Some("off") => AdmissionMode::Off,
             // A level of one of them means something else to each.
             Some(other) => return malformed(format!("setting familyInfo.throttleBy is unknown: {other}")),
         };
-        Ok(DataPlane {
+        Ok(ProxyCapabilities {
             zones: self.list("zones").count(),
             slices: self.optional("familyInfo.slices")?.unwrap_or(0),
-            throttle_by,
-            try_factor: self.optional("familyInfo.tryFactor")?.unwrap_or(1.0),
+            admission_mode: throttle_by,
+            attempt_timeout_factor: self.optional("familyInfo.tryFactor")?.unwrap_or(1.0),
             proxies: self.optional("familyInfo.dataPlaneSize")?.unwrap_or(0),
-            least_conns: self.optional("familyInfo.connsLeast")?.unwrap_or(f64::INFINITY),
+            min_server_connections: self.optional("familyInfo.connsLeast")?.unwrap_or(f64::INFINITY),
         })
     }
 
-    pub fn graces(&self) -> Result<Graces, Malformed> {
-        Ok(Graces {
+    pub fn graces(&self) -> Result<Timeouts, Malformed> {
+        Ok(Timeouts {
             warm_up: self.span("invariants.warmUpMs")?,
-            gone_binds: !self.optional("invariants.removalNotBinding")?.unwrap_or(false),
+            removal_is_final: !self.optional("invariants.removalNotBinding")?.unwrap_or(false),
         })
     }
 
-    pub fn pace(&self) -> Result<Pace, Malformed> {
+    pub fn pace(&self) -> Result<ControlChannelLimits, Malformed> {
         let most_messages = self.optional("familyInfo.pushesAllowed")?.unwrap_or(0);
-        Ok(Pace {
-            lines_per_s: self.needed("familyInfo.linesPerS")?,
-            most_waiting: self.needed("familyInfo.mostWaiting")?,
-            head: self.optional("familyInfo.head")?.unwrap_or(0.0),
-            most_messages,
+        Ok(ControlChannelLimits {
+            entries_per_s: self.needed("familyInfo.linesPerS")?,
+            max_queued_entries: self.needed("familyInfo.mostWaiting")?,
+            message_overhead: self.optional("familyInfo.head")?.unwrap_or(0.0),
+            max_messages: most_messages,
             window: match most_messages {
                 0 => Duration::ZERO,
                 _ => self.span("familyInfo.updateWindowMs")?,
             },
-            worst_transit: self.span("familyInfo.worstTransitMs")?,
+            max_transit: self.span("familyInfo.worstTransitMs")?,
         })
     }
 
-    pub fn sight(&self) -> Result<Sight, Malformed> {
+    pub fn sight(&self) -> Result<Observability, Malformed> {
         let mode: Option<String> = self.optional("registryMode")?;
         let how: Option<String> = self.optional("report.how")?;
         let fields = self.list("report.fields").map(|name| match name {
-            "busy_reqs" => Field::Busy,
-            "pending" => Field::Pending,
-            "cpu_share" => Field::CpuShare,
-            "svc_ms" => Field::ServiceMs,
-            "served_ps" => Field::AnsweredPerS,
-            "failed_ps" => Field::ErrorsPerS,
-            _ => Field::Other,
+            "busy_reqs" => LoadMetric::InFlight,
+            "pending" => LoadMetric::Pending,
+            "cpu_share" => LoadMetric::Utilization,
+            "svc_ms" => LoadMetric::ServiceTimeMs,
+            "served_ps" => LoadMetric::ResponsesPerSecond,
+            "failed_ps" => LoadMetric::ErrorsPerSecond,
+            _ => LoadMetric::Other,
         });
-        Ok(Sight {
-            fields: if how.as_deref() == Some("off") { vec![] } else { fields.collect() },
-            cycle: self.span("familyInfo.cycleMs")?,
-            probing: self.optional("allowed.probing")?.unwrap_or(false),
-            ask_within: match mode.as_deref() {
+        Ok(Observability {
+            metrics: if how.as_deref() == Some("off") { vec![] } else { fields.collect() },
+            report_interval: self.span("familyInfo.cycleMs")?,
+            health_checks: self.optional("allowed.probing")?.unwrap_or(false),
+            endpoint_poll_interval: match mode.as_deref() {
                 Some("on_request") => Some(self.span("invariants.askEveryMs")?),
                 _ => None,
             },
--- a/crates/platform-settings/tests/stated.rs
+++ b/crates/platform-settings/tests/stated.rs
@@ -1,6 +1,6 @@
 //! The same deployment as pairs of text and as nested JSON.
 
-use grebespool::host::ThrottleBy;
+use grebespool::host::AdmissionMode;
 use grebespool_platform_settings::Stated;
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -61,13 +61,13 @@
 
 /// What a level means to proxies is stated, and a kind that is not known is no guess.
 #[rstest]
-#[case::shares(json!("share"), Ok(ThrottleBy::Share))]
-#[case::rates(json!("rate"), Ok(ThrottleBy::Rate))]
-#[case::off(json!("off"), Ok(ThrottleBy::Off))]
-#[case::left_out(Value::Null, Ok(ThrottleBy::Off))]
+#[case::shares(json!("share"), Ok(AdmissionMode::Share))]
+#[case::rates(json!("rate"), Ok(AdmissionMode::Rate))]
+#[case::off(json!("off"), Ok(AdmissionMode::Off))]
+#[case::left_out(Value::Null, Ok(AdmissionMode::Off))]
 #[case::unknown(json!("tokens"), Err("setting familyInfo.throttleBy is unknown: tokens".to_string()))]
-fn what_levels_are_is_stated(#[case] stated: Value, #[case] is: Result<ThrottleBy, String>) {
+fn what_levels_are_is_stated(#[case] stated: Value, #[case] is: Result<AdmissionMode, String>) {
     let mut settings = nested();
     settings["familyInfo"]["throttleBy"] = stated;
-    assert_eq!(Stated::json(&settings).plane().map(|p| p.throttle_by).map_err(|m| m.0), is);
+    assert_eq!(Stated::json(&settings).plane().map(|p| p.admission_mode).map_err(|m| m.0), is);
 }
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -446,66 +446,70 @@
 
     pub fn routes(&self) -> Vec<host::Route> {
         let group = |g| match g {
-            Group::All => host::Group::All,
-            Group::Zone => host::Group::Zone,
-            Group::Cell => host::Group::Cell,
+            Group::All => host::DeduplicationScope::All,
+            Group::Zone => host::DeduplicationScope::Zone,
+            Group::Cell => host::DeduplicationScope::Cell,
         };
         let effect = |r: &Route| match r.repeats {
-            Repeats::Freely => host::Effect::Repeatable,
-            Repeats::Marked => host::Effect::Marked { group: group(r.group), window: r.window.0 },
-            Repeats::Never => host::Effect::Mutating,
+            Repeats::Freely => host::Idempotency::Idempotent,
+            Repeats::Marked => host::Idempotency::Keyed { scope: group(r.group), window: r.window.0 },
+            Repeats::Never => host::Idempotency::NonIdempotent,
         };
         let route = |r: &Route| host::Route {
-            importance: r.importance,
-            slo: r.slo.0,
-            effect: effect(r),
-            stays_local: r.stays_local,
+            priority_weight: r.importance,
+            latency_objective: r.slo.0,
+            idempotency: effect(r),
+            zone_local: r.stays_local,
         };
         self.routes.iter().map(route).collect()
     }
 
-    pub fn plane(&self) -> host::DataPlane {
-        host::DataPlane {
+    pub fn plane(&self) -> host::ProxyCapabilities {
+        host::ProxyCapabilities {
             zones: self.zones.len(),
             slices: self.slices,
-            throttle_by: if self.proxies.levels { host::ThrottleBy::Share } else { host::ThrottleBy::Off },
-            try_factor: self.proxies.try_factor,
+            admission_mode: if self.proxies.levels {
+                host::AdmissionMode::Share
+            } else {
+                host::AdmissionMode::Off
+            },
+            attempt_timeout_factor: self.proxies.try_factor,
             proxies: self.proxies.expected,
-            least_conns: self.servers.least_connections,
+            min_server_connections: self.servers.least_connections,
         }
     }
 
-    pub fn graces(&self) -> host::Graces {
-        host::Graces { warm_up: self.servers.warm_up.0, gone_binds: self.servers.gone_binds }
+    pub fn graces(&self) -> host::Timeouts {
+        host::Timeouts { warm_up: self.servers.warm_up.0, removal_is_final: self.servers.gone_binds }
     }
 
-    pub fn pace(&self) -> host::Pace {
+    pub fn pace(&self) -> host::ControlChannelLimits {
         let c = &self.channel;
-        host::Pace {
-            lines_per_s: c.lines_per_s,
-            most_waiting: c.most_waiting,
-            head: c.head,
-            most_messages: c.most_messages,
+        host::ControlChannelLimits {
+            entries_per_s: c.lines_per_s,
+            max_queued_entries: c.most_waiting,
+            message_overhead: c.head,
+            max_messages: c.most_messages,
             window: c.window.0,
-            worst_transit: c.worst_transit.0,
+            max_transit: c.worst_transit.0,
         }
     }
 
-    pub fn sight(&self, ask_within: Option<Duration>) -> host::Sight {
+    pub fn sight(&self, ask_within: Option<Duration>) -> host::Observability {
         let field = |f: &Figure| match f {
-            Figure::Busy => host::Field::Busy,
-            Figure::Pending => host::Field::Pending,
-            Figure::CpuShare => host::Field::CpuShare,
-            Figure::ServiceMs => host::Field::ServiceMs,
-            Figure::AnsweredPerS => host::Field::AnsweredPerS,
-            Figure::ErrorsPerS => host::Field::ErrorsPerS,
-            Figure::Other => host::Field::Other,
+            Figure::Busy => host::LoadMetric::InFlight,
+            Figure::Pending => host::LoadMetric::Pending,
+            Figure::CpuShare => host::LoadMetric::Utilization,
+            Figure::ServiceMs => host::LoadMetric::ServiceTimeMs,
+            Figure::AnsweredPerS => host::LoadMetric::ResponsesPerSecond,
+            Figure::ErrorsPerS => host::LoadMetric::ErrorsPerSecond,
+            Figure::Other => host::LoadMetric::Other,
         };
-        host::Sight {
-            fields: self.reports.fields.iter().map(field).collect(),
-            cycle: self.reports.cycle.0,
-            probing: self.reports.probing,
-            ask_within,
+        host::Observability {
+            metrics: self.reports.fields.iter().map(field).collect(),
+            report_interval: self.reports.cycle.0,
+            health_checks: self.reports.probing,
+            endpoint_poll_interval: ask_within,
         }
     }
 
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -1,6 +1,6 @@
 //! What is due, and what the planner asks for, put on the agenda.
 
-use grebespool::host::Probed;
+use grebespool::host::HealthCheckResult;
 use grebespool_controller::{Outlet, StreamId};
 use grebespool_invariants::Passed;
 use grebespool_wire::{Answer, Call, Entry, Message, Orders, Reason, ServerId};
@@ -68,7 +68,7 @@
     },
     Probed {
         server: ServerId,
-        result: Probed,
+        result: HealthCheckResult,
     },
     /// The leader's memory goes to the other members.
     Remember,
@@ -107,7 +107,7 @@
     /// What passed since it was last looked at.
     pub passed: Vec<(Duration, Passed)>,
     /// Whether a server answers probes, and how; set by the model as it changes.
-    pub probes: BTreeMap<ServerId, (Duration, Probed)>,
+    pub probes: BTreeMap<ServerId, (Duration, HealthCheckResult)>,
 }
 
 impl Agenda {
@@ -196,7 +196,7 @@
     }
     fn probe(&mut self, server: ServerId) {
         let mut agenda = self.agenda.borrow_mut();
-        let refused = (HOP * 2, Probed::Failed);
+        let refused = (HOP * 2, HealthCheckResult::Failed);
         let (takes, result) = agenda.probes.get(&server).copied().unwrap_or(refused);
         agenda.after(takes, Due::Probed { server, result });
     }
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::agenda::{Due, HOP, TryId};
 use crate::play::{Model, PlannedBy};
-use grebespool::host::Probed;
+use grebespool::host::HealthCheckResult;
 use grebespool_invariants::{List, Passed};
 use grebespool_server_model::{Ability, Machine};
 use grebespool_settings::{Day, ServerKind};
@@ -168,9 +168,11 @@
         let s = &self.servers[server];
         let answers = match &s.machine {
             None => None,
-            Some(m) if m.fallen || s.silent || s.frozen => Some((Duration::from_millis(500), Probed::Failed)),
-            Some(_) if s.draining => Some((HOP * 2, Probed::Rejected)),
-            Some(_) => Some((HOP * 2, Probed::Answered)),
+            Some(m) if m.fallen || s.silent || s.frozen => {
+                Some((Duration::from_millis(500), HealthCheckResult::Failed))
+            }
+            Some(_) if s.draining => Some((HOP * 2, HealthCheckResult::Rejected)),
+            Some(_) => Some((HOP * 2, HealthCheckResult::Healthy)),
         };
         let mut agenda = self.agenda.borrow_mut();
         match answers {
--- a/crates/wirehost/src/hosted.rs
+++ b/crates/wirehost/src/hosted.rs
@@ -2,7 +2,7 @@
 
 use crate::frame::{Address, Batch, ENTRY, Fields, Malformed, Reply, malformed};
 use grebespool::host::*;
-use grebespool::policy::Planner;
+use grebespool::policy::Policy;
 use grebespool_platform_settings::Stated;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -12,12 +12,12 @@
 /// The ids of one instance's servers: an address on the wire, a small index inside.
 #[derive(Default)]
 struct Doorway {
-    indices: HashMap<Address, Server>,
+    indices: HashMap<Address, ServerIndex>,
     addresses: Vec<Address>,
 }
 
 impl Doorway {
-    fn enter(&mut self, address: Address) -> Server {
+    fn enter(&mut self, address: Address) -> ServerIndex {
         *self.indices.entry(address).or_insert_with(|| {
             self.addresses.push(address);
             self.addresses.len() - 1
@@ -37,7 +37,7 @@
         self.reply.borrow_mut().put(self.instance, code, fields);
     }
 
-    fn address(&self, server: Server) -> Address {
+    fn address(&self, server: ServerIndex) -> Address {
         self.door.borrow().addresses[server]
     }
 }
@@ -45,32 +45,48 @@
 /// Table 65535: all joined proxies.
 const EVERY_TABLE: u16 = 65535;
 
-impl Host for WireHost {
-    fn wake(&mut self, at: Duration, token: u32) {
+const TICK_TOKEN: u32 = 1;
+const URGENT_PUBLISH_TOKEN: u32 = 2;
+
+/// The number by which the simulator returns a timer.
+fn timer_token(timer: Timer) -> u32 {
+    match timer {
+        Timer::Tick => TICK_TOKEN,
+        Timer::UrgentPublish => URGENT_PUBLISH_TOKEN,
+    }
+}
+
+/// The timer of a returned number; an unknown one publishes what has changed and evaluates no rule.
+fn timer_of_token(token: u32) -> Timer {
+    if token == TICK_TOKEN { Timer::Tick } else { Timer::UrgentPublish }
+}
+
+impl PolicyHost for WireHost {
+    fn set_timer(&mut self, at: Duration, timer: Timer) {
         let ms = self.born + at.as_secs_f64() * 1000.0;
-        self.put(1030, &[&ms.to_be_bytes(), &token.to_be_bytes()]);
+        self.put(1030, &[&ms.to_be_bytes(), &timer_token(timer).to_be_bytes()]);
     }
-    fn set_line(&mut self, table: Table, server: Server, weight: f32) {
+    fn set_weight(&mut self, table: TableId, server: ServerIndex, weight: f32) {
         self.put(1110, &[&weight.to_be_bytes(), &table.to_be_bytes(), &self.address(server)]);
     }
-    fn bind(&mut self, proxy: Proxy, table: Table, routes: RouteSet) {
+    fn bind_proxy(&mut self, proxy: ProxyId, table: TableId, routes: RouteSet) {
         self.put(1080, &[&proxy.to_be_bytes(), &table.to_be_bytes(), &routes.to_be_bytes()]);
     }
-    fn admit(&mut self, routes: RouteSet, level: f32, tries: Tries) {
+    fn set_admission(&mut self, routes: RouteSet, level: f32, tries: RetryPolicy) {
         let mode = match tries {
-            Tries::One => 0,
-            Tries::AfterProof => 1,
-            Tries::AfterFailure => 2,
+            RetryPolicy::Never => 0,
+            RetryPolicy::IfNotExecuted => 1,
+            RetryPolicy::AfterFailure => 2,
         };
         self.put(1060, &[&[mode], &routes.to_be_bytes(), &EVERY_TABLE.to_be_bytes(), &level.to_be_bytes()]);
     }
-    fn mark(&mut self, number: u16) {
+    fn request_ack(&mut self, number: u16) {
         self.put(1010, &[&[0], &u32::from(number).to_be_bytes()]);
     }
-    fn probe(&mut self, server: Server) {
+    fn start_health_check(&mut self, server: ServerIndex) {
         self.put(1070, &[&self.address(server)]);
     }
-    fn watch_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.put(1040, &[&[1]]);
     }
 }
@@ -78,15 +94,15 @@
 struct Instance {
     born: f64,
     door: Rc<RefCell<Doorway>>,
-    planner: Planner<WireHost>,
+    planner: Policy<WireHost>,
 }
 
 /// One entry of an `Inventory`, before it is known whose list it joins.
 struct Entry {
     address: Address,
-    zone: Zone,
-    kind: Kind,
-    phase: Phase,
+    zone: ZoneId,
+    kind: ServerKind,
+    phase: EndpointState,
     started: f64,
 }
 
@@ -94,9 +110,9 @@
     fn read(bytes: &[u8]) -> Result<Self, Malformed> {
         let f = Fields(bytes);
         let phase = match f.u8(11) {
-            0 => Phase::Gone,
-            1 => Phase::Ready,
-            2 => Phase::Draining,
+            0 => EndpointState::Removed,
+            1 => EndpointState::Ready,
+            2 => EndpointState::Draining,
             other => return malformed(format!("a list entry of phase {other}")),
         };
         Ok(Entry { address: f.address(0), zone: f.u16(6), kind: f.u8(8).into(), phase, started: f.f64(16) })
@@ -157,7 +173,7 @@
         let door = Rc::new(RefCell::new(Doorway::default()));
         let born = batch.clock;
         let host = WireHost { instance: number, born, door: door.clone(), reply: self.reply.clone() };
-        let planner = Planner::start(
+        let planner = Policy::new(
             host,
             event.u64(2),
             stated.routes()?,
@@ -187,41 +203,47 @@
                         return malformed(format!("list number {}", event.u8(7)));
                     };
                     let entries = self.entries(clock, list);
-                    self.planner.list(now, how != 0, &entries);
+                    self.planner.endpoints_updated(now, how != 0, &entries);
                 }
-                3 => self.planner.list_failed(now),
+                3 => self.planner.endpoint_poll_failed(now),
                 how => return malformed(format!("a list of sort {how}")),
             },
-            1020 => self.planner.woken(now, event.u32(2)),
+            1020 => self.planner.timer_fired(now, timer_of_token(event.u32(2))),
             1030 => {
                 let result = match event.u16(8) {
-                    100 => Probed::Answered,
-                    302 => Probed::Rejected,
-                    301 | 303..=307 => Probed::Failed,
+                    100 => HealthCheckResult::Healthy,
+                    302 => HealthCheckResult::Rejected,
+                    301 | 303..=307 => HealthCheckResult::Failed,
                     other => return malformed(format!("a probe result of {other}")),
                 };
                 event.report(18)?;
                 if let Some(s) = server(2) {
-                    self.planner.probed(s, result);
+                    self.planner.health_check_finished(s, result);
                 }
             }
             1060 => {
                 let rate = event.f32(7).max(0.0).into();
-                self.planner.joined(now, event.u16(2), event.u16(4), event.u8(6) != 0, rate);
+                self.planner.proxy_joined(now, event.u16(2), event.u16(4), event.u8(6) != 0, rate);
             }
-            1070 => self.planner.left(event.u16(2)),
-            1080 => self.planner.applied(now, event.u32(2) as u16),
+            1070 => self.planner.proxy_left(event.u16(2)),
+            1080 => self.planner.acknowledged(now, event.u32(2) as u16),
             1090 => {
                 let wait = Some(event.f64(8)).filter(|w| *w > 0.0).map(span);
                 let report = event.report(34)?;
                 let (tries, dropped) = (event.u32(24), event.u32(2));
-                let met = Met { from: event.u16(6), tries, dropped, wait, report: &report };
+                let met = LoadReport {
+                    client_zone: event.u16(6),
+                    attempts: tries,
+                    failures: dropped,
+                    latency: wait,
+                    metrics: &report,
+                };
                 if let Some(s) = server(28) {
-                    self.planner.met(now, s, &met);
+                    self.planner.load_reported(now, s, &met);
                 }
             }
             1100 => {
-                self.planner.came(now, event.u16(10), usize::from(event.u8(12)), event.u32(13));
+                self.planner.requests_received(now, event.u16(10), usize::from(event.u8(12)), event.u32(13));
             }
             // Peers, slices and their stores: nothing is decided on them yet (docs/design.md).
             1040 | 1110 | 1120 | 1130 => {}
@@ -230,15 +252,15 @@
         Ok(())
     }
 
-    fn entries(&self, clock: f64, list: &[Entry]) -> Vec<Listed> {
+    fn entries(&self, clock: f64, list: &[Entry]) -> Vec<Endpoint> {
         let mut door = self.door.borrow_mut();
         let age = |started: f64| Some(started).filter(|s| *s > 0.0 && s.is_finite()).map(|s| span(clock - s));
         list.iter()
-            .map(|e| Listed {
+            .map(|e| Endpoint {
                 server: door.enter(e.address),
                 zone: e.zone,
                 kind: e.kind,
-                phase: e.phase,
+                state: e.phase,
                 age: age(e.started),
             })
             .collect()
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -106,3 +106,15 @@
     assert_eq!(first, both.batch(&start(SETTINGS)).unwrap());
     assert_eq!(first, alone.batch(&start(SETTINGS)).unwrap());
 }
+
+// The token is whatever the simulator returns: one that was never set publishes, and fires no regular evaluation.
+#[rstest]
+fn a_timer_with_an_unknown_token_publishes_like_the_urgent_one() {
+    let fired = |token: u32| {
+        let mut hosted = Hosted::default();
+        hosted.batch(&start(SETTINGS)).unwrap();
+        hosted.batch(&frame(&[target(3), record(1020, &token.to_be_bytes())], &[])).unwrap()
+    };
+    assert_eq!(fired(12345), fired(2));
+    assert_ne!(fired(12345), fired(1));
+}
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -80,7 +80,7 @@
         let aim = Self::AIM - if late { Self::LESS } else { 0.0 };
         let mut left = (aim * able).min(most).max(least);
         let mut order: Vec<usize> = (0..calls.len()).filter(|r| calls[*r] > 0.0).collect();
-        order.sort_by(|a, b| routes[*b].importance.total_cmp(&routes[*a].importance));
+        order.sort_by(|a, b| routes[*b].priority_weight.total_cmp(&routes[*a].priority_weight));
         for r in order {
             let level = (left / calls[r]).min(1.0);
             left = (left - level * calls[r]).max(0.0);
@@ -91,8 +91,8 @@
     }
 }
 
-impl<H: Host> Planner<H> {
-    pub fn came(&mut self, now: Duration, proxy: Proxy, route: usize, calls: u32) {
+impl<H: PolicyHost> Policy<H> {
+    pub fn requests_received(&mut self, now: Duration, proxy: ProxyId, route: usize, calls: u32) {
         if let Some(list) = self.levels.arrived.get_mut(route) {
             list.push_back((now, f64::from(calls), proxy));
             drop_old(list, now, Peer::KEPT, |a| a.0);
@@ -101,11 +101,11 @@
 
     /// What is wanted of a route as proxies count it; as a rate, in coarse steps, so that noise writes none.
     pub(super) fn level(&self, now: Duration, r: usize) -> f32 {
-        match (self.plane.throttle_by, self.levels.wanted[r]) {
-            (ThrottleBy::Off, _) => 1.0,
-            (ThrottleBy::Share, wanted) => wanted,
-            (ThrottleBy::Rate, wanted) if wanted >= 1.0 => 1e9,
-            (ThrottleBy::Rate, wanted) => {
+        match (self.plane.admission_mode, self.levels.wanted[r]) {
+            (AdmissionMode::Off, _) => 1.0,
+            (AdmissionMode::Share, wanted) => wanted,
+            (AdmissionMode::Rate, wanted) if wanted >= 1.0 => 1e9,
+            (AdmissionMode::Rate, wanted) => {
                 let rates = rates(&self.levels.arrived[r], Peer::KEPT, now);
                 let even = evenly(&rates, f64::from(wanted) * rates.iter().sum::<f64>()).min(1e9);
                 (Levels::GAIN.ln() * (even.ln() / Levels::GAIN.ln()).round()).exp() as f32
@@ -116,14 +116,14 @@
     /// What part of the calls that came the sums tell of, where a zone's sums are cut off and usage is not.
     /// Harm: where nothing that a zone lets in finds a server, as much too many are let in at the others.
     pub(super) fn told(&self, now: Duration) -> f64 {
-        let newest = |z: Zone| {
+        let newest = |z: ZoneId| {
             let of_zone = self.peers.iter().flat_map(|p| &p.load.0).filter(|x| x.from == z);
             of_zone.map(|x| x.at).max().unwrap_or_default()
         };
-        let newest: Vec<Duration> = (0..self.zones.busy.len() as Zone).map(newest).collect();
+        let newest: Vec<Duration> = (0..self.zones.busy.len() as ZoneId).map(newest).collect();
         let last = newest.iter().max().copied().unwrap_or_default();
-        let window = Levels::window(self.sight.cycle);
-        let heard = |z: Zone| newest.get(usize::from(z)).is_none_or(|at| *at + window >= last);
+        let window = Levels::window(self.sight.report_interval);
+        let heard = |z: ZoneId| newest.get(usize::from(z)).is_none_or(|at| *at + window >= last);
         let came = self.levels.arrived.iter().flatten().filter(|a| a.0 > now.saturating_sub(window));
         let add = |[told, all]: [f64; 2], a: &Arrived| {
             let heard = self.proxies.get(&a.2).is_none_or(|p| heard(p.zone));
--- a/src/policy/control_channel.rs
+++ b/src/policy/control_channel.rs
@@ -14,33 +14,33 @@
 
     /// Against a channel that is slower than stated: what no answered mark shows to have left still waits.
     pub(super) fn room(&mut self, now: Duration, lines: f64, share: f64) -> bool {
-        let heard = now.saturating_sub(self.answered_at) < self.pace.worst_transit * 2;
-        let rate = self.pace.lines_per_s * if heard { Self::SLOWEST.0 } else { Self::SLOWEST.1 };
+        let heard = now.saturating_sub(self.answered_at) < self.pace.max_transit * 2;
+        let rate = self.pace.entries_per_s * if heard { Self::SLOWEST.0 } else { Self::SLOWEST.1 };
         let gone = (now - self.drained_at).as_secs_f64() * rate;
         (self.waiting, self.drained_at) = ((self.waiting - gone).max(0.0), now);
         // Some leave later than counted even so: the last three tenths are not used.
-        self.waiting + lines <= self.pace.most_waiting * share.min(Self::USED)
+        self.waiting + lines <= self.pace.max_queued_entries * share.min(Self::USED)
     }
 
     /// Two messages stay for binding; past a quarter of the cap they keep apart, so that a drain finds one.
     pub(super) fn may_message(&self, now: Duration, sent: &mut VecDeque<Duration>, share: f64) -> bool {
         drop_old(sent, now, self.pace.window, |t| *t);
-        let (most, used) = (self.pace.most_messages as f64, sent.len() as f64);
+        let (most, used) = (self.pace.max_messages as f64, sent.len() as f64);
         let apart = self.pace.window.as_secs_f64() / (most - 2.0).max(1.0);
         let late = sent.back().is_none_or(|t| (now - *t).as_secs_f64() >= apart);
         most == 0.0 || (used < (most - 1.0) * share && used < most - 2.0 && (late || used < most / 4.0))
     }
 }
 
-impl<H: Host> Planner<H> {
+impl<H: PolicyHost> Policy<H> {
     pub(super) fn wake_urgent(&mut self, now: Duration) {
         if !self.channel.urgent_set {
             self.channel.urgent_set = true;
-            self.host.wake(now + LOOK / 10, TOKEN_URGENT);
+            self.host.set_timer(now + LOOK / 10, Timer::UrgentPublish);
         }
     }
 
-    pub fn applied(&mut self, now: Duration, number: u16) {
+    pub fn acknowledged(&mut self, now: Duration, number: u16) {
         let channel = &mut self.channel;
         if let Some(i) = channel.unanswered.iter().position(|m| m.0 == number) {
             let before = channel.unanswered.drain(..=i).next_back().map_or(0.0, |m| m.1);
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -26,7 +26,7 @@
     }
 }
 
-impl<H: Host> Planner<H> {
+impl<H: PolicyHost> Policy<H> {
     /// Whatever the list says. Where half of the pool is out already, the fault is taken to lie elsewhere.
     pub(super) fn judge(&mut self, now: Duration, slo: f64) {
         let evidence = |p: &Peer| {
@@ -34,7 +34,7 @@
             let (tries, answered) = (p.load.sum(from, |x| x.tries), p.load.sum(from, Sample::answered));
             (tries >= Health::LEAST_TRIES).then(|| (answered / tries, p.load.mean(from, |x| x.wait)))
         };
-        let ready: Vec<Server> = (0..self.peers.len()).filter(|s| self.peers[*s].ready()).collect();
+        let ready: Vec<ServerIndex> = (0..self.peers.len()).filter(|s| self.peers[*s].ready()).collect();
         let seen: Vec<Option<(f64, Option<f64>)>> = ready.iter().map(|s| evidence(&self.peers[*s])).collect();
         let good = median(seen.iter().flatten().map(|e| e.0)).unwrap_or(1.0);
         let wait = median(seen.iter().flatten().filter_map(|e| e.1));
@@ -43,7 +43,7 @@
         let silence = |p: &Peer| newest.saturating_sub(last(p));
         // Where most are seldom heard, by few calls or by reports cut off, that is no sign.
         let usual = median(ready.iter().map(|s| silence(&self.peers[*s]).as_secs_f64())).unwrap_or(0.0);
-        let quiet = self.sight.cycle * 2 + Duration::from_secs_f64(1.0 + 4.0 * usual);
+        let quiet = self.sight.report_interval * 2 + Duration::from_secs_f64(1.0 + 4.0 * usual);
         let out = ready.iter().filter(|s| self.peers[**s].ramp.step == 0).count();
         let mut may_out = ((ready.len() as f64 * Health::MOST_OUT) as usize).saturating_sub(out);
         let mut unsure = vec![];
@@ -51,12 +51,12 @@
             let silent = silence(&self.peers[s]) > quiet;
             let p = &mut self.peers[s];
             if p.ramp.step == 0 {
-                if self.sight.probing && p.health.answers < 2 {
+                if self.sight.health_checks && p.health.answers < 2 {
                     unsure.push(s);
                 } else if now.saturating_sub(p.health.fresh_from) >= p.health.hold {
                     // It may have been restarted before the list tells, so it counts as cold.
                     p.ramp = Ramp { step: 1, cold: true, since: now };
-                    p.health.clear(now + self.channel.pace.worst_transit, Ramp::STEPS);
+                    p.health.clear(now + self.channel.pace.max_transit, Ramp::STEPS);
                     p.health.hold = (p.health.hold * 2).min(Health::LONGEST_HOLD);
                 }
                 continue;
@@ -76,29 +76,29 @@
             if p.ramp.step == 0 {
                 may_out -= 1;
                 p.health.clear(now, 0);
-                p.phase = if p.doubted { Phase::Gone } else { p.phase };
+                p.phase = if p.doubted { EndpointState::Removed } else { p.phase };
             }
         }
         // Probes cost work, and many at once are turned away.
         unsure.shuffle(&mut self.rng);
-        let few = if self.sight.probing { ready.len() / 20 + 3 } else { 0 };
-        unsure.into_iter().take(few).for_each(|s| self.host.probe(s));
+        let few = if self.sight.health_checks { ready.len() / 20 + 3 } else { 0 };
+        unsure.into_iter().take(few).for_each(|s| self.host.start_health_check(s));
     }
 
     /// What was held against servers while no proxy of their zone was heard may have been a cut.
-    pub(super) fn forget(&mut self, now: Duration, zone: Zone) {
+    pub(super) fn forget(&mut self, now: Duration, zone: ZoneId) {
         for p in self.peers.iter_mut().filter(|p| p.zone == zone) {
-            p.health.clear(now + self.channel.pace.worst_transit, Ramp::STEPS);
+            p.health.clear(now + self.channel.pace.max_transit, Ramp::STEPS);
             p.ramp.step = Ramp::allowed(now, p.warm_at, self.graces.warm_up);
         }
     }
 
-    pub fn probed(&mut self, s: Server, result: Probed) {
+    pub fn health_check_finished(&mut self, s: ServerIndex, result: HealthCheckResult) {
         if let Some(h) = self.peers.get_mut(s).map(|p| &mut p.health) {
             match result {
-                Probed::Answered => (h.answers, h.misses) = (h.answers + 1, 0),
-                Probed::Failed => (h.answers, h.misses) = (0, h.misses + 1),
-                Probed::Rejected => {}
+                HealthCheckResult::Healthy => (h.answers, h.misses) = (h.answers + 1, 0),
+                HealthCheckResult::Failed => (h.answers, h.misses) = (0, h.misses + 1),
+                HealthCheckResult::Rejected => {}
             }
         }
     }
--- a/src/policy/proxy_binding.rs
+++ b/src/policy/proxy_binding.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-impl<H: Host> Planner<H> {
+impl<H: PolicyHost> Policy<H> {
     /// `bare` tells that the proxy has only just started, `rate` how many calls a second it usually gets.
-    pub fn joined(&mut self, now: Duration, proxy: Proxy, zone: Zone, bare: bool, rate: f64) {
+    pub fn proxy_joined(&mut self, now: Duration, proxy: ProxyId, zone: ZoneId, bare: bool, rate: f64) {
         if !bare && self.proxies.values().all(|p| !p.bound || p.zone != zone) {
             self.forget(now, zone);
         }
@@ -15,7 +15,7 @@
         self.bind_waiting(now);
     }
 
-    pub fn left(&mut self, proxy: Proxy) {
+    pub fn proxy_left(&mut self, proxy: ProxyId) {
         self.proxies.entry(proxy).and_modify(|p| p.bound = false);
         self.unbound.retain(|p| *p != proxy);
         // Once all have left, what was under way is lost.
@@ -38,13 +38,13 @@
                 self.write(pool, wanted.into_iter().enumerate());
             }
             let lines = self.pools[pool].lines.iter().filter(|l| l.written > 0.0).count();
-            let cost = 2.0 + lines as f64 + self.channel.pace.head;
+            let cost = 2.0 + lines as f64 + self.channel.pace.message_overhead;
             if !self.channel.room(now, cost, Channel::BINDING) {
                 self.wake_urgent(now);
                 break;
             }
             self.channel.add(cost);
-            self.host.bind(proxy, self.pools[pool].table, 0);
+            self.host.bind_proxy(proxy, self.pools[pool].table, 0);
             self.proxies.entry(proxy).and_modify(|p| (p.pool, p.bound) = (Some(pool), true));
             self.unbound.pop_front();
         }
--- a/src/policy/publishing.rs
+++ b/src/policy/publishing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl<H: Host> Planner<H> {
+impl<H: PolicyHost> Policy<H> {
     /// The one place where written weights are made: what was learnt times the exceptions.
     pub(super) fn compose(&self, pool: &Pool) -> Vec<f32> {
         let peer = |l: &Line| &self.peers[l.server];
@@ -12,7 +12,7 @@
         let near: Vec<&Line> = pool.lines.iter().filter(|l| peer(l).zone == pool.zone).collect();
         let sum = |of: &dyn Fn(&Line) -> f64| near.iter().map(|l| of(l)).sum::<f64>();
         let (full, left) = (sum(&|l| l.learnt), sum(&|l| l.learnt * part(l)));
-        let stays = self.routes.iter().any(|r| r.stays_local) && near.iter().any(|l| peer(l).ready());
+        let stays = self.routes.iter().any(|r| r.zone_local) && near.iter().any(|l| peer(l).ready());
         // Far servers make up at once for what a zone has lost, before its cold ones are pushed over.
         let lost = 1.0 - if full > 0.0 { left / full } else { 0.0 };
         let reach = self.zones.reach[usize::from(pool.zone)];
@@ -44,11 +44,11 @@
     }
 
     /// Retries where no effect takes place twice; one at a full pool or after the SLO time is only more work.
-    pub(super) fn tries(&self, r: usize) -> Tries {
-        match self.routes[r].effect {
-            _ if self.levels.crowded || fresh(&self.peers) > Ramp::MANY => Tries::One,
-            Effect::Repeatable if self.plane.try_factor < 0.9 => Tries::AfterFailure,
-            _ => Tries::AfterProof,
+    pub(super) fn tries(&self, r: usize) -> RetryPolicy {
+        match self.routes[r].idempotency {
+            _ if self.levels.crowded || fresh(&self.peers) > Ramp::MANY => RetryPolicy::Never,
+            Idempotency::Idempotent if self.plane.attempt_timeout_factor < 0.9 => RetryPolicy::AfterFailure,
+            _ => RetryPolicy::IfNotExecuted,
         }
     }
 
@@ -68,7 +68,7 @@
     pub(super) fn push(&mut self, now: Duration) {
         let mut proxies = vec![0.0; self.pools.len()];
         self.proxies.values().filter(|p| p.bound).filter_map(|p| p.pool).for_each(|i| proxies[i] += 1.0);
-        let (head, before) = (self.channel.pace.head + 1.0, self.channel.ordered);
+        let (head, before) = (self.channel.pace.message_overhead + 1.0, self.channel.ordered);
         let with_levels = self.push_levels(now, proxies.iter().sum(), head);
         let mut changes = vec![];
         for (i, pool) in self.pools.iter().enumerate().filter(|(i, _)| proxies[*i] > 0.0) {
@@ -101,7 +101,7 @@
             }
         }
         if self.bind_waiting(now) || mark {
-            self.host.mark(self.channel.mark(before));
+            self.host.request_ack(self.channel.mark(before));
         }
     }
 
@@ -110,7 +110,7 @@
         for (l, weight) in lines {
             if held[l].written != weight {
                 held[l].written = weight;
-                self.host.set_line(*table, held[l].server, weight);
+                self.host.set_weight(*table, held[l].server, weight);
             }
         }
     }
@@ -127,7 +127,7 @@
         }
         for r in levels {
             self.levels.written[r] = told[r];
-            self.host.admit(1 << r, told[r].0, told[r].1);
+            self.host.set_admission(1 << r, told[r].0, told[r].1);
         }
         self.channel.add(cost);
         self.pools.iter_mut().for_each(|p| p.sent.extend((bound > 0.0).then_some(now)));
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -35,7 +35,7 @@
     }
 }
 
-impl<H: Host> Planner<H> {
+impl<H: PolicyHost> Policy<H> {
     pub(super) fn rise(&mut self, now: Duration) {
         for p in &mut self.peers {
             let by_age = Ramp::allowed(now, p.warm_at, self.graces.warm_up);
@@ -44,7 +44,7 @@
             let eases = |x: &Sample| x.at > p.ramp.since && x.cpu.is_none_or(|busy| busy < room);
             let shown = by_age == Ramp::STEPS || p.load.0.back().is_some_and(eases);
             if p.ramp.step > 0 && p.ramp.step < by_age.min(p.health.allowed) && shown {
-                (p.ramp.step, p.ramp.since) = (p.ramp.step + 1, now + self.channel.pace.worst_transit);
+                (p.ramp.step, p.ramp.since) = (p.ramp.step + 1, now + self.channel.pace.max_transit);
             }
             p.ramp.cold &= by_age < Ramp::STEPS || p.ramp.step < p.health.allowed;
         }
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -14,7 +14,12 @@
     pub(super) const NEAR: f64 = 0.75;
 
     /// The mechanism, one interval: each server's weight times the pool's mean load over its own.
-    pub(super) fn scale(&mut self, now: Duration, loads: &[Option<f64>], whole: impl Fn(Server) -> bool) {
+    pub(super) fn scale(
+        &mut self,
+        now: Duration,
+        loads: &[Option<f64>],
+        whole: impl Fn(ServerIndex) -> bool,
+    ) {
         let Some(pool) = mean(loads.iter().flatten().copied()).filter(|m| *m > 0.0) else { return };
         for (line, own) in self.lines.iter_mut().zip(loads).filter_map(|(l, own)| Some((l, (*own)?))) {
             let factor = (pool / own).clamp(Self::CLAMP.0, Self::CLAMP.1);
@@ -33,7 +38,7 @@
     }
 }
 
-impl<H: Host> Planner<H> {
+impl<H: PolicyHost> Policy<H> {
     /// One pool of all servers a zone, as long as these accept the connections; past that several, whose
     /// tables are no longer than the channel takes for all proxies together, which may come at once.
     pub(super) fn lay_out(&mut self) {
@@ -42,16 +47,16 @@
             return;
         }
         let (proxies, pace) = (self.plane.proxies.max(1) as f64, &self.channel.pace);
-        let fits = Channel::USED * pace.most_waiting / proxies - pace.head - 2.0;
-        let lines = (Pool::FILLED * self.plane.least_conns * servers / proxies).min(fits).max(8.0);
+        let fits = Channel::USED * pace.max_queued_entries / proxies - pace.message_overhead - 2.0;
+        let lines = (Pool::FILLED * self.plane.min_server_connections * servers / proxies).min(fits).max(8.0);
         let near = servers / self.zones.busy.len() as f64;
         let pools = if lines < servers { (near / (Pool::NEAR * lines)).ceil().max(1.0) } else { 1.0 };
         if lines < servers {
             self.width = ((near / pools) as usize, ((1.0 - Pool::NEAR) * lines).ceil() as usize);
         }
-        for zone in 0..self.zones.busy.len() as Zone {
+        for zone in 0..self.zones.busy.len() as ZoneId {
             for _ in 0..pools as usize {
-                self.pools.push(Pool::new(self.pools.len() as Table, zone));
+                self.pools.push(Pool::new(self.pools.len() as TableId, zone));
             }
         }
     }
@@ -64,12 +69,12 @@
         // At the pool's mean, one of a slow kind would be sent what is right for a fast one.
         let usual = usual(&self.pools, &self.peers);
         let (peers, zones) = (&self.peers, &self.zones);
-        let weight = |s: Server| usual.get(&peers[s].kind).copied().unwrap_or(1.0);
+        let weight = |s: ServerIndex| usual.get(&peers[s].kind).copied().unwrap_or(1.0);
         // Planners that deal alike would make the same pools hot.
-        let mut order: Vec<Server> = (0..peers.len()).filter(|s| peers[*s].ready()).collect();
+        let mut order: Vec<ServerIndex> = (0..peers.len()).filter(|s| peers[*s].ready()).collect();
         order.shuffle(&mut self.rng);
-        for zone in 0..zones.busy.len() as Zone {
-            let near = |s: Server| peers[s].zone == zone;
+        for zone in 0..zones.busy.len() as ZoneId {
+            let near = |s: ServerIndex| peers[s].zone == zone;
             let mut group: Vec<&mut Pool> = self.pools.iter_mut().filter(|p| p.zone == zone).collect();
             let mut holders = vec![0; peers.len()];
             for pool in &mut group {
@@ -103,14 +108,14 @@
                 }
                 for (nearby, width) in [(true, self.width.0), (false, self.width.1.saturating_add(reached))] {
                     let there = filled(&pool.lines, nearby);
-                    let held: BTreeSet<Server> = pool.lines.iter().map(|l| l.server).collect();
-                    let may = |s: &Server| {
+                    let held: BTreeSet<ServerIndex> = pool.lines.iter().map(|l| l.server).collect();
+                    let may = |s: &ServerIndex| {
                         // In every pool that lacks lines, a cold one would be given its part anew.
                         let once = !peers[*s].ramp.cold || holders[*s] == 0;
                         peers[*s].open() && (nearby || !near(*s)) && !held.contains(s) && once
                     };
-                    let mut may: Vec<Server> = order.iter().copied().filter(may).collect();
-                    let bad = |s: Server| zones.bad.contains_key(&(zone, peers[s].zone));
+                    let mut may: Vec<ServerIndex> = order.iter().copied().filter(may).collect();
+                    let bad = |s: ServerIndex| zones.bad.contains_key(&(zone, peers[s].zone));
                     may.sort_by_key(|s| (!near(*s), bad(*s), holders[*s]));
                     for s in may.into_iter().take(width.saturating_sub(there)) {
                         pool.enter(s, weight(s));
@@ -123,7 +128,7 @@
 
     pub(super) fn scale(&mut self, now: Duration) {
         let recent = now.saturating_sub(Peer::KEPT);
-        let settling = self.sight.cycle + self.channel.pace.worst_transit + LOOK;
+        let settling = self.sight.report_interval + self.channel.pace.max_transit + LOOK;
         for pool in &mut self.pools {
             let figures = |l: &Line| {
                 let p = &self.peers[l.server];
--- a/src/policy/zone_spill.rs
+++ b/src/policy/zone_spill.rs
@@ -26,7 +26,7 @@
             let [tries, answered, waits] = met(from, from);
             let mut far = None;
             for to in (0..self.busy.len()).filter(|to| *to != from) {
-                let way = (from as Zone, to as Zone);
+                let way = (from as ZoneId, to as ZoneId);
                 let [t, a, w] = met(from, to);
                 let least = if self.bad.contains_key(&way) { 1.0 } else { 5.0 } * Health::LEAST_TRIES;
                 // Calls fare badly at full servers too; these lose weight one by one.
@@ -51,7 +51,7 @@
     }
 }
 
-impl<H: Host> Planner<H> {
+impl<H: PolicyHost> Policy<H> {
     pub(super) fn look_afar(&mut self, now: Duration, slo: f64) {
         let since = now.saturating_sub(Health::EVIDENCE);
         let of = |z: usize| self.peers.iter().filter(move |p| usize::from(p.zone) == z).map(|p| &p.load);
@@ -71,13 +71,13 @@
     }
 
     /// What part of a zone's servers' weight may be used, by what is known of the zone as one thing.
-    pub fn hold(&mut self, now: Duration, zone: Zone, part: f64) {
+    pub fn limit_zone_share(&mut self, now: Duration, zone: ZoneId, part: f64) {
         self.zones.parts[usize::from(zone)] = part;
         self.push(now);
     }
 
     /// At most so much of routes is let in; what only the former bound kept down rises with it at once.
-    pub fn bound(&mut self, now: Duration, most: &[f64]) {
+    pub fn limit_admission(&mut self, now: Duration, most: &[f64]) {
         let levels = &mut self.levels;
         for (r, most) in most.iter().map(|m| *m as f32).enumerate().take(levels.wanted.len()) {
             let bounded = levels.wanted[r] >= levels.most[r];
--- a/src/state.rs
+++ b/src/state.rs
@@ -8,7 +8,7 @@
 /// What a zone's proxies met at a server over one cycle.
 pub struct Sample {
     pub at: Duration,
-    pub from: Zone,
+    pub from: ZoneId,
     /// As told, whether or not it is believed.
     pub told: Option<f64>,
     pub load: Option<f64>,
@@ -61,9 +61,9 @@
 
 /// One server: what the list says of it, and what each part below keeps.
 pub struct Peer {
-    pub zone: Zone,
-    pub kind: Kind,
-    pub phase: Phase,
+    pub zone: ZoneId,
+    pub kind: ServerKind,
+    pub phase: EndpointState,
     pub warm_at: Duration,
     /// Called gone where that does not bind: what is met there decides.
     pub doubted: bool,
@@ -76,18 +76,18 @@
     /// Named before anything is known of it.
     pub fn unlisted(health: Health, step: u32) -> Peer {
         let ramp = Ramp { step, cold: false, since: Duration::ZERO };
-        let (zone, kind, phase, warm_at, doubted) = (0, 0, Phase::Draining, Duration::ZERO, false);
+        let (zone, kind, phase, warm_at, doubted) = (0, 0, EndpointState::Draining, Duration::ZERO, false);
         Peer { zone, kind, phase, warm_at, doubted, load: Samples::default(), health, ramp }
     }
 
     pub fn ready(&self) -> bool {
-        self.phase == Phase::Ready
+        self.phase == EndpointState::Ready
     }
 }
 
 /// A server in a pool: the weight it has earned there, apart from all exceptions, and what was sent.
 pub struct Line {
-    pub server: Server,
+    pub server: ServerIndex,
     pub learnt: f64,
     pub changed: Duration,
     pub written: f32,
@@ -97,20 +97,20 @@
 
 /// One shared table of many proxies of a zone.
 pub struct Pool {
-    pub table: Table,
-    pub zone: Zone,
+    pub table: TableId,
+    pub zone: ZoneId,
     pub lines: Vec<Line>,
     /// When messages went to its proxies.
     pub sent: VecDeque<Duration>,
 }
 
 impl Pool {
-    pub fn new(table: Table, zone: Zone) -> Pool {
+    pub fn new(table: TableId, zone: ZoneId) -> Pool {
         Pool { table, zone, lines: vec![], sent: VecDeque::new() }
     }
 
     /// A server's weight, as a multiple of the pool's mean.
-    pub fn enter(&mut self, server: Server, weight: f64) {
+    pub fn enter(&mut self, server: ServerIndex, weight: f64) {
         let learnt = weight * self.mean();
         self.lines.push(Line { server, learnt, changed: Duration::ZERO, written: 0.0, leaving: false });
     }
@@ -121,12 +121,12 @@
 }
 
 /// A pool's zone and the servers that it holds.
-pub type DealtPool = (Zone, Vec<Server>);
+pub type DealtPool = (ZoneId, Vec<ServerIndex>);
 
 /// What zones make of each other.
 pub struct Zones {
     /// From which zone to which calls fared badly, and until when that counts.
-    pub bad: BTreeMap<(Zone, Zone), Duration>,
+    pub bad: BTreeMap<(ZoneId, ZoneId), Duration>,
     pub busy: Vec<Option<f64>>,
     /// How far each zone leans on the others, beyond what they ordinarily take.
     pub reach: Vec<f64>,
@@ -161,7 +161,7 @@
 }
 
 /// When calls of a route came, how many, and to which proxy.
-pub type Arrived = (Duration, f64, Proxy);
+pub type Arrived = (Duration, f64, ProxyId);
 
 /// How full the pool is, how much of each route is let in, and when proxies try again.
 pub struct Levels {
@@ -172,12 +172,12 @@
     /// What no route is let in beyond, whatever is measured.
     pub most: Vec<f32>,
     pub crowded: bool,
-    pub written: Vec<(f32, Tries)>,
+    pub written: Vec<(f32, RetryPolicy)>,
 }
 
 impl Levels {
     pub fn new(n: usize, pressure: f64) -> Levels {
-        let (arrived, written) = (vec![VecDeque::new(); n], vec![(-1.0, Tries::One); n]);
+        let (arrived, written) = (vec![VecDeque::new(); n], vec![(-1.0, RetryPolicy::Never); n]);
         Levels { pressure, arrived, wanted: vec![1.0; n], most: vec![1.0; n], crowded: false, written }
     }
 
@@ -188,7 +188,7 @@
 
 /// What may be sent now.
 pub struct Channel {
-    pub pace: Pace,
+    pub pace: ControlChannelLimits,
     pub waiting: f64,
     /// All lines ever ordered.
     pub ordered: f64,
@@ -201,7 +201,7 @@
 }
 
 impl Channel {
-    pub fn new(pace: Pace) -> Channel {
+    pub fn new(pace: ControlChannelLimits) -> Channel {
         let (start, unanswered) = (Duration::ZERO, VecDeque::new());
         let (drained_at, answered_at) = (start, start);
         Channel {
@@ -228,7 +228,7 @@
 }
 
 pub struct Joined {
-    pub zone: Zone,
+    pub zone: ZoneId,
     pub rate: f64,
     /// Kept over a break, so that connections serve on.
     pub pool: Option<usize>,
@@ -236,13 +236,13 @@
 }
 
 /// One planner: see [`crate::policy`].
-pub struct Planner<H> {
+pub struct Policy<H> {
     pub(crate) host: H,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) routes: Vec<Route>,
-    pub(crate) plane: DataPlane,
-    pub(crate) graces: Graces,
-    pub(crate) sight: Sight,
+    pub(crate) plane: ProxyCapabilities,
+    pub(crate) graces: Timeouts,
+    pub(crate) sight: Observability,
     pub(crate) peers: Vec<Peer>,
     pub(crate) ask_at: Option<Duration>,
     pub(crate) looks: u32,
@@ -252,13 +252,13 @@
     /// Near and far servers that a pool is to hold.
     pub(crate) width: (usize, usize),
     pub(crate) zones: Zones,
-    pub(crate) proxies: BTreeMap<Proxy, Joined>,
-    pub(crate) unbound: VecDeque<Proxy>,
+    pub(crate) proxies: BTreeMap<ProxyId, Joined>,
+    pub(crate) unbound: VecDeque<ProxyId>,
 }
 
 /// Weights as multiples of their pool's mean, over the pools that hold the server.
-pub fn learnt(pools: &[Pool]) -> BTreeMap<Server, f64> {
-    let mut learnt: BTreeMap<Server, Vec<f64>> = BTreeMap::new();
+pub fn learnt(pools: &[Pool]) -> BTreeMap<ServerIndex, f64> {
+    let mut learnt: BTreeMap<ServerIndex, Vec<f64>> = BTreeMap::new();
     for pool in pools {
         pool.lines.iter().for_each(|l| learnt.entry(l.server).or_default().push(l.learnt / pool.mean()));
     }
@@ -266,8 +266,8 @@
 }
 
 /// The same by kinds of servers, over the lines that have been changed since they came.
-pub fn usual(pools: &[Pool], peers: &[Peer]) -> BTreeMap<Kind, f64> {
-    let mut of: BTreeMap<Kind, Vec<f64>> = BTreeMap::new();
+pub fn usual(pools: &[Pool], peers: &[Peer]) -> BTreeMap<ServerKind, f64> {
+    let mut of: BTreeMap<ServerKind, Vec<f64>> = BTreeMap::new();
     for (pool, mean) in pools.iter().map(|p| (p, p.mean())) {
         for line in pool.lines.iter().filter(|l| l.changed > Duration::ZERO) {
             of.entry(peers[line.server].kind).or_default().push(line.learnt / mean);
@@ -277,7 +277,10 @@
 }
 
 /// What each pool holds, and which one each bound proxy has: those that left are not handed on for ever.
-pub fn dealt(pools: &[Pool], proxies: &BTreeMap<Proxy, Joined>) -> (Vec<DealtPool>, BTreeMap<Proxy, usize>) {
+pub fn dealt(
+    pools: &[Pool],
+    proxies: &BTreeMap<ProxyId, Joined>,
+) -> (Vec<DealtPool>, BTreeMap<ProxyId, usize>) {
     let held = |p: &Pool| p.lines.iter().filter(|l| !l.leaving).map(|l| l.server).collect();
     let pools = pools.iter().map(|p| (p.zone, held(p))).collect();
     let bound = proxies.iter().filter(|p| p.1.bound);
@@ -291,11 +294,11 @@
     cold / f64::max(all, 1.0)
 }
 
-impl<H> Planner<H> {
+impl<H> Policy<H> {
     /// What each zone's servers are able to, in calls a second, and what came for each route in the zone.
-    pub fn rooms(&self, now: Duration) -> Vec<(f64, Vec<f64>)> {
+    pub fn zone_capacity(&self, now: Duration) -> Vec<(f64, Vec<f64>)> {
         let (from, span) = (now.saturating_sub(Peer::KEPT), Peer::KEPT.min(now).as_secs_f64().max(1.0));
-        let room = |zone: Zone| {
+        let room = |zone: ZoneId| {
             let able = self.peers.iter().filter(|p| p.ready() && p.zone == zone).map(|p| {
                 let busy = p.load.mean(from, |x| x.cpu).unwrap_or(0.7).clamp(0.05, 1.0);
                 p.load.sum(from, Sample::answered) / busy / span
@@ -304,14 +307,14 @@
             let came = |a: &VecDeque<Arrived>| a.iter().filter(here).map(|a| a.1).sum::<f64>() / span;
             (able.sum(), self.levels.arrived.iter().map(came).collect())
         };
-        (0..self.zones.busy.len() as Zone).map(room).collect()
+        (0..self.zones.busy.len() as ZoneId).map(room).collect()
     }
 }
 
 /// Calls a second that came to each proxy, over as long as they are kept.
 pub fn rates(arrived: &VecDeque<Arrived>, kept: Duration, now: Duration) -> Vec<f64> {
     let (from, span) = (now.saturating_sub(kept), kept.min(now).as_secs_f64().max(1.0));
-    let mut rates: BTreeMap<Proxy, f64> = BTreeMap::new();
+    let mut rates: BTreeMap<ProxyId, f64> = BTreeMap::new();
     arrived.iter().filter(|a| a.0 > from).for_each(|a| *rates.entry(a.2).or_default() += a.1 / span);
     rates.into_values().collect()
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -49,10 +49,10 @@
 }
 
 #[rstest]
-#[case::draining(Phase::Draining, None, 0.6)]
-#[case::cold(Phase::Ready, Some(ms(1000)), 0.9)]
+#[case::draining(EndpointState::Draining, None, 0.6)]
+#[case::cold(EndpointState::Ready, Some(ms(1000)), 0.9)]
 fn far_servers_make_up_for_what_a_zone_loses(
-    #[case] phase: Phase,
+    #[case] phase: EndpointState,
     #[case] age: Option<Duration>,
     #[case] far: f32,
 ) {
@@ -66,7 +66,7 @@
 #[rstest]
 #[case::fails_everywhere(|_| Some((10, 10, [0.0, 0.0])))]
 #[case::silent(|_| None)]
-fn a_joined_proxy_always_has_a_line(#[case] report: fn(Server) -> Told) {
+fn a_joined_proxy_always_has_a_line(#[case] report: fn(ServerIndex) -> Told) {
     let mut rig = Rig::with_servers(6, 2);
     rig.answers = false;
     for _ in 0..30 {
@@ -80,23 +80,27 @@
 #[rstest]
 fn a_proxy_that_comes_back_is_bound_at_once() {
     let mut rig = Rig::with_servers(3, 1);
-    rig.planner.left(0);
+    rig.planner.proxy_left(0);
     rig.kept.borrow_mut().bound.clear();
-    rig.planner.joined(rig.now, 0, 0, false, 1.0);
+    rig.planner.proxy_joined(rig.now, 0, 0, false, 1.0);
     assert!(rig.kept.borrow().bound[&0].contains(&0));
 }
 
 // Rule 2.
 #[rstest]
-#[case::no_time_left_for_another(1.0, Effect::Repeatable, Tries::AfterProof)]
-#[case::time_left(0.8, Effect::Repeatable, Tries::AfterFailure)]
-#[case::mutating(0.8, Effect::Mutating, Tries::AfterProof)]
-#[case::marked_in_a_zone(0.8, Effect::Marked { group: Group::Zone, window: ms(5000) }, Tries::AfterProof)]
-#[case::marked_for_all(0.8, Effect::Marked { group: Group::All, window: ms(5000) }, Tries::AfterProof)]
-fn further_tries_only_where_safe(#[case] factor: f64, #[case] effect: Effect, #[case] tries: Tries) {
+#[case::no_time_left_for_another(1.0, Idempotency::Idempotent, RetryPolicy::IfNotExecuted)]
+#[case::time_left(0.8, Idempotency::Idempotent, RetryPolicy::AfterFailure)]
+#[case::mutating(0.8, Idempotency::NonIdempotent, RetryPolicy::IfNotExecuted)]
+#[case::marked_in_a_zone(0.8, Idempotency::Keyed { scope: DeduplicationScope::Zone, window: ms(5000) }, RetryPolicy::IfNotExecuted)]
+#[case::marked_for_all(0.8, Idempotency::Keyed { scope: DeduplicationScope::All, window: ms(5000) }, RetryPolicy::IfNotExecuted)]
+fn further_tries_only_where_safe(
+    #[case] factor: f64,
+    #[case] effect: Idempotency,
+    #[case] tries: RetryPolicy,
+) {
     let mut rig = Rig::new(1, PACE, vec![route(1.0, effect)], factor);
-    rig.list(true, &[listed(0, 0, Phase::Ready, None), listed(1, 0, Phase::Ready, None)]);
-    rig.planner.joined(rig.now, 0, 0, true, 1.0);
+    rig.list(true, &[listed(0, 0, EndpointState::Ready, None), listed(1, 0, EndpointState::Ready, None)]);
+    rig.planner.proxy_joined(rig.now, 0, 0, true, 1.0);
     rig.run(Duration::from_secs(5), |s| QUIET.filter(|_| s < 2));
     let kept = rig.kept.borrow();
     let set = kept.levels.get(&1).or(kept.levels.get(&0)).map(|l| l.1);
@@ -105,9 +109,9 @@
 
 // Rule 3.
 #[rstest]
-#[case::draining(Phase::Draining)]
-#[case::gone(Phase::Gone)]
-fn drains_go_out_soon_in_all_tables(#[case] phase: Phase) {
+#[case::draining(EndpointState::Draining)]
+#[case::gone(EndpointState::Removed)]
+fn drains_go_out_soon_in_all_tables(#[case] phase: EndpointState) {
     let mut rig = Rig::with_servers(6, 2);
     // Found by a hunt: guarding pushes had used up the messages that drains needed.
     rig.run(Duration::from_secs(20), |s| (s < 6).then_some((8, s as u32, [0.1 + 0.15 * s as f32, 0.0])));
@@ -119,7 +123,7 @@
 #[rstest]
 fn a_server_missing_from_a_whole_list_is_gone() {
     let mut rig = Rig::with_servers(3, 1);
-    rig.list(true, &[listed(0, 0, Phase::Ready, None), listed(2, 0, Phase::Ready, None)]);
+    rig.list(true, &[listed(0, 0, EndpointState::Ready, None), listed(2, 0, EndpointState::Ready, None)]);
     assert_eq!(rig.weight(0, 1), 0.0);
 }
 
@@ -131,7 +135,7 @@
 fn a_fresh_server_enters_low(#[case] told: (u32, u32, [f32; 2]), #[case] least: f32, #[case] most: f32) {
     let mut rig = Rig::with_servers(6, 1);
     rig.run(Duration::from_secs(12), |s| (s < 6).then_some(told));
-    rig.list(false, &[listed(6, 0, Phase::Ready, Some(ms(1000)))]);
+    rig.list(false, &[listed(6, 0, EndpointState::Ready, Some(ms(1000)))]);
     rig.run(Duration::from_secs(2), |s| (s < 6).then_some(told));
     let (mean, fresh) = ((0..6).map(|s| rig.weight(0, s)).sum::<f32>() / 6.0, rig.weight(0, 6));
     assert!(fresh >= least * mean && fresh <= most * mean, "{fresh} beside a mean of {mean}");
@@ -142,7 +146,7 @@
     // Found on overloaded days: a planner that had just started let fresh servers in at a quarter, and
     // even the smallest weight draws all where proxies keep away from the rest.
     let mut rig = Rig::with_servers(6, 1);
-    rig.list(false, &[listed(6, 0, Phase::Ready, Some(ms(1000)))]);
+    rig.list(false, &[listed(6, 0, EndpointState::Ready, Some(ms(1000)))]);
     rig.run(Duration::from_secs(3), |s| QUIET.filter(|_| s < 6));
     assert_eq!(rig.weight(0, 6), 0.0);
 }
@@ -151,7 +155,7 @@
 fn a_restart_steps_up_again() {
     let mut rig = Rig::with_servers(4, 1);
     rig.run(Duration::from_secs(12), |s| QUIET.filter(|_| s < 4));
-    rig.list(false, &[listed(1, 0, Phase::Ready, Some(ms(500)))]);
+    rig.list(false, &[listed(1, 0, EndpointState::Ready, Some(ms(500)))]);
     let mut steps = vec![];
     for _ in 0..20 {
         steps.push(rig.weight(0, 1));
@@ -170,14 +174,14 @@
         rig.run(Duration::from_secs(1), |s| {
             (s < 12).then_some((8, bad * (s as u32 % 2), [(s + round) as f32 % 7.0 / 7.0, 0.0]))
         });
-        let phase = if round % 2 == 0 { Phase::Draining } else { Phase::Ready };
+        let phase = if round % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
         rig.list(false, &[listed(round % 12, 0, phase, None)]);
     }
     let written: Vec<Duration> = rig.kept.borrow().written_at.iter().copied().collect();
     for (i, from) in written.iter().enumerate() {
         // Found by a hunt: with a proxy's binding one message more was counted than had been.
         let within = written[i..].iter().filter(|t| **t <= *from + PACE.window).count();
-        assert!(within <= PACE.most_messages - 2, "{within} messages from {from:?}");
+        assert!(within <= PACE.max_messages - 2, "{within} messages from {from:?}");
     }
 }
 
@@ -186,7 +190,7 @@
     // Found by a hunt: a zone's servers went in many small lists, which used up the messages.
     let mut rig = Rig::with_servers(60, 1);
     for s in 0..40 {
-        rig.list(false, &[listed(s, 0, Phase::Gone, None)]);
+        rig.list(false, &[listed(s, 0, EndpointState::Removed, None)]);
         rig.run(ms(500), |x| QUIET.filter(|_| x < 60 && x > s));
         assert_eq!(rig.held(0).iter().filter(|x| **x + 3 < s).count(), 0, "after {s} lists");
     }
@@ -194,12 +198,12 @@
 
 #[rstest]
 fn a_rush_of_joins_stays_inside_the_channel() {
-    let narrow = Pace { lines_per_s: 100.0, most_waiting: 100.0, ..PACE };
-    let mut rig = Rig::new(1, narrow, vec![route(1.0, Effect::Repeatable)], 1.0);
-    let entries: Vec<Listed> = (0..10).map(|s| listed(s, 0, Phase::Ready, None)).collect();
+    let narrow = ControlChannelLimits { entries_per_s: 100.0, max_queued_entries: 100.0, ..PACE };
+    let mut rig = Rig::new(1, narrow, vec![route(1.0, Idempotency::Idempotent)], 1.0);
+    let entries: Vec<Endpoint> = (0..10).map(|s| listed(s, 0, EndpointState::Ready, None)).collect();
     rig.list(true, &entries);
     for proxy in 0..30 {
-        rig.planner.joined(rig.now, proxy, 0, true, 1.0);
+        rig.planner.proxy_joined(rig.now, proxy, 0, true, 1.0);
     }
     // Each takes ten lines, two of its own and a head of four.
     assert!(rig.kept.borrow().bound.len() <= 6);
@@ -266,11 +270,11 @@
     // Found on a cut day: all proxies of a healed zone were sent to the planner's.
     let mut rig = Rig::with_servers(6, 2);
     rig.answers = false;
-    rig.planner.left(1);
+    rig.planner.proxy_left(1);
     rig.run(Duration::from_secs(8), |s| {
         (s < 6).then_some((10, 10 * (s as u32 % 2) * (s / 3) as u32, [0.5, 0.0]))
     });
-    rig.planner.joined(rig.now, 1, 1, bare, 1.0);
+    rig.planner.proxy_joined(rig.now, 1, 1, bare, 1.0);
     assert_eq!(rig.weight(1, 5) > 0.5, back);
 }
 
@@ -279,36 +283,36 @@
 fn a_full_pool_throttles_the_least_important_first_and_lets_in_again() {
     let mut rig = Rig::with_servers(4, 1);
     for _ in 0..8 {
-        rig.planner.came(rig.now, 0, 0, 60);
-        rig.planner.came(rig.now, 0, 1, 20);
+        rig.planner.requests_received(rig.now, 0, 0, 60);
+        rig.planner.requests_received(rig.now, 0, 1, 20);
         rig.run(Duration::from_secs(1), |s| (s < 4).then_some((10, 4, [1.0, 6.0])));
     }
     let level = |rig: &Rig, r: RouteSet| rig.kept.borrow().levels[&r];
     assert!(level(&rig, 1).0 < 0.7 && level(&rig, 2).0 == 1.0);
-    assert_eq!(level(&rig, 1).1, Tries::One);
+    assert_eq!(level(&rig, 1).1, RetryPolicy::Never);
     for _ in 0..15 {
-        rig.planner.came(rig.now, 0, 0, 30);
-        rig.planner.came(rig.now, 0, 1, 20);
+        rig.planner.requests_received(rig.now, 0, 0, 30);
+        rig.planner.requests_received(rig.now, 0, 1, 20);
         rig.run(Duration::from_secs(1), |s| (s < 4).then_some((7, 0, [0.4, 0.0])));
     }
     assert_eq!((level(&rig, 1).0, level(&rig, 2).0), (1.0, 1.0));
 }
 
 /// Two proxies that are asked for 12 and 48 calls a second of each route, and four servers.
-fn throttled_by(throttle_by: ThrottleBy) -> Rig {
-    let routes = vec![route(1.0, Effect::Repeatable), route(2.0, Effect::Mutating)];
+fn throttled_by(throttle_by: AdmissionMode) -> Rig {
+    let routes = vec![route(1.0, Idempotency::Idempotent), route(2.0, Idempotency::NonIdempotent)];
     let mut rig = Rig::throttled_by(throttle_by, 1, PACE, routes, 1.2);
-    let entries: Vec<Listed> = (0..4).map(|s| listed(s, 0, Phase::Ready, None)).collect();
+    let entries: Vec<Endpoint> = (0..4).map(|s| listed(s, 0, EndpointState::Ready, None)).collect();
     rig.list(true, &entries);
-    (0..2).for_each(|p| rig.planner.joined(rig.now, p, 0, true, 1.0));
+    (0..2).for_each(|p| rig.planner.proxy_joined(rig.now, p, 0, true, 1.0));
     rig
 }
 
 fn crowd(rig: &mut Rig, seconds: u32, dropped: u32, report: [f32; 2]) {
     for _ in 0..seconds {
         for route in 0..2 {
-            rig.planner.came(rig.now, 0, route, 12);
-            rig.planner.came(rig.now, 1, route, 48);
+            rig.planner.requests_received(rig.now, 0, route, 12);
+            rig.planner.requests_received(rig.now, 1, route, 48);
         }
         rig.run(Duration::from_secs(1), |s| (s < 4).then_some((10, dropped, report)));
     }
@@ -317,10 +321,10 @@
 /// Found on the fleet trial at another customer: a level of 1 is all of a route as a share, and one call a second at
 /// each proxy as a rate, so that two in five calls of a calm day were turned away.
 #[rstest]
-#[case::by_shares(ThrottleBy::Share, 1.0)]
-#[case::by_rates(ThrottleBy::Rate, 1e6)]
-#[case::by_nothing(ThrottleBy::Off, 1.0)]
-fn all_is_let_in_where_servers_have_time(#[case] by: ThrottleBy, #[case] least: f32) {
+#[case::by_shares(AdmissionMode::Share, 1.0)]
+#[case::by_rates(AdmissionMode::Rate, 1e6)]
+#[case::by_nothing(AdmissionMode::Off, 1.0)]
+fn all_is_let_in_where_servers_have_time(#[case] by: AdmissionMode, #[case] least: f32) {
     let mut rig = throttled_by(by);
     crowd(&mut rig, 8, 0, [0.5, 0.0]);
     let levels: Vec<f32> = rig.kept.borrow().levels.values().map(|l| l.0).collect();
@@ -332,7 +336,7 @@
 #[case::crowded(4)]
 #[case::more_so(7)]
 fn a_rate_lets_in_what_a_share_does(#[case] dropped: u32) {
-    let [share, rate] = [ThrottleBy::Share, ThrottleBy::Rate].map(|by| {
+    let [share, rate] = [AdmissionMode::Share, AdmissionMode::Rate].map(|by| {
         let mut rig = throttled_by(by);
         crowd(&mut rig, 10, dropped, [1.0, 6.0]);
         [1, 2].map(|route| rig.kept.borrow().levels[&route].0)
@@ -348,12 +352,12 @@
 #[case::told_of_none(None)]
 #[case::told_of_nought(Some(0))]
 fn a_route_that_is_not_asked_for_any_more_is_let_in(#[case] told: Option<u32>) {
-    let mut rig = throttled_by(ThrottleBy::Rate);
+    let mut rig = throttled_by(AdmissionMode::Rate);
     crowd(&mut rig, 10, 4, [1.0, 6.0]);
     assert!(rig.kept.borrow().levels[&2].0 < 48.0);
     for _ in 0..12 {
-        rig.planner.came(rig.now, 1, 0, 200);
-        told.into_iter().for_each(|calls| rig.planner.came(rig.now, 1, 1, calls));
+        rig.planner.requests_received(rig.now, 1, 0, 200);
+        told.into_iter().for_each(|calls| rig.planner.requests_received(rig.now, 1, 1, calls));
         rig.run(Duration::from_secs(1), |s| (s < 4).then_some((10, 4, [1.0, 6.0])));
     }
     let levels = [1, 2].map(|route| rig.kept.borrow().levels[&route].0);
@@ -363,7 +367,7 @@
 /// Where levels are nothing to the proxies, a crowd is no reason to write them.
 #[rstest]
 fn levels_that_nobody_goes_by_stay_as_they_are() {
-    let mut rig = throttled_by(ThrottleBy::Off);
+    let mut rig = throttled_by(AdmissionMode::Off);
     crowd(&mut rig, 10, 4, [1.0, 6.0]);
     assert!(rig.kept.borrow().levels.values().all(|l| l.0 == 1.0));
 }
@@ -376,8 +380,8 @@
     let mut rig = Rig::with_servers(4, 1);
     rig.wait = ms(wait);
     for _ in 0..8 {
-        rig.planner.came(rig.now, 0, 0, 60);
-        rig.planner.came(rig.now, 0, 1, 20);
+        rig.planner.requests_received(rig.now, 0, 0, 60);
+        rig.planner.requests_received(rig.now, 0, 1, 20);
         rig.run(Duration::from_secs(1), |s| (s < 4).then_some((10, 0, [0.95, 2.0])));
     }
     assert_eq!(rig.kept.borrow().levels.values().all(|l| l.0 == 1.0), all_let_in);
@@ -391,19 +395,20 @@
 #[case::half_drains_and_cold_ones_come(4, Some(ms(100)), true)]
 fn levels_foresee_what_drains(#[case] leave: usize, #[case] come: Option<Duration>, #[case] throttles: bool) {
     let mut rig = Rig::with_servers(8, 1);
-    let report = |s: Server| (s < 8).then_some((20, 0, [0.75, 0.0]));
+    let report = |s: ServerIndex| (s < 8).then_some((20, 0, [0.75, 0.0]));
     for _ in 0..24 {
         rig.run(ms(500), report);
-        (0..2).for_each(|r| rig.planner.came(rig.now, 0, r, 60));
+        (0..2).for_each(|r| rig.planner.requests_received(rig.now, 0, r, 60));
     }
     assert!(rig.kept.borrow().levels.values().all(|l| l.0 == 1.0));
-    let mut entries: Vec<Listed> = (0..leave).map(|s| listed(s, 0, Phase::Draining, None)).collect();
-    entries.extend((8..12).filter_map(|s| Some(listed(s, 0, Phase::Ready, Some(come?)))));
+    let mut entries: Vec<Endpoint> =
+        (0..leave).map(|s| listed(s, 0, EndpointState::Draining, None)).collect();
+    entries.extend((8..12).filter_map(|s| Some(listed(s, 0, EndpointState::Ready, Some(come?)))));
     rig.list(false, &entries);
     for _ in 0..2 {
         rig.run(ms(500), |s| report(s).filter(|_| s >= leave));
         // As many calls come as before.
-        (0..2).for_each(|r| rig.planner.came(rig.now, 0, r, 60));
+        (0..2).for_each(|r| rig.planner.requests_received(rig.now, 0, r, 60));
     }
     assert_eq!(rig.kept.borrow().levels[&1].0 < 0.9, throttles);
     assert_eq!(rig.kept.borrow().levels[&2].0, 1.0);
@@ -423,16 +428,16 @@
         rig.run(ms(500), |s| (s < 8).then_some((20, if crowd { 8 } else { 0 }, [busy, 0.0])));
         for s in (0..8).filter(|_| step < 20 || !stop) {
             let report = [busy - 0.001 * (step % 7) as f32, 0.0];
-            let met = Met {
-                from: 1,
-                tries: 20,
-                dropped: if crowd { 8 } else { 0 },
-                wait: Some(ms(600)),
-                report: &report,
+            let met = LoadReport {
+                client_zone: 1,
+                attempts: 20,
+                failures: if crowd { 8 } else { 0 },
+                latency: Some(ms(600)),
+                metrics: &report,
             };
-            rig.planner.met(rig.now, s, &met);
+            rig.planner.load_reported(rig.now, s, &met);
         }
-        (0..2).for_each(|r| rig.planner.came(rig.now, r as Proxy, r, 160));
+        (0..2).for_each(|r| rig.planner.requests_received(rig.now, r as ProxyId, r, 160));
     }
     assert_eq!(rig.kept.borrow().levels[&1].0 < 0.8, crowd);
     assert!(rig.kept.borrow().levels[&2].0 > 0.9);
@@ -443,7 +448,7 @@
     // Found on a freshly drawn day: arrivals and answers came in lumps.
     let mut rig = Rig::with_servers(4, 1);
     for lump in 0..10 {
-        rig.planner.came(rig.now, 0, 0, 400 * (lump % 3));
+        rig.planner.requests_received(rig.now, 0, 0, 400 * (lump % 3));
         rig.run(Duration::from_secs(1), |s| (s < 4).then_some((5, 0, [0.6, 0.0])));
     }
     assert!(rig.kept.borrow().levels.values().all(|l| l.0 == 1.0));
@@ -460,9 +465,9 @@
     #[case] least: usize,
 ) {
     let rig = Rig::grown(servers, proxies, PACE, true);
-    let tables: BTreeSet<Table> = rig.kept.borrow().bound.values().flatten().copied().collect();
+    let tables: BTreeSet<TableId> = rig.kept.borrow().bound.values().flatten().copied().collect();
     assert!(tables.len() >= 2 * least && tables.len() <= proxies / 2, "{} tables", tables.len());
-    let held: BTreeSet<Server> = tables.iter().flat_map(|t| rig.held(*t)).collect();
+    let held: BTreeSet<ServerIndex> = tables.iter().flat_map(|t| rig.held(*t)).collect();
     assert_eq!(held.len(), servers, "every server has a pool");
 }
 
@@ -475,13 +480,26 @@
     #[case] lines_per_s: f64,
     #[case] lines: usize,
 ) {
-    let pace = Pace { lines_per_s, most_waiting: 2.0 * lines_per_s, most_messages: 0, ..PACE };
-    let (throttle_by, try_factor) = (ThrottleBy::Share, 1.0);
-    let plane = DataPlane { zones: 3, slices: 0, throttle_by, try_factor, proxies: 240, least_conns: 186.0 };
-    let mut rig = Rig::on(plane, pace, vec![route(1.0, Effect::Repeatable)], true);
-    let entries: Vec<Listed> = (0..200).map(|s| listed(s, (s % 3) as Zone, Phase::Ready, None)).collect();
+    let pace = ControlChannelLimits {
+        entries_per_s: lines_per_s,
+        max_queued_entries: 2.0 * lines_per_s,
+        max_messages: 0,
+        ..PACE
+    };
+    let (throttle_by, try_factor) = (AdmissionMode::Share, 1.0);
+    let plane = ProxyCapabilities {
+        zones: 3,
+        slices: 0,
+        admission_mode: throttle_by,
+        attempt_timeout_factor: try_factor,
+        proxies: 240,
+        min_server_connections: 186.0,
+    };
+    let mut rig = Rig::on(plane, pace, vec![route(1.0, Idempotency::Idempotent)], true);
+    let entries: Vec<Endpoint> =
+        (0..200).map(|s| listed(s, (s % 3) as ZoneId, EndpointState::Ready, None)).collect();
     rig.list(true, &entries);
-    (0..240).for_each(|p| rig.planner.joined(rig.now, p, p % 3, true, 1.0));
+    (0..240).for_each(|p| rig.planner.proxy_joined(rig.now, p, p % 3, true, 1.0));
     let bound = rig.kept.borrow().bound.clone();
     assert_eq!(bound.len(), 240, "all are bound at once");
     let least = bound.values().flatten().map(|t| rig.held(*t).len()).min();
@@ -494,13 +512,14 @@
 #[case::silent_and_dropping(10, 10)]
 #[case::out_one_after_another(10, 7)]
 fn no_far_server_is_in_a_table_of_a_route_that_keeps_to_its_zone(#[case] tries: u32, #[case] dropped: u32) {
-    let local = Route { stays_local: true, ..route(2.0, Effect::Repeatable) };
-    let mut rig = Rig::new(2, PACE, vec![route(1.0, Effect::Repeatable), local], 1.2);
-    let entries: Vec<Listed> = (0..8).map(|s| listed(s, (s % 2) as Zone, Phase::Ready, None)).collect();
+    let local = Route { zone_local: true, ..route(2.0, Idempotency::Idempotent) };
+    let mut rig = Rig::new(2, PACE, vec![route(1.0, Idempotency::Idempotent), local], 1.2);
+    let entries: Vec<Endpoint> =
+        (0..8).map(|s| listed(s, (s % 2) as ZoneId, EndpointState::Ready, None)).collect();
     rig.list(true, &entries);
-    (0..2).for_each(|p| rig.planner.joined(rig.now, p, p, true, 1.0));
+    (0..2).for_each(|p| rig.planner.proxy_joined(rig.now, p, p, true, 1.0));
     rig.answers = false;
-    let table = |rig: &Rig, p: Proxy| *rig.kept.borrow().bound[&p].iter().next().unwrap();
+    let table = |rig: &Rig, p: ProxyId| *rig.kept.borrow().bound[&p].iter().next().unwrap();
     for second in 0..40 {
         rig.run(Duration::from_secs(1), |s| match s {
             0 | 2 | 4 | 6 => Some((tries, dropped, [0.9, 3.0])),
@@ -522,18 +541,18 @@
     // Found by a hunt: the first servers to come back were put into every pool, and stayed there.
     let mut rig = Rig::grown(40, 80, PACE, true);
     let zone = |rig: &mut Rig, phase, age| {
-        let entries: Vec<Listed> = (0..20).map(|s| listed(2 * s, 0, phase, age)).collect();
+        let entries: Vec<Endpoint> = (0..20).map(|s| listed(2 * s, 0, phase, age)).collect();
         rig.list(false, &entries[..3]);
         rig.run(Duration::from_secs(2), |s| QUIET.filter(|_| s < 40));
         rig.list(false, &entries);
         rig.run(Duration::from_secs(30), |s| QUIET.filter(|_| s < 40));
     };
-    zone(&mut rig, Phase::Gone, None);
-    let tables: BTreeSet<Table> = rig.kept.borrow().bound.values().flatten().copied().collect();
+    zone(&mut rig, EndpointState::Removed, None);
+    let tables: BTreeSet<TableId> = rig.kept.borrow().bound.values().flatten().copied().collect();
     assert!(tables.iter().all(|t| rig.held(*t).len() >= 3), "lost servers are made up for");
-    zone(&mut rig, Phase::Ready, Some(ms(1000)));
+    zone(&mut rig, EndpointState::Ready, Some(ms(1000)));
     let near = tables.iter().take(tables.len() / 2);
-    let shares = |s: Server| near.clone().filter(|t| rig.held(**t).contains(&s)).count();
+    let shares = |s: ServerIndex| near.clone().filter(|t| rig.held(**t).contains(&s)).count();
     let most = (0..20).map(|s| shares(2 * s)).max().unwrap();
     assert!(most < 4, "a server is in all {most} tables of its zone");
 }
@@ -545,9 +564,9 @@
 fn a_list_that_calls_servers_gone(#[case] binds: bool, #[case] drained: bool, #[case] weight: f32) {
     let mut rig = Rig::grown(6, 2, PACE, binds);
     if drained {
-        rig.list(false, &[listed(0, 0, Phase::Draining, None)]);
+        rig.list(false, &[listed(0, 0, EndpointState::Draining, None)]);
     }
-    rig.list(false, &[listed(0, 0, Phase::Gone, None)]);
+    rig.list(false, &[listed(0, 0, EndpointState::Removed, None)]);
     rig.run(Duration::from_secs(4), |s| QUIET.filter(|_| s < 6));
     assert_eq!(rig.weight(0, 0), weight);
     rig.run(
@@ -560,7 +579,8 @@
 #[rstest]
 fn lines_that_no_mark_shows_to_have_left_still_wait() {
     // Found on an overloaded day: the channel was counted at its stated pace while it was far slower.
-    let narrow = Pace { lines_per_s: 2000.0, most_waiting: 2000.0, most_messages: 0, ..PACE };
+    let narrow =
+        ControlChannelLimits { entries_per_s: 2000.0, max_queued_entries: 2000.0, max_messages: 0, ..PACE };
     let mut rig = Rig::grown(40, 80, narrow, true);
     rig.run(Duration::from_secs(10), |s| QUIET.filter(|_| s < 40));
     rig.marks = false;
@@ -617,8 +637,8 @@
     let mut rig = Rig::with_servers(4, 1);
     let rounds = |rig: &mut Rig, n, told: (u32, u32, [f32; 2])| {
         for _ in 0..n {
-            rig.planner.came(rig.now, 0, 0, 400);
-            rig.planner.came(rig.now, 0, 1, 40);
+            rig.planner.requests_received(rig.now, 0, 0, 400);
+            rig.planner.requests_received(rig.now, 0, 1, 40);
             rig.run(Duration::from_secs(1), |s| (s < 4).then_some(told));
         }
     };
@@ -644,7 +664,7 @@
 ) {
     let mut rig = Rig::with_servers(4, 1);
     rig.run(Duration::from_secs(11), |s| QUIET.filter(|_| s < 4));
-    rig.list(false, &[listed(4, 0, Phase::Ready, Some(ms(100)))]);
+    rig.list(false, &[listed(4, 0, EndpointState::Ready, Some(ms(100)))]);
     // At half of its warm-up by age it may be at its second step.
     for _ in 0..9 {
         rig.wait = ms(200);
@@ -661,13 +681,13 @@
 fn a_zone_that_returns_cold_is_not_leaned_on_for_looking_idle() {
     let mut rig = Rig::with_servers(6, 2);
     let busy = |cold: f32| {
-        move |s: Server| (s < 6).then_some((10, 0, [if s.is_multiple_of(2) { 0.97 } else { cold }, 0.0]))
+        move |s: ServerIndex| (s < 6).then_some((10, 0, [if s.is_multiple_of(2) { 0.97 } else { cold }, 0.0]))
     };
     rig.run(Duration::from_secs(3), busy(0.95));
     let zone = |phase, age| [1, 3, 5].map(|s| listed(s, 1, phase, age));
-    rig.list(false, &zone(Phase::Gone, None));
+    rig.list(false, &zone(EndpointState::Removed, None));
     rig.run(ms(1000), |s| busy(0.0)(s).filter(|_| s % 2 == 0));
-    rig.list(false, &zone(Phase::Ready, Some(ms(100))));
+    rig.list(false, &zone(EndpointState::Ready, Some(ms(100))));
     rig.run(Duration::from_secs(4), busy(0.05));
     let weight = rig.weight(0, 1) / rig.weight(0, 0);
     assert!(weight < 0.07, "{weight}");
@@ -678,15 +698,15 @@
 #[rstest]
 fn a_loss_is_counted_once() {
     let mut rig = Rig::with_servers(8, 1);
-    let report = |s: Server| (s < 8).then_some((20, 0, [0.75, 0.0]));
+    let report = |s: ServerIndex| (s < 8).then_some((20, 0, [0.75, 0.0]));
     for _ in 0..24 {
         rig.run(ms(500), report);
-        (0..2).for_each(|r| rig.planner.came(rig.now, 0, r, 60));
+        (0..2).for_each(|r| rig.planner.requests_received(rig.now, 0, r, 60));
     }
-    rig.list(false, &[0, 1, 2, 3].map(|s| listed(s, 0, Phase::Gone, None)));
+    rig.list(false, &[0, 1, 2, 3].map(|s| listed(s, 0, EndpointState::Removed, None)));
     for _ in 0..3 {
         rig.run(ms(500), |s| report(s).filter(|_| s >= 4));
-        (0..2).for_each(|r| rig.planner.came(rig.now, 0, r, 60));
+        (0..2).for_each(|r| rig.planner.requests_received(rig.now, 0, r, 60));
     }
     // Four are able to 213 calls a second, of which 192 are to be filled and 120 are the more important route's.
     let level = rig.kept.borrow().levels[&1].0;
@@ -697,19 +717,19 @@
 #[rstest]
 fn a_zones_part_and_a_bound_on_levels_hold() {
     let mut rig = Rig::with_servers(6, 2);
-    let report = |s: Server| (s < 6).then_some((10, 0, [0.6, 0.0]));
+    let report = |s: ServerIndex| (s < 6).then_some((10, 0, [0.6, 0.0]));
     rig.run(Duration::from_secs(3), report);
-    rig.planner.hold(rig.now, 1, 0.0);
-    rig.planner.bound(rig.now, &[0.4, 1.0]);
+    rig.planner.limit_zone_share(rig.now, 1, 0.0);
+    rig.planner.limit_admission(rig.now, &[0.4, 1.0]);
     rig.run(Duration::from_secs(2), report);
     assert_eq!((rig.weight(0, 1), rig.weight(0, 0) > 0.5), (0.0, true));
     assert_eq!(rig.kept.borrow().levels[&1].0, 0.4);
-    rig.planner.hold(rig.now, 1, 0.1);
+    rig.planner.limit_zone_share(rig.now, 1, 0.1);
     rig.run(Duration::from_secs(2), report);
     // Of its own zone's table.
     assert!((0.05..=0.15).contains(&rig.weight(1, 1)), "{}", rig.weight(1, 1));
-    rig.planner.hold(rig.now, 1, 1.0);
-    rig.planner.bound(rig.now, &[1.0, 1.0]);
+    rig.planner.limit_zone_share(rig.now, 1, 1.0);
+    rig.planner.limit_admission(rig.now, &[1.0, 1.0]);
     rig.run(Duration::from_secs(2), report);
     assert!(rig.weight(1, 1) > 0.5);
     assert_eq!(rig.kept.borrow().levels[&1].0, 1.0);
@@ -720,18 +740,18 @@
 fn odd_events_do_no_harm() {
     let mut rig = Rig::with_servers(3, 1);
     rig.list(false, &[]);
-    rig.planner.left(99);
-    rig.planner.applied(rig.now, 12);
-    rig.planner.probed(77, Probed::Failed);
-    rig.planner.came(rig.now, 0, 9, 4);
-    rig.planner.met(
+    rig.planner.proxy_left(99);
+    rig.planner.acknowledged(rig.now, 12);
+    rig.planner.health_check_finished(77, HealthCheckResult::Failed);
+    rig.planner.requests_received(rig.now, 0, 9, 4);
+    rig.planner.load_reported(
         rig.now,
         50,
-        &Met { from: 0, tries: 0, dropped: 9, wait: None, report: &[f32::INFINITY] },
+        &LoadReport { client_zone: 0, attempts: 0, failures: 9, latency: None, metrics: &[f32::INFINITY] },
     );
-    rig.planner.woken(rig.now, 12345);
+    rig.planner.timer_fired(rig.now, Timer::UrgentPublish);
     let asked = rig.kept.borrow().asked;
-    rig.planner.list_failed(rig.now);
+    rig.planner.endpoint_poll_failed(rig.now);
     rig.run(Duration::from_secs(6), |s| (s < 3).then_some((0, 0, [f32::INFINITY, 0.0])));
     assert!(rig.kept.borrow().asked > asked, "a list that failed is asked for again");
     rig.list(true, &[]);
@@ -743,21 +763,21 @@
 #[case::beyond_the_ceiling([9.0, 1.0, 1.0], [3.0, 1.0, 1.0])]
 #[case::nought([0.0, 1.0, 1.0], [0.06, 1.0, 1.0])]
 fn a_planner_that_takes_over_begins_with_what_was_learnt(#[case] told: [f64; 3], #[case] bound: [f32; 3]) {
-    let routes = vec![route(1.0, Effect::Repeatable)];
+    let routes = vec![route(1.0, Idempotency::Idempotent)];
     let mut rig = Rig::new(1, PACE, routes, 1.2);
-    let mut entries: Vec<Listed> = (0..3).map(|s| listed(s, 0, Phase::Ready, None)).collect();
+    let mut entries: Vec<Endpoint> = (0..3).map(|s| listed(s, 0, EndpointState::Ready, None)).collect();
     // A server that started just now was learnt of by nobody: it rises by its steps.
-    entries.push(listed(3, 0, Phase::Ready, Some(ms(1))));
+    entries.push(listed(3, 0, EndpointState::Ready, Some(ms(1))));
     rig.list(true, &entries);
     for (s, weight) in told.iter().enumerate() {
-        rig.planner.recall(s, *weight);
+        rig.planner.restore_weight(s, *weight);
     }
-    rig.planner.joined(rig.now, 0, 0, false, 1.0);
+    rig.planner.proxy_joined(rig.now, 0, 0, false, 1.0);
     for (s, weight) in bound.iter().enumerate() {
         assert!((rig.weight(0, s) - weight).abs() < 1e-6, "server {s} at {}", rig.weight(0, s));
     }
     assert!(rig.weight(0, 3) < 0.3);
-    let learnt = rig.planner.learnt();
+    let learnt = rig.planner.learned_weights();
     assert!((learnt[&0] / learnt[&1] - f64::from(bound[0] / bound[1])).abs() < 1e-3, "{learnt:?}");
 }
 
@@ -766,62 +786,63 @@
 #[case::nothing_has_changed(30)]
 #[case::one_has_gone(29)]
 fn a_planner_begins_with_what_a_former_one_had_dealt(#[case] left: usize) {
-    let plane = DataPlane {
+    let plane = ProxyCapabilities {
         zones: 2,
         slices: 0,
-        throttle_by: ThrottleBy::Share,
-        try_factor: 0.8,
+        admission_mode: AdmissionMode::Share,
+        attempt_timeout_factor: 0.8,
         proxies: 400,
-        least_conns: 200.0,
+        min_server_connections: 200.0,
     };
-    let all: Vec<Listed> = (0..30).map(|s| listed(s, (s % 2) as Zone, Phase::Ready, None)).collect();
-    let new = || Rig::on(plane, PACE, vec![route(1.0, Effect::Mutating)], true);
+    let all: Vec<Endpoint> =
+        (0..30).map(|s| listed(s, (s % 2) as ZoneId, EndpointState::Ready, None)).collect();
+    let new = || Rig::on(plane, PACE, vec![route(1.0, Idempotency::NonIdempotent)], true);
     let mut former = new();
     former.list(true, &all[..22]);
     former.list(true, &all);
-    (0..12).for_each(|p| former.planner.joined(former.now, p, p % 2, true, 1.0));
-    let (pools, bound) = former.planner.dealt();
+    (0..12).for_each(|p| former.planner.proxy_joined(former.now, p, p % 2, true, 1.0));
+    let (pools, bound) = former.planner.pool_assignments();
     assert!(pools.len() > 2 && bound.len() == 12, "{pools:?}");
     let mut next = new();
     next.list(true, &all[..left]);
-    assert_ne!(next.planner.dealt().0, pools, "dealt alike by chance: the test shows nothing");
+    assert_ne!(next.planner.pool_assignments().0, pools, "dealt alike by chance: the test shows nothing");
     let places = bound.iter().map(|(p, pool)| (*p, (p % 2, *pool))).collect();
-    next.planner.recall_dealt(&pools, &places);
-    for ((zone, held), (was, before)) in next.planner.dealt().0.iter().zip(&pools) {
+    next.planner.restore_pool_assignments(&pools, &places);
+    for ((zone, held), (was, before)) in next.planner.pool_assignments().0.iter().zip(&pools) {
         let kept = before.iter().filter(|s| **s < left);
         assert!(zone == was && kept.clone().all(|s| held.contains(s)), "{held:?} of {before:?}");
     }
     for proxy in (0..12).rev() {
-        next.planner.joined(next.now, proxy, proxy % 2, false, 1.0);
+        next.planner.proxy_joined(next.now, proxy, proxy % 2, false, 1.0);
     }
-    assert_eq!(next.planner.dealt().1, bound, "each proxy goes on with its own pool");
+    assert_eq!(next.planner.pool_assignments().1, bound, "each proxy goes on with its own pool");
     // A place that is none, and a server that never was, are left out.
     let mut odd = new();
     odd.list(true, &all);
-    odd.planner.recall_dealt(&[(0, vec![0, 99]), (1, vec![1])], &[(0, (0, 7))].into());
-    odd.planner.joined(odd.now, 0, 0, false, 1.0);
-    assert_eq!(odd.planner.dealt().1[&0], 0);
+    odd.planner.restore_pool_assignments(&[(0, vec![0, 99]), (1, vec![1])], &[(0, (0, 7))].into());
+    odd.planner.proxy_joined(odd.now, 0, 0, false, 1.0);
+    assert_eq!(odd.planner.pool_assignments().1[&0], 0);
 }
 
 #[rstest]
 #[case::of_a_slow_kind(2, 0.25, 0.75)]
 #[case::of_a_kind_not_seen_before(7, 0.9, 1.1)]
 fn a_fresh_server_begins_with_what_its_kind_has_earned(
-    #[case] kind: Kind,
+    #[case] kind: ServerKind,
     #[case] least: f32,
     #[case] most: f32,
 ) {
     // Found on releases: servers of a slow kind came back at the mean of their pool, twice what they are able to.
     let mut rig = Rig::with_servers(0, 1);
-    let of = |s: Server| if s.is_multiple_of(2) { 1 } else { 2 };
-    let entries: Vec<Listed> =
-        (0..6).map(|s| Listed { kind: of(s), ..listed(s, 0, Phase::Ready, None) }).collect();
+    let of = |s: ServerIndex| if s.is_multiple_of(2) { 1 } else { 2 };
+    let entries: Vec<Endpoint> =
+        (0..6).map(|s| Endpoint { kind: of(s), ..listed(s, 0, EndpointState::Ready, None) }).collect();
     rig.list(true, &entries);
-    rig.planner.joined(rig.now, 0, 0, true, 1.0);
-    let told = |s: Server| (s < 6).then_some((5, 0, [if s.is_multiple_of(2) { 0.3 } else { 0.9 }, 0.0]));
+    rig.planner.proxy_joined(rig.now, 0, 0, true, 1.0);
+    let told = |s: ServerIndex| (s < 6).then_some((5, 0, [if s.is_multiple_of(2) { 0.3 } else { 0.9 }, 0.0]));
     rig.run(Duration::from_secs(12), told);
     let mean = (0..6).map(|s| rig.weight(0, s)).sum::<f32>() / 6.0;
-    rig.list(false, &[Listed { kind, ..listed(6, 0, Phase::Ready, Some(ms(500))) }]);
+    rig.list(false, &[Endpoint { kind, ..listed(6, 0, EndpointState::Ready, Some(ms(500))) }]);
     rig.run(Duration::from_secs(3), told);
     let fresh = 4.0 * rig.weight(0, 6) / mean;
     assert!((least..most).contains(&fresh), "a quarter of {fresh} of the mean");
@@ -832,12 +853,13 @@
     // Found on releases: pools that had lost servers all took the same fresh ones, each for a quarter.
     let mut rig = Rig::grown(40, 80, PACE, true);
     rig.run(Duration::from_secs(12), |s| QUIET.filter(|_| s < 40));
-    let fresh: Vec<Listed> = (40..44).map(|s| listed(2 * s, 0, Phase::Ready, Some(ms(500)))).collect();
+    let fresh: Vec<Endpoint> =
+        (40..44).map(|s| listed(2 * s, 0, EndpointState::Ready, Some(ms(500)))).collect();
     rig.list(false, &fresh);
-    let gone: Vec<Listed> = (0..15).map(|s| listed(2 * s, 0, Phase::Draining, None)).collect();
+    let gone: Vec<Endpoint> = (0..15).map(|s| listed(2 * s, 0, EndpointState::Draining, None)).collect();
     rig.list(false, &gone);
     rig.run(Duration::from_secs(3), |s| QUIET.filter(|_| s < 40));
-    let tables: BTreeSet<Table> = rig.kept.borrow().bound.values().flatten().copied().collect();
+    let tables: BTreeSet<TableId> = rig.kept.borrow().bound.values().flatten().copied().collect();
     for s in (40..44).map(|s| 2 * s) {
         let holders = tables.iter().take(tables.len() / 2).filter(|t| rig.held(**t).contains(&s)).count();
         assert!(holders <= 1, "server {s} is in {holders} tables");
@@ -845,12 +867,12 @@
 }
 
 #[rstest]
-#[case::one_of_five_cold(1, Tries::AfterProof)]
-#[case::two_of_five_cold(2, Tries::One)]
-fn no_second_tries_while_many_servers_are_cold(#[case] cold: usize, #[case] tries: Tries) {
+#[case::one_of_five_cold(1, RetryPolicy::IfNotExecuted)]
+#[case::two_of_five_cold(2, RetryPolicy::Never)]
+fn no_second_tries_while_many_servers_are_cold(#[case] cold: usize, #[case] tries: RetryPolicy) {
     let mut rig = Rig::with_servers(5, 1);
     rig.run(Duration::from_secs(5), |s| QUIET.filter(|_| s < 5));
-    let fresh: Vec<Listed> = (0..cold).map(|s| listed(s, 0, Phase::Ready, Some(ms(500)))).collect();
+    let fresh: Vec<Endpoint> = (0..cold).map(|s| listed(s, 0, EndpointState::Ready, Some(ms(500)))).collect();
     rig.list(false, &fresh);
     rig.run(Duration::from_secs(2), |s| QUIET.filter(|_| s < 5));
     let kept = rig.kept.borrow();
@@ -866,23 +888,23 @@
     const OLD: usize = 64;
     let mut rig = Rig::grown(OLD, 400, PACE, true);
     rig.run(Duration::from_secs(3), |s| QUIET.filter(|_| s < OLD));
-    let new: Vec<Listed> =
-        (OLD..2 * OLD).map(|s| listed(s, (s % 2) as Zone, Phase::Ready, Some(ms(1000)))).collect();
+    let new: Vec<Endpoint> =
+        (OLD..2 * OLD).map(|s| listed(s, (s % 2) as ZoneId, EndpointState::Ready, Some(ms(1000)))).collect();
     rig.list(false, &new);
     rig.run(Duration::from_secs(4), |s| QUIET.filter(|_| s < OLD));
-    let tables: BTreeSet<Table> = rig.kept.borrow().bound.values().flatten().copied().collect();
-    let zone = |s: &Server| s % 2;
-    let near_of = |rig: &Rig, table: Table| {
+    let tables: BTreeSet<TableId> = rig.kept.borrow().bound.values().flatten().copied().collect();
+    let zone = |s: &ServerIndex| s % 2;
+    let near_of = |rig: &Rig, table: TableId| {
         let held = rig.held(table);
         let most = (0..2).max_by_key(|z| held.iter().filter(|s| zone(s) == *z).count());
-        held.into_iter().filter(|s| Some(zone(s)) == most).collect::<Vec<Server>>()
+        held.into_iter().filter(|s| Some(zone(s)) == most).collect::<Vec<ServerIndex>>()
     };
     let step = if every == 1 { tables.len() } else { every };
-    let losing: Vec<Table> = tables.iter().copied().step_by(step).collect();
-    let drained: BTreeSet<Server> =
+    let losing: Vec<TableId> = tables.iter().copied().step_by(step).collect();
+    let drained: BTreeSet<ServerIndex> =
         losing.iter().flat_map(|t| near_of(&rig, *t)).filter(|s| *s < OLD).collect();
-    let entries: Vec<Listed> =
-        drained.iter().map(|s| listed(*s, zone(s) as Zone, Phase::Draining, None)).collect();
+    let entries: Vec<Endpoint> =
+        drained.iter().map(|s| listed(*s, zone(s) as ZoneId, EndpointState::Draining, None)).collect();
     rig.list(false, &entries);
     rig.run(Duration::from_secs(2), |s| QUIET.filter(|_| s < OLD && !drained.contains(&s)));
     for table in losing {
@@ -900,8 +922,8 @@
     let mut rig = Rig::grown(SERVERS, 400, PACE, true);
     rig.run(Duration::from_secs(3), |_| QUIET);
     let table = *rig.kept.borrow().bound[&0].iter().next().unwrap();
-    let own: Vec<Server> = rig.held(table).into_iter().filter(|s| s % 2 == 0).collect();
-    let near = |rig: &Rig| rig.held(table).into_iter().filter(|s| s % 2 == 0).collect::<Vec<Server>>();
+    let own: Vec<ServerIndex> = rig.held(table).into_iter().filter(|s| s % 2 == 0).collect();
+    let near = |rig: &Rig| rig.held(table).into_iter().filter(|s| s % 2 == 0).collect::<Vec<ServerIndex>>();
     let back = |rig: &Rig| near(rig).iter().filter(|s| own.contains(s)).count();
     let others = |rig: &Rig| near(rig).iter().filter(|s| !own.contains(s)).count();
     rig.run(Duration::from_secs(4), |s| if own.contains(&s) { Some((10, 10, [0.9, 3.0])) } else { QUIET });
