--- a/crates/platform-protocol/tests/fixtures.rs
+++ b/crates/platform-protocol/tests/fixtures.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code)]
 mod helpers;
 
-use grebespool::host::{Effect, Field, ThrottleBy};
+use grebespool::host::{AdmissionMode, Idempotency, LoadMetric};
 use grebespool_platform_protocol::{Call, Came, Frames, Message, Met, Terms, Watch, read};
 use helpers::*;
 use rstest::rstest;
@@ -77,19 +77,25 @@
         (vec!["look up".into(), "store".into()], vec!["north".into(), "south".into()])
     );
     assert_eq!(terms.fields, ["cpu_share", "pending"]);
-    assert_eq!(terms.sight.fields, [Field::CpuShare, Field::Pending]);
+    assert_eq!(terms.sight.metrics, [LoadMetric::Utilization, LoadMetric::Pending]);
     assert_eq!(
-        (terms.sight.cycle, terms.sight.probing, terms.sight.ask_within),
+        (terms.sight.report_interval, terms.sight.health_checks, terms.sight.endpoint_poll_interval),
         (ms(500), true, Some(ms(9000)))
     );
-    let routes: Vec<_> =
-        terms.routes.iter().map(|route| (route.importance, route.slo, route.effect)).collect();
-    assert_eq!(routes, [(1.0, ms(900), Effect::Repeatable), (3.0, ms(700), Effect::Mutating)]);
+    let routes: Vec<_> = terms
+        .routes
+        .iter()
+        .map(|route| (route.priority_weight, route.latency_objective, route.idempotency))
+        .collect();
+    assert_eq!(routes, [(1.0, ms(900), Idempotency::Idempotent), (3.0, ms(700), Idempotency::NonIdempotent)]);
     assert_eq!(terms.graces.warm_up, ms(12_000));
-    assert_eq!((terms.pace.lines_per_s, terms.pace.most_waiting, terms.pace.head), (8000.0, 9000.0, 3.0));
-    assert_eq!(terms.pace.worst_transit, ms(400));
-    assert_eq!((terms.plane.zones, terms.plane.proxies, terms.plane.try_factor), (2, 12, 0.7));
-    assert_eq!(terms.plane.throttle_by, ThrottleBy::Share);
+    assert_eq!(
+        (terms.pace.entries_per_s, terms.pace.max_queued_entries, terms.pace.message_overhead),
+        (8000.0, 9000.0, 3.0)
+    );
+    assert_eq!(terms.pace.max_transit, ms(400));
+    assert_eq!((terms.plane.zones, terms.plane.proxies, terms.plane.attempt_timeout_factor), (2, 12, 0.7));
+    assert_eq!(terms.plane.admission_mode, AdmissionMode::Share);
 }
 
 /// Servers in the table of a proxy after an answer of discovery, and the version that is known then.
