--- a/crates/platform-protocol/src/terms.rs
+++ b/crates/platform-protocol/src/terms.rs
@@ -1,7 +1,7 @@
 //! The file that a planner is started with.
 
 use grebespool::host::*;
-use grebespool_platform_settings::Stated;
+use grebespool_platform_settings::{PlatformSettings, SettingsError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -77,9 +77,8 @@
             let name = |v: &Value| v.as_str().map(String::from);
             items.iter().map(name).collect::<Option<_>>().map_or_else(|| bad(field, "holds no names"), Ok)
         };
-        let stated = Stated::json(settings);
-        let within =
-            |m: grebespool_platform_settings::Malformed| BadTerms { field: "settings".into(), fault: m.0 };
+        let stated = PlatformSettings::from_json(settings);
+        let within = |error: SettingsError| BadTerms { field: "settings".into(), fault: error.to_string() };
         let classes = match settings.get("classes") {
             Some(Value::Array(classes)) => {
                 classes.iter().map(|c| c.get("name").cloned().unwrap_or_default()).collect()
@@ -87,10 +86,10 @@
             _ => return bad("settings.classes", "is missing or no list"),
         };
         let report = settings.get("report").and_then(|r| r.get("fields"));
-        let (routes, mut sight) = (stated.routes().map_err(within)?, stated.sight().map_err(within)?);
+        let (routes, mut sight) = (stated.routes().map_err(within)?, stated.observability().map_err(within)?);
         // Where the simulator pushes the list, the platform still tells it only to who asks and goes on asking.
         sight.endpoint_poll_interval.get_or_insert(Self::ASK_WITHIN);
-        let plane = stated.plane().map_err(within)?;
+        let plane = stated.proxy_capabilities().map_err(within)?;
         if routes.is_empty() {
             return bad("settings.classes", "is empty");
         }
@@ -114,8 +113,8 @@
             fields: if report.is_some() { names(report, "settings.report.fields")? } else { vec![] },
             routes,
             plane,
-            graces: stated.graces().map_err(within)?,
-            pace: stated.pace().map_err(within)?,
+            graces: stated.timeouts().map_err(within)?,
+            pace: stated.control_channel_limits().map_err(within)?,
             sight,
         })
     }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,193 +1,252 @@
-//! What a deployment states of itself, turned into what a planner is started with. It comes as `path=value` pairs, a
-//! line each, or as nested JSON; one reader serves both.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-
-use grebespool::host::*;
+//! The settings of a deployment as the simulator and the platform state them, read into what a policy is created with.
+//!
+//! They come as `path=value` pairs, a line each, or as nested JSON; one reader serves both. It does no I/O and decides
+//! nothing; keys that it does not know are ignored. The keys are mapped to the policy's terms in `keys`, and nowhere else.
+
+mod json;
+mod keys;
+
+use grebespool::host::{
+    AdmissionMode, ControlChannelLimits, DeduplicationScope, Idempotency, LoadMetric, Observability,
+    ProxyCapabilities, Route, Timeouts,
+};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use std::time::Duration;
 use thiserror::Error;
 
-/// What is wrong with what is stated, and where.
-#[derive(Debug, Clone, PartialEq, Eq, Error)]
-#[error("{0}")]
-pub struct Malformed(pub String);
+/// A [`RouteSet`](grebespool::host::RouteSet) has this many bits.
+const MAX_ROUTES: usize = 16;
+const MS_PER_S: f64 = 1000.0;
 
-fn malformed<T>(what: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(what.into()))
+/// Why settings cannot be used.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum SettingsError {
+    /// The bytes are not UTF-8.
+    #[error("the settings are not text")]
+    NotText,
+    /// A key that has no default is absent or empty.
+    #[error("setting {key} is missing")]
+    Missing {
+        /// The key.
+        key: String,
+    },
+    /// The value is not of the key's type.
+    #[error("setting {key} cannot be read: {value}")]
+    Unreadable {
+        /// The key.
+        key: String,
+        /// Its value.
+        value: String,
+    },
+    /// The value is negative, or no number.
+    #[error("setting {key} is no span: {ms}")]
+    NoDuration {
+        /// The key.
+        key: String,
+        /// Its value, in milliseconds.
+        ms: String,
+    },
+    /// More routes than a set of routes can hold.
+    #[error("setting {key} is over {MAX_ROUTES}: {count}")]
+    TooManyRoutes {
+        /// The key.
+        key: &'static str,
+        /// The number of routes.
+        count: usize,
+    },
+    /// The value is none of those that the key may have.
+    #[error("setting {key} is unknown: {value}")]
+    Unknown {
+        /// The key.
+        key: String,
+        /// Its value.
+        value: String,
+    },
 }
 
-/// Plain values by their paths; a list of plain ones is joined by commas.
-pub struct Stated(BTreeMap<String, String>);
+/// The settings of a deployment: plain values by the paths of their keys. A list of plain values is joined by commas.
+pub struct PlatformSettings {
+    values: BTreeMap<String, String>,
+}
 
-impl Stated {
-    pub fn pairs(text: &[u8]) -> Result<Self, Malformed> {
-        let Ok(text) = std::str::from_utf8(text) else {
-            return malformed("the settings are not text");
-        };
+impl PlatformSettings {
+    /// Reads `path=value` pairs, a line each; other lines are ignored.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::NotText`].
+    pub fn from_pairs(text: &[u8]) -> Result<Self, SettingsError> {
+        let text = std::str::from_utf8(text).map_err(|_| SettingsError::NotText)?;
         let pairs = text.lines().filter_map(|line| line.split_once('='));
-        Ok(Stated(pairs.map(|(path, value)| (path.into(), value.into())).collect()))
-    }
-
-    pub fn json(nested: &Value) -> Self {
-        let mut paths = BTreeMap::new();
-        flatten(String::new(), nested, &mut paths);
-        Stated(paths)
-    }
-
-    fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>, Malformed> {
-        match self.0.get(key).map(|v| v.trim()).filter(|v| !v.is_empty()) {
-            None => Ok(None),
-            Some(v) => match v.parse() {
-                Ok(v) => Ok(Some(v)),
-                Err(_) => malformed(format!("setting {key} cannot be read: {v}")),
-            },
-        }
+        Ok(PlatformSettings { values: pairs.map(|(path, value)| (path.into(), value.into())).collect() })
     }
 
-    fn needed<T: FromStr>(&self, key: &str) -> Result<T, Malformed> {
-        match self.optional(key)? {
-            Some(v) => Ok(v),
-            None => malformed(format!("setting {key} is missing")),
-        }
+    /// Reads nested JSON: the names of fields and the positions of items, joined by dots, are the path of a value.
+    pub fn from_json(nested: &Value) -> Self {
+        PlatformSettings { values: json::flatten(nested) }
     }
 
-    fn span(&self, key: &str) -> Result<Duration, Malformed> {
-        let ms: f64 = self.needed(key)?;
-        match Duration::try_from_secs_f64(ms / 1000.0) {
-            Ok(span) => Ok(span),
-            Err(_) => malformed(format!("setting {key} is no span: {ms}")),
+    /// The routes, in their order.
+    ///
+    /// # Errors
+    ///
+    /// Any but [`SettingsError::NotText`], for the first key that cannot be used.
+    pub fn routes(&self) -> Result<Vec<Route>, SettingsError> {
+        let count: usize = self.required(keys::ROUTE_COUNT)?;
+        if count > MAX_ROUTES {
+            return Err(SettingsError::TooManyRoutes { key: keys::ROUTE_COUNT, count });
         }
+        let zone_local: Vec<bool> = self.list(keys::ZONE_LOCAL).map(|value| value == "true").collect();
+        (0..count).map(|route| self.route(route, zone_local.get(route).copied().unwrap_or(false))).collect()
     }
 
-    fn list(&self, key: &str) -> impl Iterator<Item = &str> {
-        self.0.get(key).map_or("", String::as_str).split(',').filter(|v| !v.is_empty())
+    fn route(&self, route: usize, zone_local: bool) -> Result<Route, SettingsError> {
+        Ok(Route {
+            priority_weight: self.required(&keys::of_route(route, keys::PRIORITY_WEIGHT))?,
+            latency_objective: self.duration(&keys::of_route(route, keys::LATENCY_OBJECTIVE_MS))?,
+            idempotency: self.idempotency(route)?,
+            zone_local,
+        })
     }
 
-    pub fn routes(&self) -> Result<Vec<Route>, Malformed> {
-        let count: usize = self.needed("classes.count")?;
-        if count > 16 {
-            return malformed(format!("setting classes.count is over 16: {count}"));
+    fn idempotency(&self, route: usize) -> Result<Idempotency, SettingsError> {
+        let key = keys::of_route(route, keys::IDEMPOTENCY);
+        let value: String = self.required(&key)?;
+        match value.as_str() {
+            "retryable" => Ok(Idempotency::Idempotent),
+            "dedup" => {
+                let scope = self.deduplication_scope(route)?;
+                let window = self.duration(&keys::of_route(route, keys::DEDUPLICATION_WINDOW_MS))?;
+                Ok(Idempotency::Keyed { scope, window })
+            }
+            "fragile" => Ok(Idempotency::NonIdempotent),
+            _ => Err(SettingsError::Unknown { key, value }),
         }
-        let local: Vec<bool> = self.list("familyInfo.staysLocal").map(|v| v == "true").collect();
-        (0..count).map(|i| self.route(i, local.get(i).copied().unwrap_or(false))).collect()
     }
 
-    fn route(&self, i: usize, stays_local: bool) -> Result<Route, Malformed> {
-        let key = |name: &str| format!("classes.{i}.{name}");
-        let effect: String = self.needed(&key("effect"))?;
-        let effect = match effect.as_str() {
-            "retryable" => Idempotency::Idempotent,
-            "dedup" => {
-                let scope: Option<String> = self.optional(&key("dedupScope"))?;
-                let group = match scope.as_deref() {
-                    Some("all") => DeduplicationScope::All,
-                    Some("zone") => DeduplicationScope::Zone,
-                    _ => DeduplicationScope::Cell,
-                };
-                Idempotency::Keyed { scope: group, window: self.span(&key("dedupWindowMs"))? }
-            }
-            "fragile" => Idempotency::NonIdempotent,
-            other => return malformed(format!("setting {} is unknown: {other}", key("effect"))),
-        };
-        Ok(Route {
-            priority_weight: self.needed(&key("points"))?,
-            latency_objective: self.span(&key("aimMs"))?,
-            idempotency: effect,
-            zone_local: stays_local,
+    fn deduplication_scope(&self, route: usize) -> Result<DeduplicationScope, SettingsError> {
+        let scope: Option<String> = self.optional(&keys::of_route(route, keys::DEDUPLICATION_SCOPE))?;
+        Ok(match scope.as_deref() {
+            Some("all") => DeduplicationScope::All,
+            Some("zone") => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Cell,
         })
     }
 
-    pub fn plane(&self) -> Result<ProxyCapabilities, Malformed> {
-        let throttle_by: Option<String> = self.optional("familyInfo.throttleBy")?;
-        let throttle_by = match throttle_by.as_deref() {
-            Some("share") => AdmissionMode::Share,
-            Some("rate") => AdmissionMode::Rate,
-            None | Some("off") => AdmissionMode::Off,
-            // A level of one of them means something else to each.
-            Some(other) => return malformed(format!("setting familyInfo.throttleBy is unknown: {other}")),
-        };
+    /// What the proxies are able to do.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Unreadable`], and [`SettingsError::Unknown`] for the admission mode.
+    pub fn proxy_capabilities(&self) -> Result<ProxyCapabilities, SettingsError> {
         Ok(ProxyCapabilities {
-            zones: self.list("zones").count(),
-            slices: self.optional("familyInfo.slices")?.unwrap_or(0),
-            admission_mode: throttle_by,
-            attempt_timeout_factor: self.optional("familyInfo.tryFactor")?.unwrap_or(1.0),
-            proxies: self.optional("familyInfo.dataPlaneSize")?.unwrap_or(0),
-            min_server_connections: self.optional("familyInfo.connsLeast")?.unwrap_or(f64::INFINITY),
+            zones: self.list(keys::ZONES).count(),
+            slices: self.optional(keys::SLICES)?.unwrap_or(0),
+            admission_mode: self.admission_mode()?,
+            attempt_timeout_factor: self.optional(keys::ATTEMPT_TIMEOUT_FACTOR)?.unwrap_or(1.0),
+            proxies: self.optional(keys::PROXIES)?.unwrap_or(0),
+            min_server_connections: self.optional(keys::MIN_SERVER_CONNECTIONS)?.unwrap_or(f64::INFINITY),
         })
     }
 
-    pub fn graces(&self) -> Result<Timeouts, Malformed> {
-        Ok(Timeouts {
-            warm_up: self.span("invariants.warmUpMs")?,
-            removal_is_final: !self.optional("invariants.removalNotBinding")?.unwrap_or(false),
-        })
+    /// An unknown mode is an error: a level means something else in each.
+    fn admission_mode(&self) -> Result<AdmissionMode, SettingsError> {
+        let mode: Option<String> = self.optional(keys::ADMISSION_MODE)?;
+        match mode.as_deref() {
+            Some("share") => Ok(AdmissionMode::Share),
+            Some("rate") => Ok(AdmissionMode::Rate),
+            None | Some("off") => Ok(AdmissionMode::Off),
+            Some(value) => {
+                Err(SettingsError::Unknown { key: keys::ADMISSION_MODE.into(), value: value.into() })
+            }
+        }
+    }
+
+    /// The deadlines around the start and the removal of servers.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Missing`], [`SettingsError::Unreadable`] and [`SettingsError::NoDuration`].
+    pub fn timeouts(&self) -> Result<Timeouts, SettingsError> {
+        let removal_is_not_final = self.optional(keys::REMOVAL_IS_NOT_FINAL)?.unwrap_or(false);
+        Ok(Timeouts { warm_up: self.duration(keys::WARM_UP_MS)?, removal_is_final: !removal_is_not_final })
     }
 
-    pub fn pace(&self) -> Result<ControlChannelLimits, Malformed> {
-        let most_messages = self.optional("familyInfo.pushesAllowed")?.unwrap_or(0);
+    /// The capacity of the control channel.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Missing`], [`SettingsError::Unreadable`] and [`SettingsError::NoDuration`].
+    pub fn control_channel_limits(&self) -> Result<ControlChannelLimits, SettingsError> {
+        let max_messages = self.optional(keys::MAX_MESSAGES)?.unwrap_or(0);
         Ok(ControlChannelLimits {
-            entries_per_s: self.needed("familyInfo.linesPerS")?,
-            max_queued_entries: self.needed("familyInfo.mostWaiting")?,
-            message_overhead: self.optional("familyInfo.head")?.unwrap_or(0.0),
-            max_messages: most_messages,
-            window: match most_messages {
+            entries_per_s: self.required(keys::ENTRIES_PER_S)?,
+            max_queued_entries: self.required(keys::MAX_QUEUED_ENTRIES)?,
+            message_overhead: self.optional(keys::MESSAGE_OVERHEAD)?.unwrap_or(0.0),
+            max_messages,
+            window: match max_messages {
                 0 => Duration::ZERO,
-                _ => self.span("familyInfo.updateWindowMs")?,
+                _ => self.duration(keys::MESSAGE_WINDOW_MS)?,
             },
-            max_transit: self.span("familyInfo.worstTransitMs")?,
+            max_transit: self.duration(keys::MAX_TRANSIT_MS)?,
         })
     }
 
-    pub fn sight(&self) -> Result<Observability, Malformed> {
-        let mode: Option<String> = self.optional("registryMode")?;
-        let how: Option<String> = self.optional("report.how")?;
-        let fields = self.list("report.fields").map(|name| match name {
-            "busy_reqs" => LoadMetric::InFlight,
-            "pending" => LoadMetric::Pending,
-            "cpu_share" => LoadMetric::Utilization,
-            "svc_ms" => LoadMetric::ServiceTimeMs,
-            "served_ps" => LoadMetric::ResponsesPerSecond,
-            "failed_ps" => LoadMetric::ErrorsPerSecond,
-            _ => LoadMetric::Other,
-        });
+    /// What the policy can observe.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Missing`], [`SettingsError::Unreadable`] and [`SettingsError::NoDuration`].
+    pub fn observability(&self) -> Result<Observability, SettingsError> {
+        let list_mode: Option<String> = self.optional(keys::ENDPOINT_LIST_MODE)?;
+        let report_mode: Option<String> = self.optional(keys::REPORT_MODE)?;
+        let metrics = self.list(keys::REPORT_METRICS).map(load_metric);
         Ok(Observability {
-            metrics: if how.as_deref() == Some("off") { vec![] } else { fields.collect() },
-            report_interval: self.span("familyInfo.cycleMs")?,
-            health_checks: self.optional("allowed.probing")?.unwrap_or(false),
-            endpoint_poll_interval: match mode.as_deref() {
-                Some("on_request") => Some(self.span("invariants.askEveryMs")?),
+            metrics: if report_mode.as_deref() == Some("off") { vec![] } else { metrics.collect() },
+            report_interval: self.duration(keys::REPORT_INTERVAL_MS)?,
+            health_checks: self.optional(keys::HEALTH_CHECKS)?.unwrap_or(false),
+            endpoint_poll_interval: match list_mode.as_deref() {
+                Some("on_request") => Some(self.duration(keys::ENDPOINT_POLL_INTERVAL_MS)?),
                 _ => None,
             },
         })
     }
-}
 
-fn flatten(path: String, value: &Value, paths: &mut BTreeMap<String, String>) {
-    let below = |name: &str| if path.is_empty() { name.into() } else { format!("{path}.{name}") };
-    match value {
-        Value::Null => {}
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(below(name), v, paths)),
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            paths.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, v)| flatten(below(&i.to_string()), v, paths));
-        }
-        Value::Array(items) => {
-            paths.insert(path, items.iter().map(plain).collect::<Vec<_>>().join(","));
-        }
-        plain_value => {
-            paths.insert(path, plain(plain_value));
-        }
+    fn optional<T: FromStr>(&self, key: &str) -> Result<Option<T>, SettingsError> {
+        let Some(value) = self.values.get(key).map(|value| value.trim()).filter(|value| !value.is_empty())
+        else {
+            return Ok(None);
+        };
+        let unreadable = |_| SettingsError::Unreadable { key: key.into(), value: value.into() };
+        value.parse().map(Some).map_err(unreadable)
+    }
+
+    fn required<T: FromStr>(&self, key: &str) -> Result<T, SettingsError> {
+        self.optional(key)?.ok_or_else(|| SettingsError::Missing { key: key.into() })
+    }
+
+    /// A duration that is stated in milliseconds.
+    fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
+        let ms: f64 = self.required(key)?;
+        let no_duration = |_| SettingsError::NoDuration { key: key.into(), ms: ms.to_string() };
+        Duration::try_from_secs_f64(ms / MS_PER_S).map_err(no_duration)
+    }
+
+    fn list(&self, key: &str) -> impl Iterator<Item = &str> {
+        self.values.get(key).map_or("", String::as_str).split(',').filter(|value| !value.is_empty())
     }
 }
 
-/// As pairs have it: what would part a list or a line stands as an underline.
-fn plain(value: &Value) -> String {
-    match value {
-        Value::String(text) => text.replace([' ', ',', '\n'], "_"),
-        Value::Null => String::new(),
-        other => other.to_string(),
+fn load_metric(name: &str) -> LoadMetric {
+    match name {
+        "busy_reqs" => LoadMetric::InFlight,
+        "pending" => LoadMetric::Pending,
+        "cpu_share" => LoadMetric::Utilization,
+        "svc_ms" => LoadMetric::ServiceTimeMs,
+        "served_ps" => LoadMetric::ResponsesPerSecond,
+        "failed_ps" => LoadMetric::ErrorsPerSecond,
+        _ => LoadMetric::Other,
     }
 }
--- a/crates/platform-settings/tests/fixtures.rs
+++ b/crates/platform-settings/tests/fixtures.rs
@@ -1,22 +1,21 @@
 //! A fixed text with every key of the settings, as pairs and as nested JSON: each key is read into its field.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool::host::{AdmissionMode, DeduplicationScope, Idempotency, LoadMetric};
-use grebespool_platform_settings::Stated;
+use grebespool_platform_settings::PlatformSettings;
 use rstest::rstest;
 use std::time::Duration;
 
 const PAIRS: &[u8] = include_bytes!("fixtures/settings.txt");
 const NESTED: &str = include_str!("fixtures/settings.json");
 
-fn pairs() -> Stated {
-    Stated::pairs(PAIRS).unwrap()
+fn pairs() -> PlatformSettings {
+    PlatformSettings::from_pairs(PAIRS).unwrap()
 }
 
-fn nested() -> Stated {
-    Stated::json(&serde_json::from_str(NESTED).unwrap())
+fn nested() -> PlatformSettings {
+    PlatformSettings::from_json(&serde_json::from_str(NESTED).unwrap())
 }
 
 const fn ms(ms: u64) -> Duration {
@@ -26,8 +25,8 @@
 #[rstest]
 #[case::pairs(pairs())]
 #[case::nested(nested())]
-fn every_key_of_the_routes_is_read(#[case] stated: Stated) {
-    let routes = stated.routes().unwrap();
+fn reads_every_key_of_the_routes(#[case] settings: PlatformSettings) {
+    let routes = settings.routes().unwrap();
     let expected = [
         (1.0, ms(900), Idempotency::Idempotent, false),
         (3.5, ms(700), Idempotency::Keyed { scope: DeduplicationScope::Zone, window: ms(1200) }, true),
@@ -47,24 +46,33 @@
 #[rstest]
 #[case::pairs(pairs())]
 #[case::nested(nested())]
-fn every_key_of_the_proxies_and_of_the_channel_is_read(#[case] stated: Stated) {
-    let plane = stated.plane().unwrap();
-    assert_eq!((plane.zones, plane.slices, plane.admission_mode), (2, 4, AdmissionMode::Rate));
-    assert_eq!((plane.attempt_timeout_factor, plane.proxies, plane.min_server_connections), (0.7, 12, 90.0));
-    let pace = stated.pace().unwrap();
-    assert_eq!((pace.entries_per_s, pace.max_queued_entries, pace.message_overhead), (8000.0, 9000.0, 3.0));
-    assert_eq!((pace.max_messages, pace.window, pace.max_transit), (10, ms(8000), ms(400)));
+fn reads_every_key_of_the_proxies_and_the_channel(#[case] settings: PlatformSettings) {
+    let capabilities = settings.proxy_capabilities().unwrap();
+    assert_eq!(
+        (capabilities.zones, capabilities.slices, capabilities.admission_mode),
+        (2, 4, AdmissionMode::Rate)
+    );
+    assert_eq!(
+        (capabilities.attempt_timeout_factor, capabilities.proxies, capabilities.min_server_connections),
+        (0.7, 12, 90.0)
+    );
+    let limits = settings.control_channel_limits().unwrap();
+    assert_eq!(
+        (limits.entries_per_s, limits.max_queued_entries, limits.message_overhead),
+        (8000.0, 9000.0, 3.0)
+    );
+    assert_eq!((limits.max_messages, limits.window, limits.max_transit), (10, ms(8000), ms(400)));
 }
 
 #[rstest]
 #[case::pairs(pairs())]
 #[case::nested(nested())]
-fn every_key_of_the_times_and_of_the_reports_is_read(#[case] stated: Stated) {
-    let graces = stated.graces().unwrap();
-    assert_eq!((graces.warm_up, graces.removal_is_final), (ms(12_000), false));
-    let sight = stated.sight().unwrap();
+fn reads_every_key_of_the_timeouts_and_the_reports(#[case] settings: PlatformSettings) {
+    let timeouts = settings.timeouts().unwrap();
+    assert_eq!((timeouts.warm_up, timeouts.removal_is_final), (ms(12_000), false));
+    let observability = settings.observability().unwrap();
     assert_eq!(
-        (sight.report_interval, sight.health_checks, sight.endpoint_poll_interval),
+        (observability.report_interval, observability.health_checks, observability.endpoint_poll_interval),
         (ms(500), true, Some(ms(9000)))
     );
     let fields = [
@@ -76,5 +84,5 @@
         LoadMetric::ErrorsPerSecond,
         LoadMetric::Other,
     ];
-    assert_eq!(sight.metrics, fields);
+    assert_eq!(observability.metrics, fields);
 }
--- a/crates/platform-settings/tests/stated.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -1,10 +1,9 @@
 //! The same deployment as pairs of text and as nested JSON.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool::host::AdmissionMode;
-use grebespool_platform_settings::Stated;
+use grebespool_platform_settings::PlatformSettings;
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -39,38 +38,57 @@
     })
 }
 
-fn all(stated: &Stated) -> String {
-    let parts = (stated.routes(), stated.plane(), stated.graces(), stated.pace(), stated.sight());
+fn all(settings: &PlatformSettings) -> String {
+    let parts = (
+        settings.routes(),
+        settings.proxy_capabilities(),
+        settings.timeouts(),
+        settings.control_channel_limits(),
+        settings.observability(),
+    );
     format!("{parts:?}")
 }
 
 #[rstest]
-fn pairs_and_nested_json_are_read_alike() {
-    let (pairs, nested) = (Stated::pairs(PAIRS.as_bytes()).unwrap(), Stated::json(&nested()));
+fn reads_pairs_and_nested_json_alike() {
+    let (pairs, nested) =
+        (PlatformSettings::from_pairs(PAIRS.as_bytes()).unwrap(), PlatformSettings::from_json(&nested()));
     assert_eq!(all(&pairs), all(&nested));
-    assert_eq!(pairs.plane().unwrap().proxies, 12);
+    assert_eq!(pairs.proxy_capabilities().unwrap().proxies, 12);
     assert!(!all(&pairs).contains("Err"), "{}", all(&pairs));
 }
 
 #[rstest]
 #[case::left_out("/familyInfo/linesPerS", Value::Null, "setting familyInfo.linesPerS is missing")]
 #[case::no_number("/familyInfo/linesPerS", json!("fast"), "setting familyInfo.linesPerS cannot be read: fast")]
-#[case::below_nought("/familyInfo/worstTransitMs", json!(-1), "setting familyInfo.worstTransitMs is no span: -1")]
-fn a_fault_names_its_place(#[case] at: &str, #[case] value: Value, #[case] says: &str) {
+#[case::negative("/familyInfo/worstTransitMs", json!(-1), "setting familyInfo.worstTransitMs is no span: -1")]
+fn error_names_the_key(#[case] at: &str, #[case] value: Value, #[case] says: &str) {
     let mut settings = nested();
     *settings.pointer_mut(at).unwrap() = value;
-    assert_eq!(Stated::json(&settings).pace().unwrap_err().0, says);
+    assert_eq!(
+        PlatformSettings::from_json(&settings).control_channel_limits().unwrap_err().to_string(),
+        says
+    );
 }
 
-/// What a level means to proxies is stated, and a kind that is not known is no guess.
+/// An unknown mode is refused, since a level means something else in each.
 #[rstest]
 #[case::shares(json!("share"), Ok(AdmissionMode::Share))]
 #[case::rates(json!("rate"), Ok(AdmissionMode::Rate))]
 #[case::off(json!("off"), Ok(AdmissionMode::Off))]
 #[case::left_out(Value::Null, Ok(AdmissionMode::Off))]
 #[case::unknown(json!("tokens"), Err("setting familyInfo.throttleBy is unknown: tokens".to_string()))]
-fn what_levels_are_is_stated(#[case] stated: Value, #[case] is: Result<AdmissionMode, String>) {
+fn reads_admission_mode_and_refuses_unknown_ones(
+    #[case] mode: Value,
+    #[case] expected: Result<AdmissionMode, String>,
+) {
     let mut settings = nested();
-    settings["familyInfo"]["throttleBy"] = stated;
-    assert_eq!(Stated::json(&settings).plane().map(|p| p.admission_mode).map_err(|m| m.0), is);
+    settings["familyInfo"]["throttleBy"] = mode;
+    assert_eq!(
+        PlatformSettings::from_json(&settings)
+            .proxy_capabilities()
+            .map(|capabilities| capabilities.admission_mode)
+            .map_err(|error| error.to_string()),
+        expected
+    );
 }
--- a/crates/wirehost/src/frame.rs
+++ b/crates/wirehost/src/frame.rs
@@ -16,9 +16,9 @@
     }
 }
 
-impl From<grebespool_platform_settings::Malformed> for Malformed {
-    fn from(stated: grebespool_platform_settings::Malformed) -> Self {
-        Malformed(stated.0)
+impl From<grebespool_platform_settings::SettingsError> for Malformed {
+    fn from(stated: grebespool_platform_settings::SettingsError) -> Self {
+        Malformed(stated.to_string())
     }
 }
 
--- a/crates/wirehost/src/hosted.rs
+++ b/crates/wirehost/src/hosted.rs
@@ -3,7 +3,7 @@
 use crate::frame::{Address, Batch, ENTRY, Fields, Malformed, Reply, malformed};
 use grebespool::host::*;
 use grebespool::policy::Policy;
-use grebespool_platform_settings::Stated;
+use grebespool_platform_settings::PlatformSettings;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -169,7 +169,7 @@
     }
 
     fn born(&mut self, batch: &Batch, event: Fields, number: u32) -> Result<(), Malformed> {
-        let stated = Stated::pairs(batch.tail(event, 10, 1)?)?;
+        let stated = PlatformSettings::from_pairs(batch.tail(event, 10, 1)?)?;
         let door = Rc::new(RefCell::new(Doorway::default()));
         let born = batch.clock;
         let host = WireHost { instance: number, born, door: door.clone(), reply: self.reply.clone() };
@@ -177,10 +177,10 @@
             host,
             event.u64(2),
             stated.routes()?,
-            stated.plane()?,
-            stated.graces()?,
-            stated.pace()?,
-            stated.sight()?,
+            stated.proxy_capabilities()?,
+            stated.timeouts()?,
+            stated.control_channel_limits()?,
+            stated.observability()?,
         );
         self.instances.insert(number, Instance { born, door, planner });
         Ok(())
