--- a/crates/controller/src/engine.rs
+++ b/crates/controller/src/engine.rs
@@ -246,27 +246,28 @@
 
     /// What each pool holds, and which one each proxy has, by name.
     pub fn dealt(&self) -> Dealt {
-        let (pools, bound) = self.planner.pool_assignments();
+        let PoolAssignments { pools, pool_by_proxy } = self.planner.pool_assignments();
         let zone = |z: ZoneId| self.list.zones().get(usize::from(z)).cloned().unwrap_or_default();
         let id = |s: &usize| *self.servers.id(*s);
-        let pools = pools.iter().map(|(z, held)| (zone(*z), held.iter().map(id).collect()));
-        let at = |(name, p): (&str, ProxyId)| Some((name.to_string(), *bound.get(&p)?));
+        let pools = pools.iter().map(|pool| (zone(pool.zone), pool.servers.iter().map(id).collect()));
+        let at = |(name, proxy): (&str, ProxyId)| Some((name.to_string(), *pool_by_proxy.get(&proxy)?));
         Dealt { pools: pools.collect(), bound: self.proxies.names().filter_map(at).collect() }
     }
 
     /// Begins with what a former leader had dealt: called after the first list, before [`Engine::recall`] and any join.
     pub fn recall_dealt(&mut self, dealt: &Dealt) {
         let zone = |name: &str| self.list.zone(name);
-        let pool = |(z, held): &(String, Vec<ServerId>)| {
-            Some((zone(z)?, held.iter().filter_map(|id| self.listed(id)).collect()))
+        let pool = |(zone_name, held): &(String, Vec<ServerId>)| {
+            let servers = held.iter().filter_map(|id| self.listed(id)).collect();
+            Some(PoolSubset { zone: zone(zone_name)?, servers })
         };
         // With a zone less, the pools' places would not be those that proxies had.
         let Some(pools) = dealt.pools.iter().map(pool).collect::<Option<Vec<_>>>() else { return };
         let mut bound = BTreeMap::new();
         for (name, pool) in &dealt.bound {
-            let place = pools.get(*pool).map(|p| (p.0, *pool));
-            if let Some((proxy, place)) = self.proxies.enter(name, self.bounds.proxies).zip(place) {
-                bound.insert(proxy, place);
+            let former = pools.get(*pool).map(|subset| FormerBinding { zone: subset.zone, pool: *pool });
+            if let Some((proxy, former)) = self.proxies.enter(name, self.bounds.proxies).zip(former) {
+                bound.insert(proxy, former);
             }
         }
         self.planner.restore_pool_assignments(&pools, &bound);
--- a/crates/controller/src/watch.rs
+++ b/crates/controller/src/watch.rs
@@ -104,8 +104,8 @@
             return false;
         }
         self.looked_at = now;
-        for (zone, (able, asked)) in planner.zone_capacity(now).into_iter().enumerate() {
-            self.sites.room(zone, able, asked);
+        for (zone, capacity) in planner.zone_capacity(now).into_iter().enumerate() {
+            self.sites.room(zone, capacity.capacity_per_s, capacity.received_per_s);
         }
         self.sites.look(now, &mut Act { now, planner, outlet, names: &self.names });
         true
--- a/src/host.rs
+++ b/src/host.rs
@@ -2,6 +2,7 @@
 //!
 //! Plain data and one trait. Nothing here decides anything or does I/O.
 
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// A server, by the small index that the host assigned when the server was first listed.
@@ -234,3 +235,39 @@
     /// No answer came, or an error.
     Failed,
 }
+
+/// What the servers of a zone can do, and what its proxies received.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ZoneCapacity {
+    /// Requests a second that its ready servers can answer.
+    pub capacity_per_s: f64,
+    /// By route: requests a second that its proxies received.
+    pub received_per_s: Vec<f64>,
+}
+
+/// The servers of one pool.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PoolSubset {
+    /// The zone of its proxies.
+    pub zone: ZoneId,
+    /// The servers it holds, in the order of its table.
+    pub servers: Vec<ServerIndex>,
+}
+
+/// What a policy has assigned, for the one that takes over from it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PoolAssignments {
+    /// The pools, in the order of their tables.
+    pub pools: Vec<PoolSubset>,
+    /// The position of each bound proxy's pool.
+    pub pool_by_proxy: BTreeMap<ProxyId, usize>,
+}
+
+/// The pool that a proxy had under a former policy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FormerBinding {
+    /// The zone of the proxy.
+    pub zone: ZoneId,
+    /// The position of its pool in the restored assignments.
+    pub pool: usize,
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,7 @@
-//! grebespool: a table manager that assigns servers to proxies.
+//! grebespool: balances load by weighted tables that a controller shares out to proxies.
 //!
-//! [`policy`] holds every decision, [`host`] what a planner is told and what it may ask for;
-//! `state` the plain data it keeps.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! [`policy`] holds every decision, [`host`] its boundary: the settings, events and commands; `state` the plain data that the
+//! policy keeps. Nothing here does I/O or reads a clock.
 
 pub mod host;
 pub mod policy;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,135 +1,354 @@
-//! How much is let in, by what servers are able to.
-
-use super::*;
-
-impl Levels {
-    pub(super) const WINDOW: Duration = Duration::from_secs(2);
-    pub(super) const FULL: f64 = 0.85;
-    pub(super) const UNHEARD: f64 = 3.0;
-    pub(super) const AIM: f64 = 0.9;
-    pub(super) const LATE: f64 = 0.35;
-    pub(super) const LESS: f64 = 0.1;
-    pub(super) const GAIN: f64 = 1.1;
-    pub(super) const STEP: f64 = 0.05;
-    pub(super) const EASY: f64 = 0.8;
-    /// The part of the calls that is taken to be told of at the least.
-    pub(super) const TOLD: f64 = 0.3;
-
-    pub(super) fn window(cycle: Duration) -> Duration {
-        Self::WINDOW.max(cycle * 2)
-    }
-
-    /// Lets in what fits, the most important routes first, by a ratio of reports that are equally late.
-    pub(super) fn fit(
-        &mut self,
-        now: Duration,
-        cycle: Duration,
-        peers: &[Peer],
-        routes: &[Route],
-        slo: f64,
-        told: f64,
-    ) {
-        let from = now.saturating_sub(Self::window(cycle));
-        let (mut sent, mut able, mut all, mut good) = (0.0, 0.0, 0.0, 0.0);
-        // Of those that stay: what they are able to, how many were heard of, and how many there are.
-        let (mut lasting, mut heard, mut stay, mut known) = (0.0, 0.0, 0.0, 0.0);
-        for (peer, load) in peers.iter().map(|p| (p, &p.load)) {
-            let busy = load.mean(from, |x| x.cpu);
-            let (tries, answered) = (load.sum(from, |x| x.tries), load.sum(from, Sample::answered));
-            (all, good) = (all + tries, good + answered);
-            let unasked = tries == 0.0 && peer.open() && !peer.ramp.cold;
-            heard += if answered > 0.0 { 1.0 } else { 0.0 };
-            known += if peer.ready() && answered > 0.0 { 1.0 } else { 0.0 };
-            stay += if unasked || (peer.ready() && answered > 0.0) { 1.0 } else { 0.0 };
-            if answered > 0.0 {
-                // Tries that fail at a server with time to spare point to a cut or a fault.
-                sent += if busy.is_some_and(|b| b < Self::FULL) { answered } else { tries };
-                let own = answered / busy.unwrap_or(0.7).clamp(0.05, 1.0);
-                able += own;
-                lasting += if peer.ready() { own } else { 0.0 };
-            }
+//! Admission control: the share of each route's requests that the servers have capacity for. Responsible for the shares and
+//! for the pressure; what is sent of them is decided in [`publishing`](super::publishing).
+
+use crate::host::{AdmissionMode, PolicyHost, ProxyId, Route, ZoneCapacity, ZoneId};
+use crate::state::{AdmissionControl, LoadSample, Policy, RequestCount, ServerState, drop_old, median};
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+/// What was observed of all servers over the window. Counts are per window, not per second.
+#[derive(Default)]
+struct WindowTotals {
+    /// Attempts that ended.
+    attempts: f64,
+    /// Attempts that were answered.
+    answered: f64,
+    /// Attempts that count as load: those at servers with time to spare only where they were answered.
+    load: f64,
+    /// Attempts that the servers heard of could have answered.
+    capacity: f64,
+    /// The same of those that are ready still.
+    ready_capacity: f64,
+    /// Servers that answered.
+    active_servers: f64,
+    /// The same of those that are ready still.
+    active_ready_servers: f64,
+    /// Ready servers that answered, and warm ones that were not asked.
+    staying_servers: f64,
+    /// Median over the servers of their mean latency, in seconds.
+    latency_s: Option<f64>,
+}
+
+/// What the servers can do by the totals of a window.
+struct CapacityEstimate {
+    /// Attempts that count as load over those that could be answered; 1 is just full.
+    pressure: f64,
+    /// The same, once what leaving servers did has fallen to the others.
+    expected_pressure: f64,
+    /// Requests that the staying servers can answer in a window, of those that are reported.
+    capacity: f64,
+    /// Queues have built up: answers come late.
+    late: bool,
+}
+
+/// The requests of a window that are to be admitted, by route and in all.
+struct AdmissionTarget {
+    received: Vec<f64>,
+    admitted: f64,
+}
+
+impl WindowTotals {
+    /// Sums up the samples of all servers from after a moment.
+    fn gather(servers: &[ServerState], from: Duration) -> WindowTotals {
+        let mut totals = WindowTotals::default();
+        for server in servers {
+            totals.add(server, from);
         }
-        if able == 0.0 {
+        let latency_s = |server: &ServerState| server.load.mean(from, |sample| sample.latency_s);
+        totals.latency_s = median(servers.iter().filter_map(latency_s));
+        totals
+    }
+
+    fn add(&mut self, server: &ServerState, from: Duration) {
+        let attempts = server.load.sum(from, |sample| sample.attempts);
+        let answered = server.load.sum(from, LoadSample::answered);
+        self.attempts += attempts;
+        self.answered += answered;
+        if answered == 0.0 {
+            let idle = attempts == 0.0 && server.is_open() && !server.slow_start.warming;
+            self.staying_servers += if idle { 1.0 } else { 0.0 };
             return;
         }
-        let pressure = sent / able;
-        // The first news after a start is of the few calls that went well.
-        let unheard = Self::UNHEARD * (1.0 - now.as_secs_f64() / 10.0);
-        // And tries that fail, for whatever cause, come again at those few that take any.
-        self.pressure = (pressure.max(unheard).max(0.7 * all / good) * 10.0).round() / 10.0;
-        self.crowded = pressure > if self.crowded { Self::EASY } else { 1.0 };
-        // Queues that have once grown stay at a load that just fits, and every answer comes late.
-        let wait = median(peers.iter().filter_map(|p| p.load.mean(from, |x| x.wait)));
-        let late = wait.is_some_and(|w| w > Self::LATE * slo);
-        // Against servers that drain together: what they did falls to the others before reports tell of it.
-        let foreseen = if stay < heard { able * stay / heard } else { able };
-        let pressure = sent / foreseen.max(1.0);
-        // Late reports alone, which come in lumps, are no reason to turn calls away.
-        if pressure < 1.1 && !late && !self.throttled() {
-            return;
+        let utilization = server.load.mean(from, |sample| sample.utilization);
+        let capacity = answered / AdmissionControl::utilization_or_assumed(utilization);
+        // Attempts that fail at a server with time to spare point to a fault, not to load.
+        let has_room = utilization.is_some_and(|value| value < AdmissionControl::FULL_UTILIZATION);
+        self.load += if has_room { answered } else { attempts };
+        self.capacity += capacity;
+        self.active_servers += 1.0;
+        if server.is_ready() {
+            self.ready_capacity += capacity;
+            self.active_ready_servers += 1.0;
+            self.staying_servers += 1.0;
         }
-        let came = |a: &VecDeque<Arrived>| a.iter().filter(|a| a.0 > from).map(|a| a.1).sum();
-        let calls: Vec<f64> = self.arrived.iter().map(came).collect();
-        let let_in: f64 = calls.iter().zip(&self.wanted).map(|(c, w)| c * f64::from(*w)).sum();
-        // Those that left have done less than their part of the window already: what stays counts by itself.
-        let able = if stay < heard && known > 0.0 { able.min(lasting * stay / known) } else { able };
-        let able = able / told;
-        let least = Self::STEP * calls.iter().sum::<f64>();
-        // A route that was shut out would never come back by growth alone.
-        let most = Self::GAIN * let_in + if pressure < Self::EASY { least } else { 0.0 };
-        let aim = Self::AIM - if late { Self::LESS } else { 0.0 };
-        let mut left = (aim * able).min(most).max(least);
-        let mut order: Vec<usize> = (0..calls.len()).filter(|r| calls[*r] > 0.0).collect();
-        order.sort_by(|a, b| routes[*b].priority_weight.total_cmp(&routes[*a].priority_weight));
-        for r in order {
-            let level = (left / calls[r]).min(1.0);
-            left = (left - level * calls[r]).max(0.0);
-            // Coarse steps, so that noise writes no orders.
-            let step = (level / Self::STEP).round() * Self::STEP;
-            self.wanted[r] = if level > 0.97 { 1.0 } else { step as f32 };
+    }
+
+    /// Estimates the capacity; `None` where no server answered.
+    fn estimate(&self, objective_s: f64, coverage: f64) -> Option<CapacityEstimate> {
+        if self.capacity == 0.0 {
+            return None;
         }
+        let leaving = self.staying_servers < self.active_servers;
+        let expected =
+            if leaving { self.capacity * self.staying_servers / self.active_servers } else { self.capacity };
+        // Leaving servers have done less than their part of the window already.
+        let staying = if leaving && self.active_ready_servers > 0.0 {
+            self.capacity.min(self.ready_capacity * self.staying_servers / self.active_ready_servers)
+        } else {
+            self.capacity
+        };
+        let late_s = AdmissionControl::LATE_OBJECTIVE_PART * objective_s;
+        Some(CapacityEstimate {
+            pressure: self.load / self.capacity,
+            expected_pressure: self.load / expected.max(1.0),
+            capacity: staying / coverage,
+            late: self.latency_s.is_some_and(|latency_s| latency_s > late_s),
+        })
     }
 }
 
+impl AdmissionControl {
+    /// The window of the totals is no shorter than this, and than so many report intervals.
+    const MIN_WINDOW: Duration = Duration::from_secs(2);
+    const WINDOW_REPORT_INTERVALS: u32 = 2;
+    /// Utilisation from which on a server counts as full.
+    pub(super) const FULL_UTILIZATION: f64 = 0.85;
+    /// Utilisation that is assumed where none is reported, and the least that is believed.
+    const ASSUMED_UTILIZATION: f64 = 0.7;
+    const MIN_UTILIZATION: f64 = 0.05;
+    /// Pressure at the start, falling to nothing within so many seconds: the first reports are of few requests.
+    pub(super) const START_PRESSURE: f64 = 3.0;
+    const START_S: f64 = 10.0;
+    /// Pressure for each attempt an answer took: failed attempts come again at the servers that accept any.
+    const PRESSURE_PER_ATTEMPT: f64 = 0.7;
+    /// Steps in which the pressure is kept, for each unit.
+    const PRESSURE_STEPS: f64 = 10.0;
+    /// The servers are overloaded from the first pressure on, until it is below the second.
+    const OVERLOADED_PRESSURE: f64 = 1.0;
+    const RECOVERED_PRESSURE: f64 = 0.8;
+    /// Expected pressure from which on requests are rejected.
+    const SHEDDING_PRESSURE: f64 = 1.1;
+    /// Answers are late from this part of the latency objective on.
+    const LATE_OBJECTIVE_PART: f64 = 0.35;
+    /// The part of the capacity that is to be used, and how much less while answers are late.
+    const TARGET_UTILIZATION: f64 = 0.9;
+    const LATE_REDUCTION: f64 = 0.1;
+    /// How much what is admitted may grow in a tick, as a factor.
+    const GROWTH: f64 = 1.1;
+    /// Steps of the admitted share, so that noise changes nothing. So much of all requests is always admitted.
+    const SHARE_STEP: f64 = 0.05;
+    /// A larger share is all of it.
+    const NEARLY_ALL: f64 = 0.97;
+    /// The part of the requests that is taken to be reported at the least.
+    const MIN_COVERAGE: f64 = 0.3;
+    /// Requests a second at each proxy that stand for no limit.
+    const UNLIMITED_RATE: f64 = 1e9;
+
+    fn window(report_interval: Duration) -> Duration {
+        Self::MIN_WINDOW.max(report_interval * Self::WINDOW_REPORT_INTERVALS)
+    }
+
+    fn utilization_or_assumed(utilization: Option<f64>) -> f64 {
+        utilization.unwrap_or(Self::ASSUMED_UTILIZATION).clamp(Self::MIN_UTILIZATION, 1.0)
+    }
+
+    /// Updates the pressure and whether the servers are overloaded.
+    fn observe(&mut self, now: Duration, totals: &WindowTotals, estimate: &CapacityEstimate) {
+        let at_start = Self::START_PRESSURE * (1.0 - now.as_secs_f64() / Self::START_S);
+        let by_attempts = Self::PRESSURE_PER_ATTEMPT * totals.attempts / totals.answered;
+        let pressure = estimate.pressure.max(at_start).max(by_attempts);
+        self.pressure = (pressure * Self::PRESSURE_STEPS).round() / Self::PRESSURE_STEPS;
+        let threshold = if self.overloaded { Self::RECOVERED_PRESSURE } else { Self::OVERLOADED_PRESSURE };
+        self.overloaded = estimate.pressure > threshold;
+    }
+
+    /// Decides how many requests to admit; `None` where the shares may stay. Late reports alone are no reason to reject.
+    fn target(&self, from: Duration, estimate: &CapacityEstimate) -> Option<AdmissionTarget> {
+        let pressed = estimate.expected_pressure >= Self::SHEDDING_PRESSURE;
+        if !pressed && !estimate.late && !self.is_shedding() {
+            return None;
+        }
+        let received: Vec<f64> = self.received.iter().map(|counts| requests_since(counts, from)).collect();
+        let admitted_before: f64 = received
+            .iter()
+            .zip(&self.admitted_share)
+            .map(|(requests, share)| requests * f64::from(*share))
+            .sum();
+        let min = Self::SHARE_STEP * received.iter().sum::<f64>();
+        // A route that is shut out would never return by growth alone.
+        let extra = if estimate.expected_pressure < Self::RECOVERED_PRESSURE { min } else { 0.0 };
+        let max = Self::GROWTH * admitted_before + extra;
+        let utilization = Self::TARGET_UTILIZATION - if estimate.late { Self::LATE_REDUCTION } else { 0.0 };
+        let admitted = (utilization * estimate.capacity).min(max).max(min);
+        Some(AdmissionTarget { received, admitted })
+    }
+
+    /// Hands the admitted requests out to the routes, those of the highest priority first.
+    fn distribute(&mut self, target: &AdmissionTarget, routes: &[Route]) {
+        let received = &target.received;
+        let mut by_priority: Vec<usize> =
+            (0..received.len()).filter(|route| received[*route] > 0.0).collect();
+        by_priority.sort_by(|a, b| routes[*b].priority_weight.total_cmp(&routes[*a].priority_weight));
+        let mut left = target.admitted;
+        for route in by_priority {
+            let share = (left / received[route]).min(1.0);
+            left = (left - share * received[route]).max(0.0);
+            let stepped = (share / Self::SHARE_STEP).round() * Self::SHARE_STEP;
+            self.admitted_share[route] = if share > Self::NEARLY_ALL { 1.0 } else { stepped as f32 };
+        }
+    }
+
+    /// Keeps every share within its limit.
+    fn apply_limits(&mut self) {
+        for (share, limit) in self.admitted_share.iter_mut().zip(&self.share_limits) {
+            *share = share.min(*limit);
+        }
+    }
+
+    /// A route's share as requests a second at each proxy, in coarse steps, so that noise changes nothing.
+    fn rate(&self, now: Duration, route: usize) -> f32 {
+        let rates = rates_by_proxy(&self.received[route], now);
+        let admitted = f64::from(self.admitted_share[route]) * rates.iter().sum::<f64>();
+        let limit = fair_limit(&rates, admitted).min(Self::UNLIMITED_RATE);
+        (Self::GROWTH.ln() * (limit.ln() / Self::GROWTH.ln()).round()).exp() as f32
+    }
+}
+
+fn requests_since(counts: &VecDeque<RequestCount>, from: Duration) -> f64 {
+    counts.iter().filter(|count| count.at > from).map(|count| count.requests).sum()
+}
+
+/// The time over which samples are kept, in seconds: shorter after the start, and no less than one second.
+fn kept_span_s(now: Duration) -> f64 {
+    ServerState::SAMPLES_KEPT.min(now).as_secs_f64().max(1.0)
+}
+
+/// Requests a second that each proxy received, over as long as samples are kept.
+fn rates_by_proxy(received: &VecDeque<RequestCount>, now: Duration) -> Vec<f64> {
+    let from = now.saturating_sub(ServerState::SAMPLES_KEPT);
+    let span_s = kept_span_s(now);
+    let mut rates: BTreeMap<ProxyId, f64> = BTreeMap::new();
+    for count in received.iter().filter(|count| count.at > from) {
+        *rates.entry(count.proxy).or_default() += count.requests / span_s;
+    }
+    rates.into_values().collect()
+}
+
+/// The largest rate that each proxy may have where `total` is shared max-min fairly among `demands`; infinite where all of
+/// them fit.
+fn fair_limit(demands: &[f64], total: f64) -> f64 {
+    let mut demands = demands.to_vec();
+    demands.sort_by(f64::total_cmp);
+    let mut left = total;
+    let mut remaining = demands.len() as f64;
+    for demand in demands {
+        if demand * remaining > left {
+            return left / remaining;
+        }
+        left -= demand;
+        remaining -= 1.0;
+    }
+    f64::INFINITY
+}
+
 impl<H: PolicyHost> Policy<H> {
-    pub fn requests_received(&mut self, now: Duration, proxy: ProxyId, route: usize, calls: u32) {
-        if let Some(list) = self.levels.arrived.get_mut(route) {
-            list.push_back((now, f64::from(calls), proxy));
-            drop_old(list, now, Peer::KEPT, |a| a.0);
+    /// Tells how many requests of a route a proxy received in a report interval. Unknown routes are ignored.
+    pub fn requests_received(&mut self, now: Duration, proxy: ProxyId, route: usize, requests: u32) {
+        if let Some(counts) = self.admission.received.get_mut(route) {
+            counts.push_back(RequestCount { at: now, requests: f64::from(requests), proxy });
+            drop_old(counts, now, ServerState::SAMPLES_KEPT, |count| count.at);
         }
     }
 
-    /// What is wanted of a route as proxies count it; as a rate, in coarse steps, so that noise writes none.
-    pub(super) fn level(&self, now: Duration, r: usize) -> f32 {
-        match (self.plane.admission_mode, self.levels.wanted[r]) {
-            (AdmissionMode::Off, _) => 1.0,
-            (AdmissionMode::Share, wanted) => wanted,
-            (AdmissionMode::Rate, wanted) if wanted >= 1.0 => 1e9,
-            (AdmissionMode::Rate, wanted) => {
-                let rates = rates(&self.levels.arrived[r], Peer::KEPT, now);
-                let even = evenly(&rates, f64::from(wanted) * rates.iter().sum::<f64>()).min(1e9);
-                (Levels::GAIN.ln() * (even.ln() / Levels::GAIN.ln()).round()).exp() as f32
+    /// Sets the admitted shares anew: gather the totals, estimate the capacity, decide the target, hand it out.
+    pub(super) fn update_admission(&mut self, now: Duration) {
+        let from = now.saturating_sub(AdmissionControl::window(self.observability.report_interval));
+        let totals = WindowTotals::gather(&self.servers, from);
+        if let Some(estimate) = totals.estimate(self.mean_objective_s(), self.report_coverage(now)) {
+            self.admission.observe(now, &totals, &estimate);
+            if let Some(target) = self.admission.target(from, &estimate) {
+                self.admission.distribute(&target, &self.routes);
             }
         }
+        self.admission.apply_limits();
     }
 
-    /// What part of the calls that came the sums tell of, where a zone's sums are cut off and usage is not.
-    /// Harm: where nothing that a zone lets in finds a server, as much too many are let in at the others.
-    pub(super) fn told(&self, now: Duration) -> f64 {
-        let newest = |z: ZoneId| {
-            let of_zone = self.peers.iter().flat_map(|p| &p.load.0).filter(|x| x.from == z);
-            of_zone.map(|x| x.at).max().unwrap_or_default()
+    /// A route's admission level in the unit of the proxies.
+    pub(super) fn admission_level(&self, now: Duration, route: usize) -> f32 {
+        let share = self.admission.admitted_share[route];
+        match self.capabilities.admission_mode {
+            AdmissionMode::Off => 1.0,
+            AdmissionMode::Share => share,
+            AdmissionMode::Rate if share >= 1.0 => AdmissionControl::UNLIMITED_RATE as f32,
+            AdmissionMode::Rate => self.admission.rate(now, route),
+        }
+    }
+
+    /// The part of the received requests whose zone reports on servers as well: a zone's reports may be cut off while its
+    /// proxies' counts still come.
+    ///
+    /// A zone whose requests find no server looks the same; the others are then sent too many.
+    fn report_coverage(&self, now: Duration) -> f64 {
+        let newest_reports: Vec<Duration> =
+            (0..self.zone_spill.zones()).map(|zone| self.newest_report(zone)).collect();
+        let newest = newest_reports.iter().max().copied().unwrap_or_default();
+        let window = AdmissionControl::window(self.observability.report_interval);
+        let is_reporting =
+            |zone: ZoneId| newest_reports.get(usize::from(zone)).is_none_or(|at| *at + window >= newest);
+        let mut covered = 0.0;
+        let mut all = 0.0;
+        let from = now.saturating_sub(window);
+        for count in self.admission.received.iter().flatten().filter(|count| count.at > from) {
+            let zone = self.proxies.get(&count.proxy).map(|proxy| proxy.zone);
+            covered += if zone.is_none_or(is_reporting) { count.requests } else { 0.0 };
+            all += count.requests;
+        }
+        if all > 0.0 { (covered / all).max(AdmissionControl::MIN_COVERAGE) } else { 1.0 }
+    }
+
+    /// When the newest report of a zone's proxies came; zero for none.
+    fn newest_report(&self, zone: ZoneId) -> Duration {
+        let samples = self.servers.iter().flat_map(|server| &server.load.samples);
+        samples.filter(|sample| sample.client_zone == zone).map(|sample| sample.at).max().unwrap_or_default()
+    }
+
+    /// Limits the share of each route, in the routes' order, to what is told from outside. A share that only the former
+    /// limit held down rises with it at once.
+    pub fn limit_admission(&mut self, now: Duration, limits: &[f64]) {
+        let admission = &mut self.admission;
+        let shares = admission.admitted_share.iter_mut().zip(&mut admission.share_limits);
+        for ((share, limit), new) in shares.zip(limits) {
+            let new = *new as f32;
+            let was_limited = *share >= *limit;
+            *share = if was_limited { new } else { share.min(new) };
+            *limit = new;
+        }
+        self.publish(now);
+    }
+
+    /// By zone: what its ready servers can answer and what its proxies received, over as long as samples are kept.
+    pub fn zone_capacity(&self, now: Duration) -> Vec<ZoneCapacity> {
+        (0..self.zone_spill.zones()).map(|zone| self.capacity_of_zone(now, zone)).collect()
+    }
+
+    fn capacity_of_zone(&self, now: Duration, zone: ZoneId) -> ZoneCapacity {
+        let from = now.saturating_sub(ServerState::SAMPLES_KEPT);
+        let span_s = kept_span_s(now);
+        let servers = self.servers.iter().filter(|server| server.is_ready() && server.zone == zone);
+        let capacity = servers.map(|server| {
+            let utilization = server.load.mean(from, |sample| sample.utilization);
+            let utilization = AdmissionControl::utilization_or_assumed(utilization);
+            server.load.sum(from, LoadSample::answered) / utilization / span_s
+        });
+        let is_here = |count: &&RequestCount| {
+            count.at > from && self.proxies.get(&count.proxy).is_some_and(|proxy| proxy.zone == zone)
         };
-        let newest: Vec<Duration> = (0..self.zones.busy.len() as ZoneId).map(newest).collect();
-        let last = newest.iter().max().copied().unwrap_or_default();
-        let window = Levels::window(self.sight.report_interval);
-        let heard = |z: ZoneId| newest.get(usize::from(z)).is_none_or(|at| *at + window >= last);
-        let came = self.levels.arrived.iter().flatten().filter(|a| a.0 > now.saturating_sub(window));
-        let add = |[told, all]: [f64; 2], a: &Arrived| {
-            let heard = self.proxies.get(&a.2).is_none_or(|p| heard(p.zone));
-            [told + if heard { a.1 } else { 0.0 }, all + a.1]
+        let received = |counts: &VecDeque<RequestCount>| {
+            counts.iter().filter(is_here).map(|count| count.requests).sum::<f64>() / span_s
         };
-        let [told, all] = came.fold([0.0; 2], add);
-        if all > 0.0 { (told / all).max(Levels::TOLD) } else { 1.0 }
+        ZoneCapacity {
+            capacity_per_s: capacity.sum(),
+            received_per_s: self.admission.received.iter().map(received).collect(),
+        }
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,114 +1,157 @@
-//! The server list, as it is told, and what is handed from one planner to the next.
+//! Endpoints: applies the endpoint list, and takes in the reports on its servers. Assumes that a list may be late or wrong:
+//! where removals are not final, a server that answers stays in use.
 
-use super::*;
+use crate::host::{Endpoint, EndpointState, LoadMetric, LoadReport, PolicyHost, ServerIndex};
+use crate::state::{LoadSample, OutlierDetector, Policy, ServerState, SlowStart, drop_old};
+use std::collections::BTreeSet;
+use std::time::Duration;
 
-impl Peer {
-    pub(crate) const KEPT: Duration = Duration::from_secs(8);
-    pub(super) const STILL: Duration = Duration::from_secs(3);
+/// The load of a request that waits, beside the utilisation of workers: that stops at 1 and can't tell how full a server is.
+const LOAD_PER_PENDING: f64 = 0.1;
+/// A start later than the known one by no more than this is the same start.
+const SAME_START: Duration = Duration::from_millis(1);
 
-    pub(super) fn open(&self) -> bool {
-        self.ready() && self.ramp.step > 0
+impl ServerState {
+    /// How long samples are kept.
+    pub(super) const SAMPLES_KEPT: Duration = Duration::from_secs(8);
+    /// So many equal loads over no less than this time are not believed.
+    const FROZEN_SAMPLES: usize = 3;
+    const FROZEN_FOR: Duration = Duration::from_secs(3);
+
+    /// Whether it is ready and not ejected.
+    pub(super) fn is_open(&self) -> bool {
+        self.is_ready() && self.slow_start.step > 0
     }
 
-    /// Cold since it was started, and not since it was shut out.
-    pub(super) fn newly_started(&self) -> bool {
-        self.ramp.cold && self.ramp.since < self.warm_at
+    /// Whether it warms up since a start, and not since an ejection.
+    pub(super) fn is_newly_started(&self) -> bool {
+        self.slow_start.warming && self.slow_start.evidence_from < self.warm_at
     }
 
-    /// Where `gone` in a list does not bind, a server not seen draining stays until it fails.
-    pub(super) fn gone(&mut self, binds: bool) {
-        self.doubted = !binds && self.open();
-        self.phase = if self.doubted { self.phase } else { EndpointState::Removed };
+    /// Applies its removal from the list. Where that is not final, a server in use stays until it fails.
+    fn remove(&mut self, removal_is_final: bool) {
+        self.removal_doubted = !removal_is_final && self.is_open();
+        if !self.removal_doubted {
+            self.endpoint_state = EndpointState::Removed;
+        }
     }
 
-    /// Guards against a report that stands still while calls are answered: it would draw ever more calls.
-    pub(super) fn take(&mut self, sample: Sample) {
-        let (now, told, samples) = (sample.at, sample.told, &mut self.load.0);
-        drop_old(samples, now, Self::KEPT, |x| x.at);
+    /// Takes in a sample. A load that stands still is not believed, as it would draw ever more requests.
+    fn add_sample(&mut self, sample: LoadSample) {
+        let now = sample.at;
+        let load = sample.reported_load;
+        let samples = &mut self.load.samples;
+        drop_old(samples, now, Self::SAMPLES_KEPT, |sample| sample.at);
         samples.push_back(sample);
-        let still = samples.iter().rev().filter(|x| x.told.is_some()).take_while(|x| x.told == told);
-        let (count, first) = still.fold((0, now), |(n, _), x| (n + 1, x.at));
-        if count >= 3 && now - first >= Self::STILL {
-            samples.iter_mut().filter(|x| x.told == told).for_each(|x| (x.load, x.cpu) = (None, None));
+        let reported = samples.iter().rev().filter(|sample| sample.reported_load.is_some());
+        let equal: Vec<Duration> =
+            reported.take_while(|sample| sample.reported_load == load).map(|sample| sample.at).collect();
+        let first = equal.last().copied().unwrap_or(now);
+        if equal.len() >= Self::FROZEN_SAMPLES && now - first >= Self::FROZEN_FOR {
+            for sample in samples.iter_mut().filter(|sample| sample.reported_load == load) {
+                sample.load = None;
+                sample.utilization = None;
+            }
         }
     }
 }
 
 impl<H: PolicyHost> Policy<H> {
-    pub fn endpoints_updated(&mut self, now: Duration, whole: bool, entries: &[Endpoint]) {
-        // What was held from before the start answers no call.
-        self.ask_at = self.ask_at.filter(|_| now.is_zero());
-        entries.iter().for_each(|e| self.enter(now, e));
-        let named: BTreeSet<ServerIndex> = entries.iter().map(|e| e.server).collect();
-        for s in (0..self.peers.len()).filter(|s| whole && !named.contains(s)) {
-            self.peers[s].gone(self.graces.removal_is_final);
+    /// Applies an endpoint list. A `complete` one removes all servers that it does not name.
+    pub fn endpoints_updated(&mut self, now: Duration, complete: bool, endpoints: &[Endpoint]) {
+        // A list from before the start answers no poll.
+        if !now.is_zero() {
+            self.next_poll_at = None;
+        }
+        for endpoint in endpoints {
+            self.update_endpoint(now, endpoint);
         }
-        self.deal();
-        self.push(now);
+        if complete {
+            self.remove_unlisted(endpoints);
+        }
+        self.update_subsets();
+        self.publish(now);
     }
 
-    pub(super) fn enter(&mut self, now: Duration, entry: &Endpoint) {
-        if entry.server >= self.peers.len() {
-            self.peers.resize_with(entry.server + 1, || Peer::unlisted(Health::NEW, Ramp::STEPS));
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<ServerIndex> = endpoints.iter().map(|endpoint| endpoint.server).collect();
+        for (index, server) in self.servers.iter_mut().enumerate() {
+            if !listed.contains(&index) {
+                server.remove(self.timeouts.removal_is_final);
+            }
         }
-        let peer = &mut self.peers[entry.server];
-        if entry.state == EndpointState::Removed {
-            return peer.gone(self.graces.removal_is_final);
+    }
+
+    fn update_endpoint(&mut self, now: Duration, endpoint: &Endpoint) {
+        if endpoint.server >= self.servers.len() {
+            let unlisted = || ServerState::unlisted(OutlierDetector::NEW, SlowStart::STEPS);
+            self.servers.resize_with(endpoint.server + 1, unlisted);
+        }
+        let server = &mut self.servers[endpoint.server];
+        if endpoint.state == EndpointState::Removed {
+            server.remove(self.timeouts.removal_is_final);
+            return;
         }
-        let warm_at = match entry.age {
-            Some(age) if age < self.graces.warm_up => now + self.graces.warm_up - age,
+        let warm_at = match endpoint.age {
+            Some(age) if age < self.timeouts.warm_up => now + self.timeouts.warm_up - age,
             _ => Duration::ZERO,
         };
-        let fresh = warm_at > now && warm_at > peer.warm_at + Duration::from_millis(1);
-        if entry.state == EndpointState::Ready && (fresh || peer.phase == EndpointState::Removed) {
-            peer.ramp = Ramp { step: 1, cold: true, since: now };
-            peer.load.0.clear();
-            peer.health.clear(now, Ramp::STEPS);
+        let restarted = warm_at > now && warm_at > server.warm_at + SAME_START;
+        let returned = server.endpoint_state == EndpointState::Removed;
+        if endpoint.state == EndpointState::Ready && (restarted || returned) {
+            server.slow_start = SlowStart { step: 1, warming: true, evidence_from: now };
+            server.load.samples.clear();
+            server.outlier.reset(now, SlowStart::STEPS);
         }
-        (peer.zone, peer.kind, peer.phase) = (entry.zone, entry.kind, entry.state);
-        (peer.warm_at, peer.doubted) = (warm_at, false);
+        server.zone = endpoint.zone;
+        server.kind = endpoint.kind;
+        server.endpoint_state = endpoint.state;
+        server.warm_at = warm_at;
+        server.removal_doubted = false;
     }
 
-    /// Asked at the next look, lest a list that turns calls away be flooded.
+    /// Tells that a poll of the list failed. The next tick polls again, and not this call, lest a list that rejects polls be
+    /// flooded.
     pub fn endpoint_poll_failed(&mut self, now: Duration) {
-        self.ask_at = Some(now);
-    }
-
-    /// What it has learnt of servers, each as a multiple of its pool's mean, over the pools that hold it.
-    pub fn learned_weights(&self) -> BTreeMap<ServerIndex, f64> {
-        learnt(&self.pools)
-    }
-
-    /// In place of its pool's mean, told after the first list and before any join.
-    pub fn restore_weight(&mut self, s: ServerIndex, weight: f64) {
-        let lines = self.pools.iter_mut().flat_map(|p| &mut p.lines).filter(|l| l.server == s);
-        lines.for_each(|l| l.learnt = weight.clamp(Pool::FLOOR * Pool::CEILING, Pool::CEILING));
+        self.next_poll_at = Some(now);
     }
 
-    /// What each pool holds, and which one each proxy has, for whoever plans next.
-    pub fn pool_assignments(&self) -> (Vec<DealtPool>, BTreeMap<ProxyId, usize>) {
-        dealt(&self.pools, &self.proxies)
+    /// Polls the endpoint list where that is due, at half of the interval that it may go without.
+    pub(super) fn poll_endpoints_if_due(&mut self, now: Duration) {
+        let Some(interval) = self.observability.endpoint_poll_interval else { return };
+        if self.next_poll_at.is_some_and(|at| now >= at) {
+            self.next_poll_at = Some(now + interval / 2);
+            self.host.poll_endpoints();
+        }
     }
 
-    /// Lest every proxy change most of its connections at once: told after the first list, before any join.
-    pub fn restore_pool_assignments(
-        &mut self,
-        pools: &[DealtPool],
-        bound: &BTreeMap<ProxyId, (ZoneId, usize)>,
-    ) {
-        if self.pools.is_empty() || pools.is_empty() {
-            return;
-        }
-        self.pools = pools.iter().enumerate().map(|(i, (zone, _))| Pool::new(i as TableId, *zone)).collect();
-        for (pool, (_, held)) in self.pools.iter_mut().zip(pools) {
-            held.iter()
-                .filter(|s| self.peers.get(**s).is_some_and(Peer::ready))
-                .for_each(|s| pool.enter(*s, 1.0));
-        }
-        self.deal();
-        for (proxy, (zone, pool)) in bound.iter().filter(|b| b.1.1 < pools.len()) {
-            let joined = Joined { zone: *zone, rate: 0.0, pool: Some(*pool), bound: false };
-            self.proxies.insert(*proxy, joined);
+    /// Takes in what a zone's proxies observed of a server. Unknown servers are ignored, as are figures that are no number or
+    /// below zero.
+    pub fn load_reported(&mut self, now: Duration, server: ServerIndex, report: &LoadReport) {
+        let metric = |metric| {
+            let position = self.observability.metrics.iter().position(|known| *known == metric)?;
+            let value = f64::from(*report.metrics.get(position)?);
+            (value.is_finite() && value >= 0.0).then_some(value)
+        };
+        let utilization = metric(LoadMetric::Utilization);
+        let pending = metric(LoadMetric::Pending).unwrap_or(0.0);
+        let load = utilization
+            .map(|utilization| utilization + LOAD_PER_PENDING * pending)
+            .or(metric(LoadMetric::InFlight))
+            .or(metric(LoadMetric::ServiceTimeMs))
+            .or(metric(LoadMetric::ResponsesPerSecond));
+        let sample = LoadSample {
+            at: now,
+            client_zone: report.client_zone,
+            reported_load: load,
+            load,
+            utilization,
+            attempts: f64::from(report.attempts),
+            failures: f64::from(report.failures),
+            latency_s: report.latency.map(|latency| latency.as_secs_f64()),
+        };
+        if let Some(state) = self.servers.get_mut(server) {
+            state.add_sample(sample);
         }
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,109 +1,119 @@
-//! The decisions of one planner.
+//! The load-balancing policy: every decision on weights, admission, ejection and slow start.
 //!
-//! Start a [`Policy`] with a [`PolicyHost`] and what the deployment states, then call one method for each thing
-//! that happens; it answers by calling the host before it returns. Times are spans since its start.
+//! Create a [`Policy`] with a [`PolicyHost`] and the deployment's settings, then call one method for each event; it answers by
+//! commands to the host before it returns. It does no I/O and reads no clock: times are counted from its start and come
+//! with the events.
+//!
+//! Start reading at [`Policy::timer_fired`]; `weights` has the mechanism.
 
 mod admission;
 mod control_channel;
+mod effective_weights;
 mod endpoints;
 mod outlier_detection;
 mod proxy_binding;
 mod publishing;
+mod retries;
 mod slow_start;
 mod subsetting;
+mod weights;
 mod zone_spill;
 
-use crate::host::*;
+use crate::host::{
+    ControlChannelLimits, Observability, PolicyHost, ProxyCapabilities, Route, Timeouts, Timer,
+};
 pub use crate::state::Policy;
-use crate::state::*;
-use rand::seq::SliceRandom;
+use crate::state::{AdmissionControl, ControlChannel, SubsetSize, ZoneSpill, mean};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, VecDeque};
+use std::ops::Range;
 use std::time::Duration;
 
-const LOOK: Duration = Duration::from_secs(1);
-const INTERVAL_IN_LOOKS: u32 = 2;
+/// The time between two evaluations of all rules.
+const TICK: Duration = Duration::from_secs(1);
+/// The first tick comes after a part of this range, by chance: policies that start together would publish together.
+const FIRST_TICK_PART: Range<f64> = 0.5..1.0;
+/// The interval of the mechanism.
+const TICKS_PER_WEIGHT_UPDATE: u32 = 2;
+/// The latency objective of a deployment without routes, in seconds.
+const DEFAULT_OBJECTIVE_S: f64 = 1.0;
 
 impl<H: PolicyHost> Policy<H> {
+    /// A policy without servers and proxies. `seed` is that of all its random choices.
     pub fn new(
         host: H,
         seed: u64,
         routes: Vec<Route>,
-        plane: ProxyCapabilities,
-        graces: Timeouts,
-        pace: ControlChannelLimits,
-        sight: Observability,
+        capabilities: ProxyCapabilities,
+        timeouts: Timeouts,
+        channel_limits: ControlChannelLimits,
+        observability: Observability,
     ) -> Self {
-        let mut planner = Policy {
+        let mut policy = Policy {
             host,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            levels: Levels::new(routes.len(), Levels::UNHEARD),
+            admission: AdmissionControl::new(routes.len(), AdmissionControl::START_PRESSURE),
             routes,
-            plane,
-            graces,
-            sight,
-            peers: vec![],
-            ask_at: Some(Duration::ZERO),
-            looks: 0,
-            channel: Channel::new(pace),
+            capabilities,
+            timeouts,
+            observability,
+            servers: vec![],
+            next_poll_at: Some(Duration::ZERO),
+            ticks: 0,
+            channel: ControlChannel::new(channel_limits),
             pools: vec![],
-            width: (usize::MAX, usize::MAX),
-            zones: Zones::new(plane.zones.max(1)),
+            subset_size: SubsetSize::UNLIMITED,
+            zone_spill: ZoneSpill::new(capabilities.zones.max(1)),
             proxies: BTreeMap::new(),
             unbound: VecDeque::new(),
         };
-        // Planners that start together would otherwise all write in the same instant.
-        planner.host.set_timer(LOOK.mul_f64(planner.rng.random_range(0.5..1.0)), Timer::Tick);
-        planner
+        let first_tick = TICK.mul_f64(policy.rng.random_range(FIRST_TICK_PART));
+        policy.host.set_timer(first_tick, Timer::Tick);
+        policy
     }
 
+    /// Evaluates all rules at a tick, then publishes what has changed. In this order:
+    ///
+    /// 1. `poll_endpoints_if_due`: the endpoint list;
+    /// 2. `update_admission`: what share of each route the servers have capacity for;
+    /// 3. `advance_slow_start`: servers that have started or returned;
+    /// 4. `detect_outliers`: servers that fail, hang or crawl;
+    /// 5. `update_zone_spill`: bad links, and how far zones lean on each other;
+    /// 6. `update_subsets`: which servers each pool holds;
+    /// 7. `update_weights`: the mechanism, at each second tick: a learned weight is multiplied by the pool's mean load over
+    ///    the server's own;
+    /// 8. `publish`: what has changed, as far as the control channel has room. Published weights are the learned ones times
+    ///    the exceptions, whose order stands at `effective_weights`.
+    ///
+    /// The urgent timer only publishes.
     pub fn timer_fired(&mut self, now: Duration, timer: Timer) {
-        if timer == Timer::Tick {
-            self.host.set_timer(now + LOOK, Timer::Tick);
-            self.look(now);
-        } else {
-            self.channel.urgent_set = false;
+        match timer {
+            Timer::Tick => {
+                self.host.set_timer(now + TICK, Timer::Tick);
+                self.tick(now);
+            }
+            Timer::UrgentPublish => self.channel.urgent_timer_set = false,
         }
-        self.push(now);
+        self.publish(now);
     }
 
-    pub fn load_reported(&mut self, now: Duration, s: ServerIndex, met: &LoadReport) {
-        let field = |field| {
-            let told = met.metrics.get(self.sight.metrics.iter().position(|f| *f == field)?);
-            told.map(|v| f64::from(*v)).filter(|v| v.is_finite() && *v >= 0.0)
-        };
-        let cpu = field(LoadMetric::Utilization);
-        // A busy share stops at one: what waits tells how far past full a server is.
-        let full = cpu.map(|c| c + 0.1 * field(LoadMetric::Pending).unwrap_or(0.0));
-        let told = full
-            .or(field(LoadMetric::InFlight))
-            .or(field(LoadMetric::ServiceTimeMs))
-            .or(field(LoadMetric::ResponsesPerSecond));
-        let (tries, dropped) = (f64::from(met.attempts), f64::from(met.failures));
-        let wait = met.latency.map(|w| w.as_secs_f64());
-        if let Some(p) = self.peers.get_mut(s) {
-            p.take(Sample { at: now, from: met.client_zone, told, load: told, cpu, tries, dropped, wait });
+    fn tick(&mut self, now: Duration) {
+        self.poll_endpoints_if_due(now);
+        self.update_admission(now);
+        self.advance_slow_start(now);
+        self.detect_outliers(now);
+        self.update_zone_spill(now);
+        self.update_subsets();
+        self.ticks += 1;
+        if self.ticks.is_multiple_of(TICKS_PER_WEIGHT_UPDATE) {
+            self.update_weights(now);
         }
     }
 
-    fn look(&mut self, now: Duration) {
-        if let Some(within) =
-            self.sight.endpoint_poll_interval.filter(|_| self.ask_at.is_some_and(|t| now >= t))
-        {
-            self.ask_at = Some(now + within / 2);
-            self.host.poll_endpoints();
-        }
-        let slo = mean(self.routes.iter().map(|r| r.latency_objective.as_secs_f64())).unwrap_or(1.0);
-        self.levels.fit(now, self.sight.report_interval, &self.peers, &self.routes, slo, self.told(now));
-        self.levels.wanted.iter_mut().zip(&self.levels.most).for_each(|(w, most)| *w = w.min(*most));
-        self.rise(now);
-        self.judge(now, slo);
-        self.look_afar(now, slo);
-        self.deal();
-        self.looks += 1;
-        if self.looks.is_multiple_of(INTERVAL_IN_LOOKS) {
-            self.scale(now);
-        }
+    /// The mean of the routes' latency objectives, in seconds.
+    fn mean_objective_s(&self) -> f64 {
+        mean(self.routes.iter().map(|route| route.latency_objective.as_secs_f64()))
+            .unwrap_or(DEFAULT_OBJECTIVE_S)
     }
 }
--- a/src/policy/proxy_binding.rs
+++ b/src/policy/proxy_binding.rs
@@ -1,53 +1,93 @@
-//! Proxies that join, and the pool that each is bound to.
+//! Proxy binding: which pool each proxy uses, from when it joins.
 
-use super::*;
+use crate::host::{PolicyHost, ProxyId, RouteSet, ZoneId};
+use crate::state::{ControlChannel, Policy, ProxyState};
+use std::time::Duration;
+
+/// The set that stands for every route.
+const ALL_ROUTES: RouteSet = 0;
+/// Rates are compared in steps of a thousandth of a request a second.
+const RATE_STEPS_PER_REQUEST: f64 = 1000.0;
 
 impl<H: PolicyHost> Policy<H> {
-    /// `bare` tells that the proxy has only just started, `rate` how many calls a second it usually gets.
-    pub fn proxy_joined(&mut self, now: Duration, proxy: ProxyId, zone: ZoneId, bare: bool, rate: f64) {
-        if !bare && self.proxies.values().all(|p| !p.bound || p.zone != zone) {
-            self.forget(now, zone);
+    /// Tells that a proxy has joined. `restarted` tells that it has just started and holds no table, `request_rate` how many
+    /// requests a second it usually gets.
+    pub fn proxy_joined(
+        &mut self,
+        now: Duration,
+        proxy: ProxyId,
+        zone: ZoneId,
+        restarted: bool,
+        request_rate: f64,
+    ) {
+        let zone_was_away = self.proxies.values().all(|other| !other.bound || other.zone != zone);
+        if zone_was_away && !restarted {
+            self.forget_evidence(now, zone);
         }
-        let pool = self.proxies.get(&proxy).and_then(|p| p.pool);
-        self.proxies.insert(proxy, Joined { zone, rate, pool, bound: false });
-        self.unbound.retain(|p| *p != proxy);
+        let pool = self.proxies.get(&proxy).and_then(|known| known.pool);
+        self.proxies.insert(proxy, ProxyState { zone, request_rate, pool, bound: false });
+        self.unbound.retain(|other| *other != proxy);
         self.unbound.push_back(proxy);
         self.bind_waiting(now);
     }
 
+    /// Tells that a proxy has left. Unknown proxies are ignored.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
-        self.proxies.entry(proxy).and_modify(|p| p.bound = false);
-        self.unbound.retain(|p| *p != proxy);
-        // Once all have left, what was under way is lost.
-        self.channel.waiting *= f64::from(u8::from(self.proxies.values().any(|p| p.bound)));
+        if let Some(state) = self.proxies.get_mut(&proxy) {
+            state.bound = false;
+        }
+        self.unbound.retain(|other| *other != proxy);
+        // Once all have left, what was queued is lost.
+        if self.proxies.values().all(|other| !other.bound) {
+            self.channel.queued = 0.0;
+        }
     }
 
-    /// Whether any were bound.
+    /// Binds waiting proxies in the order in which they joined, as far as the channel allows. Tells whether any was bound.
     pub(super) fn bind_waiting(&mut self, now: Duration) -> bool {
-        let before = self.unbound.len();
+        let waiting_before = self.unbound.len();
         while let Some(&proxy) = self.unbound.front() {
-            let Joined { zone, pool, .. } = self.proxies[&proxy];
-            // A new one gets the pool of its zone that is asked for the least.
-            let holders = |i: usize| self.proxies.values().filter(move |p| p.bound && p.pool == Some(i));
-            let asked = |i: usize| holders(i).map(|p| p.rate).sum::<f64>();
-            let key = |i: &usize| (self.pools[*i].zone != zone, (1000.0 * asked(*i)) as u64);
-            let Some(pool) = pool.or_else(|| (0..self.pools.len()).min_by_key(key)) else { break };
-            // A table that nobody holds costs nothing to bring up to date.
-            if holders(pool).next().is_none() {
-                let wanted = self.compose(&self.pools[pool]);
-                self.write(pool, wanted.into_iter().enumerate());
+            let Some(pool) = self.pool_for(&self.proxies[&proxy]) else { break };
+            if self.bound_to(pool).next().is_none() {
+                self.write_unused_pool(pool);
             }
-            let lines = self.pools[pool].lines.iter().filter(|l| l.written > 0.0).count();
-            let cost = 2.0 + lines as f64 + self.channel.pace.message_overhead;
-            if !self.channel.room(now, cost, Channel::BINDING) {
-                self.wake_urgent(now);
+            let entries = self.pools[pool].entries.iter().filter(|entry| entry.written > 0.0).count();
+            let cost = self.channel.binding_cost(entries);
+            if !self.channel.has_room(now, cost, ControlChannel::MANDATORY_SHARE) {
+                self.set_urgent_timer(now);
                 break;
             }
             self.channel.add(cost);
-            self.host.bind_proxy(proxy, self.pools[pool].table, 0);
-            self.proxies.entry(proxy).and_modify(|p| (p.pool, p.bound) = (Some(pool), true));
+            self.bind(proxy, pool);
             self.unbound.pop_front();
         }
-        self.unbound.len() < before
+        self.unbound.len() < waiting_before
+    }
+
+    /// The pool that a proxy had, else the one of its zone with the least traffic, else that of any zone.
+    fn pool_for(&self, proxy: &ProxyState) -> Option<usize> {
+        let order = |pool: &usize| {
+            let rate: f64 = self.bound_to(*pool).map(|bound| bound.request_rate).sum();
+            (self.pools[*pool].zone != proxy.zone, (RATE_STEPS_PER_REQUEST * rate) as u64)
+        };
+        proxy.pool.or_else(|| (0..self.pools.len()).min_by_key(order))
+    }
+
+    fn bound_to(&self, pool: usize) -> impl Iterator<Item = &ProxyState> {
+        self.proxies.values().filter(move |proxy| proxy.bound && proxy.pool == Some(pool))
+    }
+
+    /// A table that no proxy holds costs nothing to bring up to date.
+    fn write_unused_pool(&mut self, pool: usize) {
+        let weights = self.effective_weights(&self.pools[pool]);
+        self.write_weights(pool, weights.into_iter().enumerate());
+    }
+
+    fn bind(&mut self, proxy: ProxyId, pool: usize) {
+        self.host.bind_proxy(proxy, self.pools[pool].table, ALL_ROUTES);
+        if let Some(state) = self.proxies.get_mut(&proxy) {
+            state.pool = Some(pool);
+            state.bound = true;
+        }
     }
 }
--- a/src/policy/publishing.rs
+++ b/src/policy/publishing.rs
@@ -1,136 +1,187 @@
-//! What is written: weights, tries, levels, the most needed first.
+//! Publishing: sends the weights and admission levels that have changed, the most urgent first, as far as the control channel
+//! has room. What does not fit is sent later, as it is by then.
 
-use super::*;
+use super::weights::MIN_FACTOR;
+use crate::host::PolicyHost;
+use crate::state::{AdmissionSetting, ControlChannel, Policy, WeightEntry};
+use rand::seq::SliceRandom;
+use std::time::Duration;
+
+/// A message's own entry, beside the channel's overhead.
+const MESSAGE_ENTRIES: f64 = 1.0;
+/// A change that leaves more of a weight than this part of the mechanism's least factor is ordinary.
+const ORDINARY_FACTOR_PART: f64 = 0.9;
+/// A change that leaves less of a warming server's weight is mandatory.
+const MANDATORY_WARMING_FACTOR: f64 = 0.3;
+
+/// A weight that has changed.
+struct WeightChange {
+    /// Position in the pool.
+    entry: usize,
+    weight: f32,
+    /// The share of the channel that it may use.
+    share: f64,
+}
+
+/// The changes of one pool.
+struct PoolUpdate {
+    pool: usize,
+    /// The share of the channel that the message may use.
+    share: f64,
+    changes: Vec<WeightChange>,
+}
 
 impl<H: PolicyHost> Policy<H> {
-    /// The one place where written weights are made: what was learnt times the exceptions.
-    pub(super) fn compose(&self, pool: &Pool) -> Vec<f32> {
-        let peer = |l: &Line| &self.peers[l.server];
-        let may = |l: &Line| self.zones.parts[usize::from(peer(l).zone)];
-        let own = |l: &Line| peer(l).ramp.part(self.levels.pressure).min(may(l));
-        let part = |l: &Line| if peer(l).ready() { own(l) } else { 0.0 };
-        let near: Vec<&Line> = pool.lines.iter().filter(|l| peer(l).zone == pool.zone).collect();
-        let sum = |of: &dyn Fn(&Line) -> f64| near.iter().map(|l| of(l)).sum::<f64>();
-        let (full, left) = (sum(&|l| l.learnt), sum(&|l| l.learnt * part(l)));
-        let stays = self.routes.iter().any(|r| r.zone_local) && near.iter().any(|l| peer(l).ready());
-        // Far servers make up at once for what a zone has lost, before its cold ones are pushed over.
-        let lost = 1.0 - if full > 0.0 { left / full } else { 0.0 };
-        let reach = self.zones.reach[usize::from(pool.zone)];
-        let most = if near.iter().any(|l| peer(l).ramp.cold) { 1.0 } else { Zones::FAR.1 };
-        let far = Zones::FAR.0 + ((most - Zones::FAR.0) * lost).max((1.0 - Zones::FAR.0) * reach);
-        let place = |l: &Line| match peer(l).zone {
-            _ if l.leaving => 0.0,
-            zone if zone == pool.zone => 1.0,
-            // A route that may not leave the zone shares its table with the others.
-            _ if stays => 0.0,
-            zone if self.zones.bad.contains_key(&(pool.zone, zone)) => Zones::FAR.2.max(far * lost.powi(2)),
-            _ => far,
-        };
-        let mut weights: Vec<f32> =
-            pool.lines.iter().map(|l| (l.learnt * place(l) * part(l)) as f32).collect();
-        // In a pool left with little else, a cold one's step is a part of an ordinary share, not of the rest.
-        let lines = if self.width.0 == usize::MAX { near.len() } else { near.len().max(self.width.0) };
-        let sum = f64::from(weights.iter().sum::<f32>());
-        let whole = Ramp::SHARE * sum / (lines.max(1) as f64 * pool.mean());
-        for (w, l) in weights.iter_mut().zip(&pool.lines).filter(|(_, l)| peer(l).ramp.cold) {
-            *w = w.min((whole * l.learnt * part(l)) as f32);
+    /// Sends what has changed: admission first, then the pools by urgency, then the tables of proxies that wait for one. Asks
+    /// for an acknowledgement where anything was sent.
+    pub(super) fn publish(&mut self, now: Duration) {
+        let sent_before = self.channel.sent;
+        let proxies = self.bound_proxies_by_pool();
+        let admission_sent = self.publish_admission(now, proxies.iter().sum());
+        let mut updates = self.pool_updates(&proxies);
+        // Where not all fits, none is always the last.
+        updates.shuffle(&mut self.rng);
+        updates.sort_by(|a, b| b.share.total_cmp(&a.share));
+        let mut any_sent = admission_sent;
+        for update in updates {
+            let proxies = proxies[update.pool];
+            any_sent |= self.publish_pool(now, update, proxies, admission_sent);
         }
-        if weights.iter().any(|w| *w > 0.0) {
-            return weights;
+        if self.bind_waiting(now) || any_sent {
+            let number = self.channel.next_ack(sent_before);
+            self.host.request_ack(number);
         }
-        // A table is never emptied by what is believed of servers' health.
-        let may = |l: &Line| peer(l).ready() && (!stays || peer(l).zone == pool.zone);
-        pool.lines.iter().map(|l| f32::from(u8::from(may(l)))).collect()
     }
 
-    /// Retries where no effect takes place twice; one at a full pool or after the SLO time is only more work.
-    pub(super) fn tries(&self, r: usize) -> RetryPolicy {
-        match self.routes[r].idempotency {
-            _ if self.levels.crowded || fresh(&self.peers) > Ramp::MANY => RetryPolicy::Never,
-            Idempotency::Idempotent if self.plane.attempt_timeout_factor < 0.9 => RetryPolicy::AfterFailure,
-            _ => RetryPolicy::IfNotExecuted,
+    /// By pool: how many proxies are bound to it.
+    fn bound_proxies_by_pool(&self) -> Vec<f64> {
+        let mut proxies = vec![0.0; self.pools.len()];
+        for pool in self.proxies.values().filter(|proxy| proxy.bound).filter_map(|proxy| proxy.pool) {
+            proxies[pool] += 1.0;
         }
+        proxies
+    }
+
+    /// The changes of each pool that a proxy is bound to.
+    fn pool_updates(&self, proxies: &[f64]) -> Vec<PoolUpdate> {
+        let used = (0..self.pools.len()).filter(|pool| proxies[*pool] > 0.0);
+        used.filter_map(|pool| self.pool_update(pool)).collect()
     }
 
-    /// The part of the channel that a changed line may use: the more, the more it takes from a server.
-    pub(super) fn need(&self, line: &Line, wanted: f32) -> f64 {
-        let kept = f64::from(wanted) / f64::from(line.written);
-        let peer = &self.peers[line.server];
-        match kept {
-            _ if kept.is_nan() || kept > 0.9 * Pool::CLAMP.0 => Channel::ORDINARY,
-            _ if !peer.ready() || (peer.ramp.cold && kept < 0.3) => Channel::BINDING,
-            _ if peer.ramp.cold => Channel::CROWDED,
-            _ => Channel::GUARDING,
+    fn pool_update(&self, pool: usize) -> Option<PoolUpdate> {
+        let entries = &self.pools[pool].entries;
+        let weights = self.effective_weights(&self.pools[pool]);
+        let changes: Vec<WeightChange> = (entries.iter().zip(weights).enumerate())
+            .filter(|(_, (entry, weight))| *weight != entry.written)
+            .map(|(i, (entry, weight))| WeightChange {
+                entry: i,
+                weight,
+                share: self.channel_share(entry, weight),
+            })
+            .collect();
+        if changes.is_empty() {
+            return None;
         }
+        let is_usable = |entry: &WeightEntry| entry.written > 0.0 && self.servers[entry.server].is_ready();
+        let share = if entries.iter().any(is_usable) {
+            changes.iter().map(|change| change.share).fold(0.0, f64::max)
+        } else {
+            ControlChannel::MANDATORY_SHARE
+        };
+        Some(PoolUpdate { pool, share, changes })
     }
 
-    /// Sends what has changed, the most needed first, as far as the channel allows; the rest stays.
-    pub(super) fn push(&mut self, now: Duration) {
-        let mut proxies = vec![0.0; self.pools.len()];
-        self.proxies.values().filter(|p| p.bound).filter_map(|p| p.pool).for_each(|i| proxies[i] += 1.0);
-        let (head, before) = (self.channel.pace.message_overhead + 1.0, self.channel.ordered);
-        let with_levels = self.push_levels(now, proxies.iter().sum(), head);
-        let mut changes = vec![];
-        for (i, pool) in self.pools.iter().enumerate().filter(|(i, _)| proxies[*i] > 0.0) {
-            let wanted = self.compose(pool).into_iter().enumerate();
-            let changed = wanted.filter(|(l, w)| *w != pool.lines[*l].written);
-            let lines: Vec<_> = changed.map(|(l, w)| (l, w, self.need(&pool.lines[l], w))).collect();
-            let empty = !pool.lines.iter().any(|l| l.written > 0.0 && self.peers[l.server].ready());
-            let most = lines.iter().map(|l| l.2).fold(0.0, f64::max);
-            if !lines.is_empty() {
-                changes.push((if empty { Channel::BINDING } else { most }, i, lines));
-            }
+    /// The share of the channel that a change may use: the more it takes from a server, the larger.
+    fn channel_share(&self, entry: &WeightEntry, weight: f32) -> f64 {
+        let factor = f64::from(weight) / f64::from(entry.written);
+        let server = &self.servers[entry.server];
+        let warming = server.slow_start.warming;
+        // Not a number where no weight is sent and none was.
+        if factor.is_nan() || factor > ORDINARY_FACTOR_PART * MIN_FACTOR {
+            ControlChannel::ORDINARY_SHARE
+        } else if !server.is_ready() || (warming && factor < MANDATORY_WARMING_FACTOR) {
+            ControlChannel::MANDATORY_SHARE
+        } else if warming {
+            ControlChannel::OVERLOAD_SHARE
+        } else {
+            ControlChannel::PROTECTIVE_SHARE
         }
-        // Where not all fits, none is always the last.
-        changes.shuffle(&mut self.rng);
-        changes.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let mut mark = with_levels;
-        for (need, i, mut lines) in changes {
-            let may = with_levels || self.channel.may_message(now, &mut self.pools[i].sent, need);
-            if !self.channel.room(now, proxies[i] * (lines.len() as f64 + head), need) {
-                lines.retain(|l| l.2 >= need);
-            }
-            let cost = proxies[i] * (lines.len() as f64 + head);
-            if may && self.channel.room(now, cost, need) {
-                self.channel.add(cost);
-                self.pools[i].sent.extend((!with_levels).then_some(now));
-                self.write(i, lines.into_iter().map(|l| (l.0, l.1)));
-                mark = true;
-            } else if need >= Channel::BINDING {
-                self.wake_urgent(now);
+    }
+
+    /// Entries that a message of so many lines costs the channel.
+    fn message_cost(&self, proxies: f64, lines: usize) -> f64 {
+        proxies * (lines as f64 + (self.channel.limits.message_overhead + MESSAGE_ENTRIES))
+    }
+
+    /// Sends a pool's changes; where not all fit, those that are as urgent as the message. Tells whether it was sent.
+    fn publish_pool(&mut self, now: Duration, update: PoolUpdate, proxies: f64, joins_message: bool) -> bool {
+        let PoolUpdate { pool, share, mut changes } = update;
+        let message_times = &mut self.pools[pool].message_times;
+        let may_send = joins_message || self.channel.may_send_message(now, message_times, share);
+        let full_cost = self.message_cost(proxies, changes.len());
+        if !self.channel.has_room(now, full_cost, share) {
+            changes.retain(|change| change.share >= share);
+        }
+        let cost = self.message_cost(proxies, changes.len());
+        if may_send && self.channel.has_room(now, cost, share) {
+            self.channel.add(cost);
+            if !joins_message {
+                self.pools[pool].message_times.push_back(now);
             }
+            self.write_weights(pool, changes.into_iter().map(|change| (change.entry, change.weight)));
+            return true;
         }
-        if self.bind_waiting(now) || mark {
-            self.host.request_ack(self.channel.mark(before));
+        if share >= ControlChannel::MANDATORY_SHARE {
+            self.set_urgent_timer(now);
         }
+        false
     }
 
-    pub(super) fn write(&mut self, pool: usize, lines: impl Iterator<Item = (usize, f32)>) {
-        let Pool { table, lines: held, .. } = &mut self.pools[pool];
-        for (l, weight) in lines {
-            if held[l].written != weight {
-                held[l].written = weight;
-                self.host.set_weight(*table, held[l].server, weight);
+    /// Commands the weights that differ from what was last sent, by position in the pool.
+    pub(super) fn write_weights(&mut self, pool: usize, weights: impl Iterator<Item = (usize, f32)>) {
+        let pool = &mut self.pools[pool];
+        for (position, weight) in weights {
+            let entry = &mut pool.entries[position];
+            if entry.written != weight {
+                entry.written = weight;
+                self.host.set_weight(pool.table, entry.server, weight);
             }
         }
     }
 
-    /// Whether levels were sent. They go to every proxy, so they may use more than an ordinary push.
-    pub(super) fn push_levels(&mut self, now: Duration, bound: f64, head: f64) -> bool {
-        let told: Vec<_> = (0..self.routes.len()).map(|r| (self.level(now, r), self.tries(r))).collect();
-        let levels: Vec<usize> = (0..told.len()).filter(|r| told[*r] != self.levels.written[*r]).collect();
-        let cost = bound * (levels.len() as f64 + head);
-        let may = |p: &mut Pool| self.channel.may_message(now, &mut p.sent, Channel::CROWDED);
-        let may = !levels.is_empty() && !self.pools.is_empty() && self.pools.iter_mut().all(may);
-        if !may || !self.channel.room(now, cost, Channel::CROWDED) {
+    /// Sends the admission settings that have changed to all bound proxies. Tells whether a message was sent.
+    fn publish_admission(&mut self, now: Duration, bound: f64) -> bool {
+        let settings: Vec<AdmissionSetting> =
+            (0..self.routes.len()).map(|route| self.admission_setting(now, route)).collect();
+        let changed: Vec<usize> =
+            (0..settings.len()).filter(|route| settings[*route] != self.admission.written[*route]).collect();
+        let cost = self.message_cost(bound, changed.len());
+        if changed.is_empty() || !self.may_message_every_pool(now) {
             return false;
         }
-        for r in levels {
-            self.levels.written[r] = told[r];
-            self.host.set_admission(1 << r, told[r].0, told[r].1);
+        if !self.channel.has_room(now, cost, ControlChannel::OVERLOAD_SHARE) {
+            return false;
+        }
+        for route in changed {
+            let setting = settings[route];
+            self.admission.written[route] = setting;
+            self.host.set_admission(1 << route, setting.level, setting.retries);
         }
         self.channel.add(cost);
-        self.pools.iter_mut().for_each(|p| p.sent.extend((bound > 0.0).then_some(now)));
-        bound > 0.0
+        let any_bound = bound > 0.0;
+        if any_bound {
+            self.pools.iter_mut().for_each(|pool| pool.message_times.push_back(now));
+        }
+        any_bound
+    }
+
+    fn admission_setting(&self, now: Duration, route: usize) -> AdmissionSetting {
+        AdmissionSetting { level: self.admission_level(now, route), retries: self.retry_policy(route) }
+    }
+
+    fn may_message_every_pool(&mut self, now: Duration) -> bool {
+        let channel = &self.channel;
+        let may_send = |times| channel.may_send_message(now, times, ControlChannel::OVERLOAD_SHARE);
+        !self.pools.is_empty() && self.pools.iter_mut().all(|pool| may_send(&mut pool.message_times))
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,52 +1,79 @@
-//! Servers that are fresh or come back.
+//! Slow start: the share of its weight that a server gets after a start or a return, in steps of a quarter.
 
-use super::*;
+use crate::host::PolicyHost;
+use crate::state::{AdmissionControl, LoadSample, Policy, ServerState, SlowStart};
+use std::time::Duration;
 
-impl Ramp {
-    pub(super) const CROWDED: f64 = 1.4;
+impl SlowStart {
+    /// Steps to the full weight.
     pub(super) const STEPS: u32 = 4;
-    /// Of a line's ordinary share, times its step: what a cold one may have of what its pool has left.
-    pub(super) const SHARE: f64 = 1.25;
-    /// Of the ready servers, cold: past it the warm ones fill up, and what they turn away comes to the cold.
-    pub(super) const MANY: f64 = 0.3;
+    /// The most of an ordinary share, times its step, that a warming server may have of what its pool has left.
+    pub(super) const MAX_SHARE: f64 = 1.25;
+    /// Pressure above which a warming server gets nothing.
+    const MAX_PRESSURE: f64 = 1.4;
+    /// Pressure from which on its share falls.
+    const EASY_PRESSURE: f64 = 0.9;
+    /// A shorter warm-up counts as this many seconds.
+    const MIN_WARM_UP_S: f64 = 0.001;
 
-    /// Newly started servers that count in a pool, for each of the others there.
-    pub(super) const NEW_PER_OTHER: usize = 2;
+    /// Whether the full weight is reached.
+    pub(super) fn is_complete(&self) -> bool {
+        self.step == Self::STEPS
+    }
+
+    fn step_share(&self) -> f64 {
+        f64::from(self.step) / f64::from(Self::STEPS)
+    }
 
-    /// What part of an ordinary line a server stands for.
-    pub(super) fn line_share(&self) -> f64 {
-        if self.cold { f64::from(self.step) / f64::from(Self::STEPS) } else { 1.0 }
+    /// The part of an ordinary server that this one counts for in a pool.
+    pub(super) fn entry_share(&self) -> f64 {
+        if self.warming { self.step_share() } else { 1.0 }
     }
 
-    /// Guards against proxies that find the pool crowded and send a cold server many times its share.
-    pub(super) fn part(&self, pressure: f64) -> f64 {
-        let step = f64::from(self.step) / f64::from(Self::STEPS);
-        match pressure {
-            _ if !self.cold => step,
-            p if p > Self::CROWDED => 0.0,
-            p => step * (0.9 / p).min(1.0).powi(2),
+    /// The share of its learned weight that a server may have now. Under pressure proxies avoid full servers and would send
+    /// a warming one many times its share.
+    pub(super) fn weight_share(&self, pressure: f64) -> f64 {
+        if !self.warming {
+            self.step_share()
+        } else if pressure > Self::MAX_PRESSURE {
+            0.0
+        } else {
+            self.step_share() * (Self::EASY_PRESSURE / pressure).min(1.0).powi(2)
         }
     }
 
-    /// The steps a server may have reached by its age, against all proxies together pushing it over.
-    pub(super) fn allowed(now: Duration, warm_at: Duration, warm_up: Duration) -> u32 {
-        let left = warm_at.saturating_sub(now).as_secs_f64() / warm_up.as_secs_f64().max(0.001);
+    /// The steps that a server may have reached by its age.
+    pub(super) fn steps_by_age(now: Duration, warm_at: Duration, warm_up: Duration) -> u32 {
+        let left_s = warm_at.saturating_sub(now).as_secs_f64();
+        let left = left_s / warm_up.as_secs_f64().max(Self::MIN_WARM_UP_S);
         1 + ((1.0 - left).max(0.0) * f64::from(Self::STEPS - 1)) as u32
     }
 }
 
 impl<H: PolicyHost> Policy<H> {
-    pub(super) fn rise(&mut self, now: Duration) {
-        for p in &mut self.peers {
-            let by_age = Ramp::allowed(now, p.warm_at, self.graces.warm_up);
-            // Against a planner that hears little, or a pool that presses hard: it would raise what is full.
-            let room = Levels::FULL * f64::from(p.ramp.step) / f64::from(p.ramp.step + 1);
-            let eases = |x: &Sample| x.at > p.ramp.since && x.cpu.is_none_or(|busy| busy < room);
-            let shown = by_age == Ramp::STEPS || p.load.0.back().is_some_and(eases);
-            if p.ramp.step > 0 && p.ramp.step < by_age.min(p.health.allowed) && shown {
-                (p.ramp.step, p.ramp.since) = (p.ramp.step + 1, now + self.channel.pace.max_transit);
+    /// Raises each server by a step where its age, its health and its last report allow that.
+    pub(super) fn advance_slow_start(&mut self, now: Duration) {
+        for server in &mut self.servers {
+            let by_age = SlowStart::steps_by_age(now, server.warm_at, self.timeouts.warm_up);
+            let allowed_steps = server.outlier.allowed_steps;
+            let may_advance = by_age == SlowStart::STEPS || has_room_for_a_step(server);
+            let slow_start = &mut server.slow_start;
+            if slow_start.step > 0 && slow_start.step < by_age.min(allowed_steps) && may_advance {
+                slow_start.step += 1;
+                slow_start.evidence_from = now + self.channel.limits.max_transit;
             }
-            p.ramp.cold &= by_age < Ramp::STEPS || p.ramp.step < p.health.allowed;
+            slow_start.warming &= by_age < SlowStart::STEPS || slow_start.step < allowed_steps;
         }
     }
 }
+
+/// Whether the last report tells of the present step, and that one more would not fill the server.
+fn has_room_for_a_step(server: &ServerState) -> bool {
+    let step = server.slow_start.step;
+    let max_utilization = AdmissionControl::FULL_UTILIZATION * f64::from(step) / f64::from(step + 1);
+    let shows_room = |sample: &LoadSample| {
+        sample.at > server.slow_start.evidence_from
+            && sample.utilization.is_none_or(|utilization| utilization < max_utilization)
+    };
+    server.load.samples.back().is_some_and(shows_room)
+}
--- a/src/policy/zone_spill.rs
+++ b/src/policy/zone_spill.rs
@@ -1,89 +1,147 @@
-//! What zones make of each other, and what is planned for one that is lost.
+//! Zone spill: how far a zone's proxies use other zones' servers, and over which links. Responsible for the links' state and
+//! for each zone's lean; what these make of a weight is in [`effective_weights`](super::effective_weights).
 
-use super::*;
+use crate::host::{PolicyHost, ZoneId};
+use crate::state::{AdmissionControl, Link, LoadSample, OutlierDetector, Policy, ZoneSpill, mean};
+use std::time::Duration;
 
-impl Zones {
-    /// What far servers count for beside near ones: ordinarily, at most for those lost, over a bad way.
-    pub(super) const FAR: (f64, f64, f64) = (0.2, 0.6, 0.02);
-    pub(super) const HOLD: Duration = Duration::from_secs(5);
-    pub(super) const FULL: f64 = 0.92;
-    pub(super) const EASY: f64 = 0.7;
-    pub(super) const LEAN: f64 = 0.4;
-    pub(super) const MOST: f64 = 1.5;
+/// What a zone's proxies observed of another zone's servers.
+#[derive(Clone, Copy, Default)]
+struct LinkTotals {
+    attempts: f64,
+    answered: f64,
+    /// The sum of the answered attempts' latencies, in seconds.
+    latency_sum_s: f64,
+}
+
+impl LinkTotals {
+    fn add(self, sample: &LoadSample) -> LinkTotals {
+        LinkTotals {
+            attempts: self.attempts + sample.attempts,
+            answered: self.answered + sample.answered(),
+            latency_sum_s: self.latency_sum_s + sample.answered() * sample.latency_s.unwrap_or(0.0),
+        }
+    }
+
+    fn latency_s(&self) -> f64 {
+        self.latency_sum_s / self.answered.max(1.0)
+    }
+
+    fn answered_share(&self) -> f64 {
+        self.answered / self.attempts
+    }
+
+    /// Whether requests fare badly beside those that stay in their zone.
+    fn is_worse_than(&self, local: &LinkTotals, objective_s: f64) -> bool {
+        let max_latency_s = local.latency_s() + ZoneSpill::SLOW_OBJECTIVE_PART * objective_s;
+        let min_answered_share = ZoneSpill::LOSSY_SHARE * local.answered / local.attempts;
+        self.latency_s() > max_latency_s || self.answered_share() < min_answered_share
+    }
+}
 
-    /// Guards against links between zones that are cut, slow or lossy, and against a zone that is full while
-    /// another has room. `met` gives, from zone to zone, tries, answered ones and the sum of their waits.
-    pub(super) fn judge(
+impl ZoneSpill {
+    /// How long a link counts as bad. Then it is tried again: what is sent over a bad one is too little to tell.
+    const BAD_LINK_TIME: Duration = Duration::from_secs(5);
+    /// A good link is judged by so many times the attempts that a server is judged by.
+    const GOOD_LINK_ATTEMPTS: f64 = 5.0;
+    /// A link is bad where its latency is longer by this part of the latency objective, or its answered share is below this
+    /// part of the local one.
+    const SLOW_OBJECTIVE_PART: f64 = 0.4;
+    const LOSSY_SHARE: f64 = 0.7;
+    /// A zone leans more on others above the first utilisation, and less below the second.
+    const FULL_UTILIZATION: f64 = 0.92;
+    const EASY_UTILIZATION: f64 = 0.7;
+    /// Change of the lean in a tick for each unit by which utilisations differ.
+    const LEAN_GAIN: f64 = 0.4;
+    /// The part of [`Self::LEAN_GAIN`] by which the lean falls in a tick that needs none.
+    const LEAN_DECAY_DIVISOR: f64 = 20.0;
+    const MAX_LEAN: f64 = 1.5;
+
+    /// Judges the link from a zone to another.
+    fn update_link(
         &mut self,
         now: Duration,
-        slo: f64,
-        throttled: bool,
-        met: impl Fn(usize, usize) -> [f64; 3],
+        link: Link,
+        local: &LinkTotals,
+        remote: &LinkTotals,
+        objective_s: f64,
     ) {
-        // Where a trickle is too little to tell, the way is tried again in full after a while.
-        self.bad.retain(|_, until| *until > now);
-        for from in 0..self.busy.len() {
-            let [tries, answered, waits] = met(from, from);
-            let mut far = None;
-            for to in (0..self.busy.len()).filter(|to| *to != from) {
-                let way = (from as ZoneId, to as ZoneId);
-                let [t, a, w] = met(from, to);
-                let least = if self.bad.contains_key(&way) { 1.0 } else { 5.0 } * Health::LEAST_TRIES;
-                // Calls fare badly at full servers too; these lose weight one by one.
-                if tries.min(t) >= least && self.busy[to].is_none_or(|b| b < Levels::FULL) {
-                    let slow = w / a.max(1.0) > waits / answered.max(1.0) + 0.4 * slo;
-                    if slow || a / t < 0.7 * answered / tries {
-                        self.bad.insert(way, now + Self::HOLD);
-                    } else {
-                        self.bad.remove(&way);
-                    }
-                }
-                let reached = self.busy[to].filter(|_| !self.bad.contains_key(&way));
-                far = [far, reached].into_iter().flatten().min_by(f64::total_cmp);
-            }
-            let change = match (self.busy[from], far) {
-                (Some(a), Some(b)) if a > Self::FULL || throttled || b > a => Self::LEAN * (a - b),
-                (Some(a), Some(_)) if a > Self::EASY => 0.0,
-                _ => -Self::LEAN / 20.0,
-            };
-            self.reach[from] = (self.reach[from] + change).clamp(0.0, Self::MOST);
+        let factor = if self.bad_links.contains_key(&link) { 1.0 } else { Self::GOOD_LINK_ATTEMPTS };
+        let min_attempts = factor * OutlierDetector::MIN_ATTEMPTS;
+        // Requests fare badly at full servers too; these lose weight one by one.
+        let is_full = |utilization: f64| utilization >= AdmissionControl::FULL_UTILIZATION;
+        let full = self.utilization[usize::from(link.to)].is_some_and(is_full);
+        if local.attempts.min(remote.attempts) < min_attempts || full {
+            return;
+        }
+        if remote.is_worse_than(local, objective_s) {
+            self.bad_links.insert(link, now + Self::BAD_LINK_TIME);
+        } else {
+            self.bad_links.remove(&link);
         }
     }
+
+    /// The utilisation of the least utilised zone that a zone has a good link to.
+    fn least_utilized_remote(&self, from: ZoneId) -> Option<f64> {
+        let reachable = (0..self.zones()).filter(|to| *to != from && !self.is_bad_link(from, *to));
+        reachable.filter_map(|to| self.utilization[usize::from(to)]).min_by(f64::total_cmp)
+    }
+
+    /// Leans more on other zones where these have room, and less again by and by.
+    fn update_lean(&mut self, zone: ZoneId, shedding: bool) {
+        let remote = self.least_utilized_remote(zone);
+        let zone = usize::from(zone);
+        let change = match (self.utilization[zone], remote) {
+            (Some(own), Some(remote)) if own > Self::FULL_UTILIZATION || shedding || remote > own => {
+                Self::LEAN_GAIN * (own - remote)
+            }
+            (Some(own), Some(_)) if own > Self::EASY_UTILIZATION => 0.0,
+            _ => -Self::LEAN_GAIN / Self::LEAN_DECAY_DIVISOR,
+        };
+        self.lean[zone] = (self.lean[zone] + change).clamp(0.0, Self::MAX_LEAN);
+    }
 }
 
 impl<H: PolicyHost> Policy<H> {
-    pub(super) fn look_afar(&mut self, now: Duration, slo: f64) {
-        let since = now.saturating_sub(Health::EVIDENCE);
-        let of = |z: usize| self.peers.iter().filter(move |p| usize::from(p.zone) == z).map(|p| &p.load);
-        for z in 0..self.zones.busy.len() {
-            // Cold servers look idle because they are held back, and would draw the other zones' calls.
-            let whole = self.peers.iter().filter(|p| usize::from(p.zone) == z && !p.ramp.cold);
-            let heard = whole.filter_map(|p| p.load.mean(since, |x| x.cpu));
-            self.zones.busy[z] = if self.zones.parts[z] < 1.0 { None } else { mean(heard) };
+    /// Judges the links between zones that are cut, slow or lossy, and lets a full zone lean on one with room.
+    pub(super) fn update_zone_spill(&mut self, now: Duration) {
+        let from_time = now.saturating_sub(OutlierDetector::WINDOW);
+        for zone in 0..self.zone_spill.zones() {
+            self.zone_spill.utilization[usize::from(zone)] = self.zone_utilization(zone, from_time);
         }
-        let met = |from: usize, to: usize| {
-            let samples = of(to).flat_map(|l| l.since(since)).filter(|x| usize::from(x.from) == from);
-            samples.fold([0.0; 3], |[t, a, w], x| {
-                [t + x.tries, a + x.answered(), w + x.answered() * x.wait.unwrap_or(0.0)]
-            })
-        };
-        self.zones.judge(now, slo, self.levels.throttled(), met);
+        self.zone_spill.bad_links.retain(|_, until| *until > now);
+        let objective_s = self.mean_objective_s();
+        let shedding = self.admission.is_shedding();
+        for from in 0..self.zone_spill.zones() {
+            let local = self.link_totals(Link { from, to: from }, from_time);
+            for to in (0..self.zone_spill.zones()).filter(|to| *to != from) {
+                let link = Link { from, to };
+                let remote = self.link_totals(link, from_time);
+                self.zone_spill.update_link(now, link, &local, &remote, objective_s);
+            }
+            self.zone_spill.update_lean(from, shedding);
+        }
+    }
+
+    /// The mean utilisation of a zone's servers; `None` where it is not known, or its weight is limited. Warming servers look
+    /// idle because they are held back.
+    fn zone_utilization(&self, zone: ZoneId, from: Duration) -> Option<f64> {
+        if self.zone_spill.weight_limits[usize::from(zone)] < 1.0 {
+            return None;
+        }
+        let warm = self.servers.iter().filter(|server| server.zone == zone && !server.slow_start.warming);
+        mean(warm.filter_map(|server| server.load.mean(from, |sample| sample.utilization)))
     }
 
-    /// What part of a zone's servers' weight may be used, by what is known of the zone as one thing.
-    pub fn limit_zone_share(&mut self, now: Duration, zone: ZoneId, part: f64) {
-        self.zones.parts[usize::from(zone)] = part;
-        self.push(now);
+    fn link_totals(&self, link: Link, from: Duration) -> LinkTotals {
+        let servers = self.servers.iter().filter(|server| server.zone == link.to);
+        let samples = servers.flat_map(|server| server.load.since(from));
+        samples.filter(|sample| sample.client_zone == link.from).fold(LinkTotals::default(), LinkTotals::add)
     }
 
-    /// At most so much of routes is let in; what only the former bound kept down rises with it at once.
-    pub fn limit_admission(&mut self, now: Duration, most: &[f64]) {
-        let levels = &mut self.levels;
-        for (r, most) in most.iter().map(|m| *m as f32).enumerate().take(levels.wanted.len()) {
-            let bounded = levels.wanted[r] >= levels.most[r];
-            levels.wanted[r] = if bounded { most } else { levels.wanted[r].min(most) };
-            levels.most[r] = most;
-        }
-        self.push(now);
+    /// Limits the part of a zone's weight that may be used, 0 to 1, by what is told from outside of the zone as a whole.
+    pub fn limit_zone_share(&mut self, now: Duration, zone: ZoneId, share: f64) {
+        self.zone_spill.weight_limits[usize::from(zone)] = share;
+        self.publish(now);
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,335 +1,386 @@
-//! What a planner keeps, as plain data, and means of what it measured. No decisions.
-
-use crate::host::*;
+//! The state of a [`Policy`]: plain data, and statistics over load samples. Nothing here decides anything.
+//!
+//! A policy owns all of its state and is called from one task, so nothing is shared or locked. Times are counted from the
+//! policy's start.
+
+use crate::host::{
+    ControlChannelLimits, EndpointState, Observability, ProxyCapabilities, ProxyId, RetryPolicy, Route,
+    ServerIndex, ServerKind, TableId, Timeouts, ZoneId,
+};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What a zone's proxies met at a server over one cycle.
-pub struct Sample {
-    pub at: Duration,
-    pub from: ZoneId,
-    /// As told, whether or not it is believed.
-    pub told: Option<f64>,
-    pub load: Option<f64>,
-    pub cpu: Option<f64>,
-    pub tries: f64,
-    pub dropped: f64,
-    pub wait: Option<f64>,
+/// What the proxies of a zone observed of a server over one report interval.
+pub(crate) struct LoadSample {
+    /// When the report came.
+    pub(crate) at: Duration,
+    /// The zone of the proxies.
+    pub(crate) client_zone: ZoneId,
+    /// The load as reported, whether or not it is believed, in the unit of the deployment's metrics.
+    pub(crate) reported_load: Option<f64>,
+    /// The same, where it is believed.
+    pub(crate) load: Option<f64>,
+    /// Utilisation of the workers, 0 to 1, where it is reported and believed.
+    pub(crate) utilization: Option<f64>,
+    /// Attempts that ended.
+    pub(crate) attempts: f64,
+    /// Attempts that ended without an answer.
+    pub(crate) failures: f64,
+    /// Mean latency of the answered attempts, in seconds.
+    pub(crate) latency_s: Option<f64>,
 }
 
-impl Sample {
-    pub fn answered(&self) -> f64 {
-        (self.tries - self.dropped).max(0.0)
+impl LoadSample {
+    /// Attempts that were answered.
+    pub(crate) fn answered(&self) -> f64 {
+        (self.attempts - self.failures).max(0.0)
     }
 }
 
-/// The last few samples of a server.
+/// The last few samples of a server, oldest first.
 #[derive(Default)]
-pub struct Samples(pub VecDeque<Sample>);
+pub(crate) struct LoadHistory {
+    pub(crate) samples: VecDeque<LoadSample>,
+}
 
-impl Samples {
-    pub fn since(&self, from: Duration) -> impl Iterator<Item = &Sample> {
-        self.0.iter().filter(move |x| x.at > from)
+impl LoadHistory {
+    /// The samples from after a moment.
+    pub(crate) fn since(&self, from: Duration) -> impl Iterator<Item = &LoadSample> {
+        self.samples.iter().filter(move |sample| sample.at > from)
     }
 
-    pub fn mean(&self, from: Duration, of: impl Fn(&Sample) -> Option<f64>) -> Option<f64> {
+    /// The mean of a figure over the samples from after a moment that have it.
+    pub(crate) fn mean(&self, from: Duration, of: impl Fn(&LoadSample) -> Option<f64>) -> Option<f64> {
         mean(self.since(from).filter_map(of))
     }
 
-    pub fn sum(&self, from: Duration, of: impl Fn(&Sample) -> f64) -> f64 {
+    /// The sum of a figure over the samples from after a moment.
+    pub(crate) fn sum(&self, from: Duration, of: impl Fn(&LoadSample) -> f64) -> f64 {
         self.since(from).map(of).sum()
     }
 }
 
-pub fn drop_old<T>(list: &mut VecDeque<T>, now: Duration, kept: Duration, at: impl Fn(&T) -> Duration) {
-    while list.front().is_some_and(|x| now.saturating_sub(at(x)) > kept) {
+/// Removes elements older than `kept` from the front of a list that is ordered by time.
+pub(crate) fn drop_old<T>(
+    list: &mut VecDeque<T>,
+    now: Duration,
+    kept: Duration,
+    at: impl Fn(&T) -> Duration,
+) {
+    while list.front().is_some_and(|oldest| now.saturating_sub(at(oldest)) > kept) {
         list.pop_front();
     }
 }
 
-pub fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
-    let (sum, n) = values.fold((0.0, 0usize), |(sum, n), v| (sum + v, n + 1));
-    (n > 0).then(|| sum / n as f64)
+/// The arithmetic mean; `None` of no values.
+pub(crate) fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
+    let (sum, count) = values.fold((0.0, 0usize), |(sum, count), value| (sum + value, count + 1));
+    (count > 0).then(|| sum / count as f64)
 }
 
-pub fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
+/// The median, the upper one of an even number of values; `None` of no values.
+pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied()
 }
 
-/// One server: what the list says of it, and what each part below keeps.
-pub struct Peer {
-    pub zone: ZoneId,
-    pub kind: ServerKind,
-    pub phase: EndpointState,
-    pub warm_at: Duration,
-    /// Called gone where that does not bind: what is met there decides.
-    pub doubted: bool,
-    pub load: Samples,
-    pub health: Health,
-    pub ramp: Ramp,
+/// One server: what the endpoint list states, and what each rule remembers of it.
+pub(crate) struct ServerState {
+    pub(crate) zone: ZoneId,
+    pub(crate) kind: ServerKind,
+    pub(crate) endpoint_state: EndpointState,
+    /// When its warm-up by age ends; zero for a server that has long been warm.
+    pub(crate) warm_at: Duration,
+    /// The list removed it where removals are not final: it stays in use until it fails.
+    pub(crate) removal_doubted: bool,
+    pub(crate) load: LoadHistory,
+    pub(crate) outlier: OutlierDetector,
+    pub(crate) slow_start: SlowStart,
 }
 
-impl Peer {
-    /// Named before anything is known of it.
-    pub fn unlisted(health: Health, step: u32) -> Peer {
-        let ramp = Ramp { step, cold: false, since: Duration::ZERO };
-        let (zone, kind, phase, warm_at, doubted) = (0, 0, EndpointState::Draining, Duration::ZERO, false);
-        Peer { zone, kind, phase, warm_at, doubted, load: Samples::default(), health, ramp }
+impl ServerState {
+    /// A server that has not been listed: not in use.
+    pub(crate) fn unlisted(outlier: OutlierDetector, step: u32) -> ServerState {
+        ServerState {
+            zone: 0,
+            kind: 0,
+            endpoint_state: EndpointState::Draining,
+            warm_at: Duration::ZERO,
+            removal_doubted: false,
+            load: LoadHistory::default(),
+            outlier,
+            slow_start: SlowStart { step, warming: false, evidence_from: Duration::ZERO },
+        }
     }
 
-    pub fn ready(&self) -> bool {
-        self.phase == EndpointState::Ready
+    /// Whether the server accepts requests, by the list.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.endpoint_state == EndpointState::Ready
     }
 }
 
-/// A server in a pool: the weight it has earned there, apart from all exceptions, and what was sent.
-pub struct Line {
-    pub server: ServerIndex,
-    pub learnt: f64,
-    pub changed: Duration,
-    pub written: f32,
-    /// Not needed here any more; goes once that is written.
-    pub leaving: bool,
+/// A server in a pool: the weight it has earned there, apart from all exceptions, and the weight that was sent.
+pub(crate) struct WeightEntry {
+    pub(crate) server: ServerIndex,
+    /// The learned weight.
+    pub(crate) learned: f64,
+    /// When the mechanism last changed the learned weight; zero for never.
+    pub(crate) changed_at: Duration,
+    /// The weight last sent; 0 for none.
+    pub(crate) written: f32,
+    /// Not needed in this pool any more; dropped once a weight of 0 is sent.
+    pub(crate) retiring: bool,
 }
 
-/// One shared table of many proxies of a zone.
-pub struct Pool {
-    pub table: TableId,
-    pub zone: ZoneId,
-    pub lines: Vec<Line>,
-    /// When messages went to its proxies.
-    pub sent: VecDeque<Duration>,
+/// One weight table, shared by many proxies of a zone.
+pub(crate) struct Pool {
+    pub(crate) table: TableId,
+    pub(crate) zone: ZoneId,
+    pub(crate) entries: Vec<WeightEntry>,
+    /// When messages were sent to its proxies, oldest first.
+    pub(crate) message_times: VecDeque<Duration>,
 }
 
 impl Pool {
-    pub fn new(table: TableId, zone: ZoneId) -> Pool {
-        Pool { table, zone, lines: vec![], sent: VecDeque::new() }
+    /// A pool without servers.
+    pub(crate) fn new(table: TableId, zone: ZoneId) -> Pool {
+        Pool { table, zone, entries: vec![], message_times: VecDeque::new() }
     }
 
-    /// A server's weight, as a multiple of the pool's mean.
-    pub fn enter(&mut self, server: ServerIndex, weight: f64) {
-        let learnt = weight * self.mean();
-        self.lines.push(Line { server, learnt, changed: Duration::ZERO, written: 0.0, leaving: false });
+    /// Adds a server with a weight in multiples of the pool's mean.
+    pub(crate) fn add_server(&mut self, server: ServerIndex, weight: f64) {
+        let learned = weight * self.mean_weight();
+        let (changed_at, written, retiring) = (Duration::ZERO, 0.0, false);
+        self.entries.push(WeightEntry { server, learned, changed_at, written, retiring });
     }
 
-    pub fn mean(&self) -> f64 {
-        mean(self.lines.iter().map(|l| l.learnt)).unwrap_or(1.0)
+    /// The mean of the learned weights; 1 for an empty pool.
+    pub(crate) fn mean_weight(&self) -> f64 {
+        mean(self.entries.iter().map(|entry| entry.learned)).unwrap_or(1.0)
     }
 }
 
-/// A pool's zone and the servers that it holds.
-pub type DealtPool = (ZoneId, Vec<ServerIndex>);
-
-/// What zones make of each other.
-pub struct Zones {
-    /// From which zone to which calls fared badly, and until when that counts.
-    pub bad: BTreeMap<(ZoneId, ZoneId), Duration>,
-    pub busy: Vec<Option<f64>>,
-    /// How far each zone leans on the others, beyond what they ordinarily take.
-    pub reach: Vec<f64>,
-    /// What part of each zone's weight may be used at the most.
-    pub parts: Vec<f64>,
+/// How many near and far servers a pool is to hold.
+#[derive(Clone, Copy)]
+pub(crate) struct SubsetSize {
+    pub(crate) near: usize,
+    pub(crate) far: usize,
 }
 
-impl Zones {
-    pub fn new(zones: usize) -> Zones {
-        let (busy, reach, parts) = (vec![None; zones], vec![0.0; zones], vec![1.0; zones]);
-        Zones { bad: BTreeMap::new(), busy, reach, parts }
-    }
+impl SubsetSize {
+    /// All servers, as long as one pool a zone holds them.
+    pub(crate) const UNLIMITED: SubsetSize = SubsetSize { near: usize::MAX, far: usize::MAX };
 }
 
-/// How many quarter steps the evidence allows a server: all, fewer, or none.
-pub struct Health {
-    pub allowed: u32,
-    /// Evidence from before this moment is spent.
-    pub fresh_from: Duration,
-    pub answers: u32,
-    pub misses: u32,
-    pub hold: Duration,
+/// A direction between two zones.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Link {
+    /// The zone of the proxies.
+    pub(crate) from: ZoneId,
+    /// The zone of the servers.
+    pub(crate) to: ZoneId,
 }
 
-/// Steps of a quarter for servers that are fresh or come back.
-pub struct Ramp {
-    pub step: u32,
-    /// Still under way to its full weight since a start or a return.
-    pub cold: bool,
-    /// What was heard after this moment tells of the present step.
-    pub since: Duration,
+/// How far the zones use each other's servers.
+pub(crate) struct ZoneSpill {
+    /// Links over which requests fare badly, and until when that counts.
+    pub(crate) bad_links: BTreeMap<Link, Duration>,
+    /// By zone: mean utilisation of its servers, 0 to 1, where known.
+    pub(crate) utilization: Vec<Option<f64>>,
+    /// By zone: how far it leans on other zones' servers beyond the ordinary.
+    pub(crate) lean: Vec<f64>,
+    /// By zone: the part of its servers' weight that may be used, 0 to 1.
+    pub(crate) weight_limits: Vec<f64>,
 }
 
-/// When calls of a route came, how many, and to which proxy.
-pub type Arrived = (Duration, f64, ProxyId);
-
-/// How full the pool is, how much of each route is let in, and when proxies try again.
-pub struct Levels {
-    /// What servers are sent as a part of what they could answer.
-    pub pressure: f64,
-    pub arrived: Vec<VecDeque<Arrived>>,
-    pub wanted: Vec<f32>,
-    /// What no route is let in beyond, whatever is measured.
-    pub most: Vec<f32>,
-    pub crowded: bool,
-    pub written: Vec<(f32, RetryPolicy)>,
-}
+impl ZoneSpill {
+    /// Zones that do not lean on each other.
+    pub(crate) fn new(zones: usize) -> ZoneSpill {
+        let (utilization, lean, weight_limits) = (vec![None; zones], vec![0.0; zones], vec![1.0; zones]);
+        ZoneSpill { bad_links: BTreeMap::new(), utilization, lean, weight_limits }
+    }
 
-impl Levels {
-    pub fn new(n: usize, pressure: f64) -> Levels {
-        let (arrived, written) = (vec![VecDeque::new(); n], vec![(-1.0, RetryPolicy::Never); n]);
-        Levels { pressure, arrived, wanted: vec![1.0; n], most: vec![1.0; n], crowded: false, written }
+    /// The number of zones.
+    pub(crate) fn zones(&self) -> ZoneId {
+        self.utilization.len() as ZoneId
     }
 
-    pub fn throttled(&self) -> bool {
-        self.wanted.iter().any(|w| *w < 1.0)
+    /// Whether requests of one zone fare badly at another's servers.
+    pub(crate) fn is_bad_link(&self, from: ZoneId, to: ZoneId) -> bool {
+        self.bad_links.contains_key(&Link { from, to })
     }
 }
 
-/// What may be sent now.
-pub struct Channel {
-    pub pace: ControlChannelLimits,
-    pub waiting: f64,
-    /// All lines ever ordered.
-    pub ordered: f64,
-    pub drained_at: Duration,
-    pub answered_at: Duration,
-    pub marks: u16,
-    /// Numbers of marks, and what had been ordered before each.
-    pub unanswered: VecDeque<(u16, f64)>,
-    pub urgent_set: bool,
+/// What the evidence of a server's health allows it.
+pub(crate) struct OutlierDetector {
+    /// Steps of weight that are allowed; 0 ejects the server.
+    pub(crate) allowed_steps: u32,
+    /// Evidence from before this moment does not count.
+    pub(crate) evidence_from: Duration,
+    /// Health checks passed and failed since, one after another.
+    pub(crate) checks_passed: u32,
+    pub(crate) checks_failed: u32,
+    /// How long the next ejection lasts at the least.
+    pub(crate) ejection_time: Duration,
 }
 
-impl Channel {
-    pub fn new(pace: ControlChannelLimits) -> Channel {
-        let (start, unanswered) = (Duration::ZERO, VecDeque::new());
-        let (drained_at, answered_at) = (start, start);
-        Channel {
-            pace,
-            waiting: 0.0,
-            ordered: 0.0,
-            drained_at,
-            answered_at,
-            marks: 0,
-            unanswered,
-            urgent_set: false,
-        }
-    }
-
-    pub fn add(&mut self, lines: f64) {
-        (self.waiting, self.ordered) = (self.waiting + lines, self.ordered + lines);
-    }
+/// Steps of weight for a server that has started or returns.
+pub(crate) struct SlowStart {
+    /// The step reached, of [`SlowStart::STEPS`]; 0 while ejected.
+    pub(crate) step: u32,
+    /// On the way to its full weight since a start or a return.
+    pub(crate) warming: bool,
+    /// Reports from after this moment tell of the present step.
+    pub(crate) evidence_from: Duration,
+}
 
-    pub fn mark(&mut self, ordered_before: f64) -> u16 {
-        self.marks = (self.marks + 1) % 50_000;
-        self.unanswered.push_back((self.marks, ordered_before));
-        self.marks
-    }
+/// Requests of a route that a proxy received within a report interval.
+pub(crate) struct RequestCount {
+    /// When the report came.
+    pub(crate) at: Duration,
+    pub(crate) requests: f64,
+    pub(crate) proxy: ProxyId,
 }
 
-pub struct Joined {
-    pub zone: ZoneId,
-    pub rate: f64,
-    /// Kept over a break, so that connections serve on.
-    pub pool: Option<usize>,
-    pub bound: bool,
+/// What the proxies are told of a route.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) struct AdmissionSetting {
+    /// In the unit of the deployment's [`AdmissionMode`](crate::host::AdmissionMode).
+    pub(crate) level: f32,
+    pub(crate) retries: RetryPolicy,
 }
 
-/// One planner: see [`crate::policy`].
-pub struct Policy<H> {
-    pub(crate) host: H,
-    pub(crate) rng: Pcg64Mcg,
-    pub(crate) routes: Vec<Route>,
-    pub(crate) plane: ProxyCapabilities,
-    pub(crate) graces: Timeouts,
-    pub(crate) sight: Observability,
-    pub(crate) peers: Vec<Peer>,
-    pub(crate) ask_at: Option<Duration>,
-    pub(crate) looks: u32,
-    pub(crate) levels: Levels,
-    pub(crate) channel: Channel,
-    pub(crate) pools: Vec<Pool>,
-    /// Near and far servers that a pool is to hold.
-    pub(crate) width: (usize, usize),
-    pub(crate) zones: Zones,
-    pub(crate) proxies: BTreeMap<ProxyId, Joined>,
-    pub(crate) unbound: VecDeque<ProxyId>,
+impl AdmissionSetting {
+    /// Differs from every setting that is sent.
+    const UNSET: AdmissionSetting = AdmissionSetting { level: -1.0, retries: RetryPolicy::Never };
 }
 
-/// Weights as multiples of their pool's mean, over the pools that hold the server.
-pub fn learnt(pools: &[Pool]) -> BTreeMap<ServerIndex, f64> {
-    let mut learnt: BTreeMap<ServerIndex, Vec<f64>> = BTreeMap::new();
-    for pool in pools {
-        pool.lines.iter().for_each(|l| learnt.entry(l.server).or_default().push(l.learnt / pool.mean()));
-    }
-    learnt.into_iter().filter_map(|(s, all)| Some((s, mean(all.into_iter())?))).collect()
+/// How loaded the servers are as a whole, and how much of each route is admitted.
+pub(crate) struct AdmissionControl {
+    /// What servers are sent as a part of what they could answer; 1 is just full.
+    pub(crate) pressure: f64,
+    /// By route: the requests received, oldest first.
+    pub(crate) received: Vec<VecDeque<RequestCount>>,
+    /// By route: the share that is to be admitted, 0 to 1.
+    pub(crate) admitted_share: Vec<f32>,
+    /// By route: the largest share that may be admitted, whatever is measured.
+    pub(crate) share_limits: Vec<f32>,
+    /// The servers are full: no retries.
+    pub(crate) overloaded: bool,
+    /// By route: what was last sent.
+    pub(crate) written: Vec<AdmissionSetting>,
 }
 
-/// The same by kinds of servers, over the lines that have been changed since they came.
-pub fn usual(pools: &[Pool], peers: &[Peer]) -> BTreeMap<ServerKind, f64> {
-    let mut of: BTreeMap<ServerKind, Vec<f64>> = BTreeMap::new();
-    for (pool, mean) in pools.iter().map(|p| (p, p.mean())) {
-        for line in pool.lines.iter().filter(|l| l.changed > Duration::ZERO) {
-            of.entry(peers[line.server].kind).or_default().push(line.learnt / mean);
+impl AdmissionControl {
+    /// Admits everything.
+    pub(crate) fn new(routes: usize, pressure: f64) -> AdmissionControl {
+        AdmissionControl {
+            pressure,
+            received: (0..routes).map(|_| VecDeque::new()).collect(),
+            admitted_share: vec![1.0; routes],
+            share_limits: vec![1.0; routes],
+            overloaded: false,
+            written: vec![AdmissionSetting::UNSET; routes],
         }
     }
-    of.into_iter().filter_map(|(kind, all)| Some((kind, mean(all.into_iter())?))).collect()
+
+    /// Whether any route is admitted in part.
+    pub(crate) fn is_shedding(&self) -> bool {
+        self.admitted_share.iter().any(|share| *share < 1.0)
+    }
 }
 
-/// What each pool holds, and which one each bound proxy has: those that left are not handed on for ever.
-pub fn dealt(
-    pools: &[Pool],
-    proxies: &BTreeMap<ProxyId, Joined>,
-) -> (Vec<DealtPool>, BTreeMap<ProxyId, usize>) {
-    let held = |p: &Pool| p.lines.iter().filter(|l| !l.leaving).map(|l| l.server).collect();
-    let pools = pools.iter().map(|p| (p.zone, held(p))).collect();
-    let bound = proxies.iter().filter(|p| p.1.bound);
-    (pools, bound.filter_map(|(p, j)| Some((*p, j.pool?))).collect())
+/// An acknowledgement that was asked for.
+pub(crate) struct PendingAck {
+    pub(crate) number: u16,
+    /// All entries sent before the commands that it covers.
+    pub(crate) entries_before: f64,
 }
 
-/// The part of the ready servers that are cold.
-pub fn fresh(peers: &[Peer]) -> f64 {
-    let ready = peers.iter().filter(|p| p.ready());
-    let [cold, all] = ready.fold([0.0; 2], |[c, n], p| [c + f64::from(u8::from(p.ramp.cold)), n + 1.0]);
-    cold / f64::max(all, 1.0)
+/// The load of the control channel, in table entries.
+pub(crate) struct ControlChannel {
+    pub(crate) limits: ControlChannelLimits,
+    /// Entries taken to be queued in the channel.
+    pub(crate) queued: f64,
+    /// All entries ever sent.
+    pub(crate) sent: f64,
+    /// When `queued` was last reduced by what the channel delivers.
+    pub(crate) drained_at: Duration,
+    /// When the last acknowledgement came.
+    pub(crate) acknowledged_at: Duration,
+    /// The number of the last acknowledgement asked for.
+    pub(crate) last_ack: u16,
+    pub(crate) pending_acks: VecDeque<PendingAck>,
+    /// [`Timer::UrgentPublish`](crate::host::Timer::UrgentPublish) is set and has not fired.
+    pub(crate) urgent_timer_set: bool,
 }
 
-impl<H> Policy<H> {
-    /// What each zone's servers are able to, in calls a second, and what came for each route in the zone.
-    pub fn zone_capacity(&self, now: Duration) -> Vec<(f64, Vec<f64>)> {
-        let (from, span) = (now.saturating_sub(Peer::KEPT), Peer::KEPT.min(now).as_secs_f64().max(1.0));
-        let room = |zone: ZoneId| {
-            let able = self.peers.iter().filter(|p| p.ready() && p.zone == zone).map(|p| {
-                let busy = p.load.mean(from, |x| x.cpu).unwrap_or(0.7).clamp(0.05, 1.0);
-                p.load.sum(from, Sample::answered) / busy / span
-            });
-            let here = |a: &&Arrived| a.0 > from && self.proxies.get(&a.2).is_some_and(|p| p.zone == zone);
-            let came = |a: &VecDeque<Arrived>| a.iter().filter(here).map(|a| a.1).sum::<f64>() / span;
-            (able.sum(), self.levels.arrived.iter().map(came).collect())
-        };
-        (0..self.zones.busy.len() as ZoneId).map(room).collect()
+impl ControlChannel {
+    /// Numbers of acknowledgements are below this.
+    const ACK_NUMBERS: u16 = 50_000;
+
+    /// An empty channel.
+    pub(crate) fn new(limits: ControlChannelLimits) -> ControlChannel {
+        ControlChannel {
+            limits,
+            queued: 0.0,
+            sent: 0.0,
+            drained_at: Duration::ZERO,
+            acknowledged_at: Duration::ZERO,
+            last_ack: 0,
+            pending_acks: VecDeque::new(),
+            urgent_timer_set: false,
+        }
+    }
+
+    /// Counts entries that are sent.
+    pub(crate) fn add(&mut self, entries: f64) {
+        self.queued += entries;
+        self.sent += entries;
+    }
+
+    /// The number of a new acknowledgement, of everything after the first `entries_before` entries.
+    pub(crate) fn next_ack(&mut self, entries_before: f64) -> u16 {
+        self.last_ack = (self.last_ack + 1) % Self::ACK_NUMBERS;
+        self.pending_acks.push_back(PendingAck { number: self.last_ack, entries_before });
+        self.last_ack
     }
 }
 
-/// Calls a second that came to each proxy, over as long as they are kept.
-pub fn rates(arrived: &VecDeque<Arrived>, kept: Duration, now: Duration) -> Vec<f64> {
-    let (from, span) = (now.saturating_sub(kept), kept.min(now).as_secs_f64().max(1.0));
-    let mut rates: BTreeMap<ProxyId, f64> = BTreeMap::new();
-    arrived.iter().filter(|a| a.0 > from).for_each(|a| *rates.entry(a.2).or_default() += a.1 / span);
-    rates.into_values().collect()
+/// A proxy that joined once.
+pub(crate) struct ProxyState {
+    pub(crate) zone: ZoneId,
+    /// Requests a second that it usually gets.
+    pub(crate) request_rate: f64,
+    /// The position of its pool. Kept while the proxy is away, so that its connections serve on.
+    pub(crate) pool: Option<usize>,
+    /// Joined, and told its table.
+    pub(crate) bound: bool,
 }
 
-/// The most that each may have where `sum` is shared out evenly and nobody gets more than it asks for. No bound where that
-/// is all that is asked for.
-pub fn evenly(asked: &[f64], sum: f64) -> f64 {
-    let mut asked = asked.to_vec();
-    asked.sort_by(f64::total_cmp);
-    let (mut left, mut others) = (sum, asked.len() as f64);
-    for own in asked {
-        if own * others > left {
-            return left / others;
-        }
-        (left, others) = (left - own, others - 1.0);
-    }
-    f64::INFINITY
+/// The load-balancing policy of one planner: see [`crate::policy`].
+pub struct Policy<H> {
+    pub(crate) host: H,
+    /// The one source of chance; the order of draws is part of the behaviour.
+    pub(crate) rng: Pcg64Mcg,
+    pub(crate) routes: Vec<Route>,
+    pub(crate) capabilities: ProxyCapabilities,
+    pub(crate) timeouts: Timeouts,
+    pub(crate) observability: Observability,
+    /// By [`ServerIndex`].
+    pub(crate) servers: Vec<ServerState>,
+    /// When the endpoint list is polled next; `None` before the first list and where it is pushed.
+    pub(crate) next_poll_at: Option<Duration>,
+    /// Ticks so far.
+    pub(crate) ticks: u32,
+    pub(crate) admission: AdmissionControl,
+    pub(crate) channel: ControlChannel,
+    pub(crate) pools: Vec<Pool>,
+    pub(crate) subset_size: SubsetSize,
+    pub(crate) zone_spill: ZoneSpill,
+    pub(crate) proxies: BTreeMap<ProxyId, ProxyState>,
+    /// Joined proxies without a table, in the order in which they joined.
+    pub(crate) unbound: VecDeque<ProxyId>,
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -804,27 +804,35 @@
     former.list(true, &all[..22]);
     former.list(true, &all);
     (0..12).for_each(|p| former.planner.proxy_joined(former.now, p, p % 2, true, 1.0));
-    let (pools, bound) = former.planner.pool_assignments();
-    assert!(pools.len() > 2 && bound.len() == 12, "{pools:?}");
+    let PoolAssignments { pools, pool_by_proxy } = former.planner.pool_assignments();
+    assert!(pools.len() > 2 && pool_by_proxy.len() == 12, "{pools:?}");
     let mut next = new();
     next.list(true, &all[..left]);
-    assert_ne!(next.planner.pool_assignments().0, pools, "dealt alike by chance: the test shows nothing");
-    let places = bound.iter().map(|(p, pool)| (*p, (p % 2, *pool))).collect();
-    next.planner.restore_pool_assignments(&pools, &places);
-    for ((zone, held), (was, before)) in next.planner.pool_assignments().0.iter().zip(&pools) {
-        let kept = before.iter().filter(|s| **s < left);
-        assert!(zone == was && kept.clone().all(|s| held.contains(s)), "{held:?} of {before:?}");
+    let by_chance = next.planner.pool_assignments().pools;
+    assert_ne!(by_chance, pools, "assigned alike by chance: the test shows nothing");
+    let former_binding = |proxy, pool| FormerBinding { zone: proxy % 2, pool };
+    let bindings =
+        pool_by_proxy.iter().map(|(proxy, pool)| (*proxy, former_binding(*proxy, *pool))).collect();
+    next.planner.restore_pool_assignments(&pools, &bindings);
+    for (restored, before) in next.planner.pool_assignments().pools.iter().zip(&pools) {
+        let mut remaining = before.servers.iter().filter(|server| **server < left);
+        let all_held = remaining.all(|server| restored.servers.contains(server));
+        assert!(restored.zone == before.zone && all_held, "{restored:?} of {before:?}");
     }
     for proxy in (0..12).rev() {
         next.planner.proxy_joined(next.now, proxy, proxy % 2, false, 1.0);
     }
-    assert_eq!(next.planner.pool_assignments().1, bound, "each proxy goes on with its own pool");
+    let restored = next.planner.pool_assignments().pool_by_proxy;
+    assert_eq!(restored, pool_by_proxy, "each proxy goes on with its own pool");
     // A place that is none, and a server that never was, are left out.
     let mut odd = new();
     odd.list(true, &all);
-    odd.planner.restore_pool_assignments(&[(0, vec![0, 99]), (1, vec![1])], &[(0, (0, 7))].into());
+    let with_unknown_server =
+        [PoolSubset { zone: 0, servers: vec![0, 99] }, PoolSubset { zone: 1, servers: vec![1] }];
+    let unknown_pool = FormerBinding { zone: 0, pool: 7 };
+    odd.planner.restore_pool_assignments(&with_unknown_server, &[(0, unknown_pool)].into());
     odd.planner.proxy_joined(odd.now, 0, 0, false, 1.0);
-    assert_eq!(odd.planner.pool_assignments().1[&0], 0);
+    assert_eq!(odd.planner.pool_assignments().pool_by_proxy[&0], 0);
 }
 
 #[rstest]
