--- /dev/null
+++ b/tests/policy/endpoints.rs
@@ -0,0 +1,88 @@
+//! The endpoint list, and proxies that join.
+
+use crate::helpers::*;
+use grebespool::host::*;
+use rstest::rstest;
+use std::time::Duration;
+
+// Invariant 1: a usable entry for each joined proxy.
+#[rstest]
+#[case::fails_everywhere(|_| Some(observed(10, 10, 0.0, 0.0)))]
+#[case::silent(|_| None)]
+fn joined_proxy_always_has_a_usable_entry(#[case] report: fn(ServerIndex) -> Option<Observed>) {
+    let mut harness = PolicyHarness::with_servers(6, 2);
+    harness.healthy = false;
+    for _ in 0..30 {
+        harness.run(Duration::from_secs(1), |server| report(server).filter(|_| server < 6));
+        for table in 0..2 {
+            assert!(
+                (0..6).any(|server| harness.weight(table, server) > 0.0),
+                "table {table} at {:?}",
+                harness.now
+            );
+        }
+    }
+}
+
+#[rstest]
+fn binds_returning_proxy_at_once() {
+    let mut harness = PolicyHarness::with_servers(3, 1);
+    harness.policy.proxy_left(0);
+    harness.commands.borrow_mut().tables_by_proxy.clear();
+    harness.policy.proxy_joined(harness.now, 0, 0, false, 1.0);
+    assert!(harness.commands.borrow().tables_by_proxy[&0].contains(&0));
+}
+
+#[rstest]
+fn removes_server_missing_from_complete_list() {
+    let mut harness = PolicyHarness::with_servers(3, 1);
+    harness.update_endpoints(
+        true,
+        &[endpoint(0, 0, EndpointState::Ready, None), endpoint(2, 0, EndpointState::Ready, None)],
+    );
+    assert_eq!(harness.weight(0, 1), 0.0);
+}
+
+#[rstest]
+#[case::removal_is_final(true, false, 0.0)]
+#[case::removal_is_not_final(false, false, 1.0)]
+#[case::seen_draining_before(false, true, 0.0)]
+fn keeps_removed_server_in_use_where_removal_is_not_final(
+    #[case] binds: bool,
+    #[case] drained: bool,
+    #[case] weight: f32,
+) {
+    let mut harness = PolicyHarness::with_many_proxies(6, 2, CHANNEL, binds);
+    if drained {
+        harness.update_endpoints(false, &[endpoint(0, 0, EndpointState::Draining, None)]);
+    }
+    harness.update_endpoints(false, &[endpoint(0, 0, EndpointState::Removed, None)]);
+    harness.run(Duration::from_secs(4), |server| QUIET.filter(|_| server < 6));
+    assert_eq!(harness.weight(0, 0), weight);
+    harness.run(Duration::from_secs(8), |server| {
+        if server == 0 { Some(observed(9, 9, 0.0, 0.0)) } else { QUIET.filter(|_| server < 6) }
+    });
+    assert_eq!(harness.weight(0, 0), 0.0, "one that fails as well is removed");
+}
+
+#[rstest]
+fn ignores_unknown_ids_and_invalid_figures() {
+    let mut harness = PolicyHarness::with_servers(3, 1);
+    harness.update_endpoints(false, &[]);
+    harness.policy.proxy_left(99);
+    harness.policy.acknowledged(harness.now, 12);
+    harness.policy.health_check_finished(77, HealthCheckResult::Failed);
+    harness.policy.requests_received(harness.now, 0, 9, 4);
+    harness.policy.load_reported(
+        harness.now,
+        50,
+        &LoadReport { client_zone: 0, attempts: 0, failures: 9, latency: None, metrics: &[f32::INFINITY] },
+    );
+    harness.policy.timer_fired(harness.now, Timer::UrgentPublish);
+    let polls_before = harness.commands.borrow().polls;
+    harness.policy.endpoint_poll_failed(harness.now);
+    harness.run(Duration::from_secs(6), |server| (server < 3).then_some(observed(0, 0, f32::INFINITY, 0.0)));
+    assert!(harness.commands.borrow().polls > polls_before, "a list that failed is polls_before for again");
+    harness.update_endpoints(true, &[]);
+    assert!((0..3).all(|server| harness.weight(0, server) == 0.0));
+}
--- /dev/null
+++ b/tests/policy/helpers.rs
@@ -0,0 +1,304 @@
+//! A host that records the policy's commands, and a harness that drives a policy through time.
+
+use grebespool::host::*;
+use grebespool::policy::Policy;
+use std::cell::RefCell;
+use std::collections::{BTreeMap, BTreeSet};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Servers that [`PolicyHarness::run`] asks for reports on.
+const REPORTED_SERVERS: ServerIndex = 64;
+const REPORT_INTERVAL: Duration = ms(500);
+
+/// What is reported of a server for one interval.
+#[derive(Clone, Copy)]
+pub struct Observed {
+    pub attempts: u32,
+    pub failures: u32,
+    pub utilization: f32,
+    pub pending: f32,
+}
+
+pub const fn observed(attempts: u32, failures: u32, utilization: f32, pending: f32) -> Observed {
+    Observed { attempts, failures, utilization, pending }
+}
+
+/// A server at half of its capacity.
+pub const QUIET: Option<Observed> = Some(observed(5, 0, 0.5, 0.0));
+
+/// What the policy has commanded.
+#[derive(Default)]
+pub struct Commands {
+    pub weights: BTreeMap<(TableId, ServerIndex), f32>,
+    pub tables_by_proxy: BTreeMap<ProxyId, BTreeSet<TableId>>,
+    pub admission: BTreeMap<RouteSet, (f32, RetryPolicy)>,
+    /// Health checks and acknowledgements that were asked for and not answered yet.
+    pub health_checks: Vec<ServerIndex>,
+    pub acks: Vec<u16>,
+    /// How many weights were set.
+    pub weights_set: usize,
+    /// How often the list was polled.
+    pub polls: usize,
+    /// When weights or levels were set, by calls of the policy.
+    pub written_at: BTreeSet<Duration>,
+    /// Levels are requests a second, and not shares.
+    pub levels_are_rates: bool,
+    timers: BTreeSet<(Duration, Timer)>,
+    now: Duration,
+}
+
+#[derive(Clone, Default)]
+pub struct RecordingHost(pub Rc<RefCell<Commands>>);
+
+impl PolicyHost for RecordingHost {
+    fn set_timer(&mut self, at: Duration, timer: Timer) {
+        self.0.borrow_mut().timers.insert((at, timer));
+    }
+    fn set_weight(&mut self, table: TableId, server: ServerIndex, weight: f32) {
+        assert!(weight.is_finite() && weight >= 0.0, "weight {weight} of server {server}");
+        let mut commands = self.0.borrow_mut();
+        let now = commands.now;
+        commands.written_at.insert(now);
+        commands.weights_set += 1;
+        commands.weights.insert((table, server), weight);
+    }
+    fn bind_proxy(&mut self, proxy: ProxyId, table: TableId, _: RouteSet) {
+        self.0.borrow_mut().tables_by_proxy.entry(proxy).or_default().insert(table);
+    }
+    fn set_admission(&mut self, routes: RouteSet, level: f32, retries: RetryPolicy) {
+        let mut commands = self.0.borrow_mut();
+        let max = if commands.levels_are_rates { f32::MAX } else { 1.0 };
+        assert!((0.0..=max).contains(&level), "level {level}");
+        let now = commands.now;
+        commands.written_at.insert(now);
+        commands.admission.insert(routes, (level, retries));
+    }
+    fn request_ack(&mut self, number: u16) {
+        self.0.borrow_mut().acks.push(number);
+    }
+    fn start_health_check(&mut self, server: ServerIndex) {
+        self.0.borrow_mut().health_checks.push(server);
+    }
+    fn poll_endpoints(&mut self) {
+        self.0.borrow_mut().polls += 1;
+    }
+}
+
+pub const fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+pub fn route(priority_weight: f64, idempotency: Idempotency) -> Route {
+    Route { priority_weight, latency_objective: ms(1500), idempotency, zone_local: false }
+}
+
+pub fn endpoint(server: ServerIndex, zone: ZoneId, state: EndpointState, age: Option<Duration>) -> Endpoint {
+    Endpoint { server, zone, kind: 0, state, age }
+}
+
+/// Ready servers that have long been warm, in turn over the zones.
+pub fn warm_endpoints(servers: std::ops::Range<ServerIndex>, zones: usize) -> Vec<Endpoint> {
+    servers.map(|server| endpoint(server, (server % zones) as ZoneId, EndpointState::Ready, None)).collect()
+}
+
+pub const CHANNEL: ControlChannelLimits = ControlChannelLimits {
+    entries_per_s: 10_000.0,
+    max_queued_entries: 15_000.0,
+    message_overhead: 4.0,
+    max_messages: 12,
+    window: Duration::from_secs(10),
+    max_transit: Duration::from_millis(500),
+};
+
+/// A policy and what it has commanded.
+pub struct PolicyHarness {
+    pub policy: Policy<RecordingHost>,
+    pub commands: Rc<RefCell<Commands>>,
+    pub now: Duration,
+    /// Whether servers pass health checks.
+    pub healthy: bool,
+    /// Whether proxies acknowledge.
+    pub acknowledging: bool,
+    /// The latency of answered attempts.
+    pub latency: Duration,
+}
+
+impl PolicyHarness {
+    pub fn new(
+        zones: usize,
+        channel: ControlChannelLimits,
+        routes: Vec<Route>,
+        attempt_timeout_factor: f64,
+    ) -> PolicyHarness {
+        PolicyHarness::with_admission_mode(
+            AdmissionMode::Share,
+            zones,
+            channel,
+            routes,
+            attempt_timeout_factor,
+        )
+    }
+
+    pub fn with_admission_mode(
+        admission_mode: AdmissionMode,
+        zones: usize,
+        channel: ControlChannelLimits,
+        routes: Vec<Route>,
+        attempt_timeout_factor: f64,
+    ) -> PolicyHarness {
+        let capabilities = ProxyCapabilities {
+            zones,
+            slices: 0,
+            admission_mode,
+            attempt_timeout_factor,
+            proxies: 4,
+            min_server_connections: 200.0,
+        };
+        let harness = PolicyHarness::on(capabilities, channel, routes, true);
+        harness.commands.borrow_mut().levels_are_rates = admission_mode == AdmissionMode::Rate;
+        harness
+    }
+
+    pub fn on(
+        capabilities: ProxyCapabilities,
+        channel: ControlChannelLimits,
+        routes: Vec<Route>,
+        removal_is_final: bool,
+    ) -> PolicyHarness {
+        let host = RecordingHost::default();
+        let commands = host.0.clone();
+        let observability = Observability {
+            metrics: vec![LoadMetric::Utilization, LoadMetric::Pending],
+            report_interval: REPORT_INTERVAL,
+            health_checks: true,
+            endpoint_poll_interval: Some(Duration::from_secs(10)),
+        };
+        let timeouts = Timeouts { warm_up: Duration::from_secs(16), removal_is_final };
+        let policy = Policy::new(host, 7, routes, capabilities, timeouts, channel, observability);
+        PolicyHarness {
+            policy,
+            commands,
+            now: Duration::ZERO,
+            healthy: true,
+            acknowledging: true,
+            latency: ms(200),
+        }
+    }
+
+    /// Far more proxies than servers have connections for, in two zones.
+    pub fn with_many_proxies(
+        servers: usize,
+        proxies: usize,
+        channel: ControlChannelLimits,
+        removal_is_final: bool,
+    ) -> PolicyHarness {
+        let capabilities = ProxyCapabilities {
+            zones: 2,
+            slices: 0,
+            admission_mode: AdmissionMode::Share,
+            attempt_timeout_factor: 1.2,
+            proxies,
+            min_server_connections: 20.0,
+        };
+        let routes = vec![route(1.0, Idempotency::Idempotent)];
+        let mut harness = PolicyHarness::on(capabilities, channel, routes, removal_is_final);
+        harness.update_endpoints(true, &warm_endpoints(0..servers, 2));
+        for proxy in 0..proxies {
+            harness.policy.proxy_joined(harness.now, proxy as ProxyId, (proxy % 2) as ZoneId, true, 1.0);
+        }
+        harness
+    }
+
+    /// Warm servers in turn over the zones, and a joined proxy in each zone.
+    pub fn with_servers(servers: usize, zones: usize) -> PolicyHarness {
+        let routes = vec![route(1.0, Idempotency::Idempotent), route(2.0, Idempotency::NonIdempotent)];
+        let mut harness = PolicyHarness::new(zones, CHANNEL, routes, 1.2);
+        harness.update_endpoints(true, &warm_endpoints(0..servers, zones));
+        for zone in 0..zones {
+            harness.policy.proxy_joined(harness.now, zone as ProxyId, zone as ZoneId, true, 1.0);
+        }
+        harness
+    }
+
+    pub fn update_endpoints(&mut self, complete: bool, endpoints: &[Endpoint]) {
+        self.commands.borrow_mut().now = self.now;
+        self.policy.endpoints_updated(self.now, complete, endpoints);
+    }
+
+    /// Runs on, with what `observe` gives of each server at every report interval.
+    pub fn run(&mut self, length: Duration, observe: impl Fn(ServerIndex) -> Option<Observed>) {
+        let end = self.now + length;
+        while self.now < end {
+            self.now += REPORT_INTERVAL;
+            self.acknowledge();
+            self.fire_due_timers();
+            for server in 0..REPORTED_SERVERS {
+                if let Some(observed) = observe(server) {
+                    self.report(server, observed);
+                }
+            }
+        }
+    }
+
+    fn acknowledge(&mut self) {
+        let acks = std::mem::take(&mut self.commands.borrow_mut().acks);
+        for number in acks.into_iter().filter(|_| self.acknowledging) {
+            self.policy.acknowledged(self.now, number);
+        }
+    }
+
+    fn fire_due_timers(&mut self) {
+        loop {
+            let first = self.commands.borrow().timers.first().copied();
+            let Some((at, timer)) = first.filter(|(at, _)| *at <= self.now) else { break };
+            let health_checks = {
+                let mut commands = self.commands.borrow_mut();
+                commands.timers.remove(&(at, timer));
+                commands.now = at;
+                std::mem::take(&mut commands.health_checks)
+            };
+            let result = if self.healthy { HealthCheckResult::Healthy } else { HealthCheckResult::Failed };
+            for server in health_checks {
+                self.policy.health_check_finished(server, result);
+            }
+            self.policy.timer_fired(at, timer);
+        }
+    }
+
+    fn report(&mut self, server: ServerIndex, observed: Observed) {
+        // No honest figure stands still, but for zero.
+        let variation = 1.0 + (self.now.as_millis() / 500 % 7) as f32 * 0.002;
+        let metrics = [observed.utilization * variation, observed.pending];
+        let answered = observed.attempts > observed.failures;
+        let report = LoadReport {
+            client_zone: 0,
+            attempts: observed.attempts,
+            failures: observed.failures,
+            latency: answered.then_some(self.latency),
+            metrics: if answered { &metrics } else { &[] },
+        };
+        self.policy.load_reported(self.now, server, &report);
+    }
+
+    pub fn weight(&self, table: TableId, server: ServerIndex) -> f32 {
+        self.commands.borrow().weights.get(&(table, server)).copied().unwrap_or(0.0)
+    }
+
+    /// The servers with a weight above zero in a table.
+    pub fn servers_in(&self, table: TableId) -> Vec<ServerIndex> {
+        let commands = self.commands.borrow();
+        let weights = commands.weights.iter().filter(|((of, _), weight)| *of == table && **weight > 0.0);
+        weights.map(|((_, server), _)| *server).collect()
+    }
+
+    /// The tables that proxies are bound to.
+    pub fn bound_tables(&self) -> BTreeSet<TableId> {
+        self.commands.borrow().tables_by_proxy.values().flatten().copied().collect()
+    }
+
+    /// The admission level of a set of routes.
+    pub fn level(&self, routes: RouteSet) -> f32 {
+        self.commands.borrow().admission[&routes].0
+    }
+}
