--- a/crates/wirehost/src/frame.rs
+++ b/crates/wirehost/src/frame.rs
@@ -1,131 +1,136 @@
-//! Frames: bytes of a batch taken apart, records of a reply put together.
+//! Frames: a batch taken apart into records, and the records of a reply put together. All numbers are big-endian.
 
-use std::fmt;
+use crate::codes::command;
+use crate::error::{FrameError, RecordError};
 
-pub const EVENT: usize = 56;
-pub const BATCH_HEAD: usize = 16;
-pub const ENTRY: usize = 24;
+/// Bytes of the length at the head of a frame; the length counts them as well.
+pub const LENGTH_BYTES: usize = 4;
+/// Bytes of a batch before its records: length, clock and number of records.
+pub const BATCH_HEADER_BYTES: usize = 16;
+/// Bytes of an entry of an endpoint list.
+pub(crate) const ENDPOINT_BYTES: usize = 24;
 
-/// What is wrong with a batch, and where.
-#[derive(Debug, PartialEq)]
-pub struct Malformed(pub String);
+const EVENT_BYTES: usize = 56;
+const COMMAND_BYTES: usize = 16;
+const REPLY_HEADER_BYTES: u32 = 8;
+const CLOCK_OFFSET: usize = 4;
+const RECORD_COUNT_OFFSET: usize = 12;
+const MAX_METRICS: usize = 4;
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "malformed batch: {}", self.0)
-    }
-}
-
-impl From<grebespool_platform_settings::SettingsError> for Malformed {
-    fn from(stated: grebespool_platform_settings::SettingsError) -> Self {
-        Malformed(stated.to_string())
-    }
-}
-
-pub fn malformed<T>(what: impl Into<String>) -> Result<T, Malformed> {
-    Err(Malformed(what.into()))
-}
-
-pub type Address = [u8; 6];
+/// The address of a server.
+pub(crate) type Address = [u8; 6];
 
-/// The fields of a record, by their offset in it. A record's length is checked before one is made.
+/// The fields of a record, by their offset in it. Whoever makes one has checked the record's length.
 #[derive(Clone, Copy)]
-pub struct Fields<'a>(pub &'a [u8]);
+pub(crate) struct Fields<'a>(pub(crate) &'a [u8]);
 
-impl<'a> Fields<'a> {
-    fn take<const N: usize>(&self, at: usize) -> [u8; N] {
-        std::array::from_fn(|i| self.0[at + i])
+impl Fields<'_> {
+    fn take<const N: usize>(&self, offset: usize) -> [u8; N] {
+        std::array::from_fn(|i| self.0[offset + i])
     }
-    pub fn u8(&self, at: usize) -> u8 {
-        self.0[at]
+
+    pub(crate) fn u8(&self, offset: usize) -> u8 {
+        self.0[offset]
     }
-    pub fn u16(&self, at: usize) -> u16 {
-        u16::from_be_bytes(self.take(at))
+
+    pub(crate) fn u16(&self, offset: usize) -> u16 {
+        u16::from_be_bytes(self.take(offset))
     }
-    pub fn u32(&self, at: usize) -> u32 {
-        u32::from_be_bytes(self.take(at))
+
+    pub(crate) fn u32(&self, offset: usize) -> u32 {
+        u32::from_be_bytes(self.take(offset))
     }
-    pub fn u64(&self, at: usize) -> u64 {
-        u64::from_be_bytes(self.take(at))
+
+    pub(crate) fn u64(&self, offset: usize) -> u64 {
+        u64::from_be_bytes(self.take(offset))
     }
-    pub fn f32(&self, at: usize) -> f32 {
-        f32::from_be_bytes(self.take(at))
+
+    pub(crate) fn f32(&self, offset: usize) -> f32 {
+        f32::from_be_bytes(self.take(offset))
     }
-    pub fn f64(&self, at: usize) -> f64 {
-        f64::from_be_bytes(self.take(at))
+
+    pub(crate) fn f64(&self, offset: usize) -> f64 {
+        f64::from_be_bytes(self.take(offset))
     }
-    pub fn address(&self, at: usize) -> Address {
-        self.take(at)
+
+    pub(crate) fn address(&self, offset: usize) -> Address {
+        self.take(offset)
     }
-    /// A load report; more values than fit are malformed.
-    pub fn report(&self, at: usize) -> Result<Vec<f32>, Malformed> {
-        let n = usize::from(self.u8(at));
-        if n > 4 {
-            return malformed(format!("a load report of {n} values"));
+
+    /// The metrics of a load report: their number, and as many values.
+    pub(crate) fn metrics(&self, offset: usize) -> Result<Vec<f32>, RecordError> {
+        let count = usize::from(self.u8(offset));
+        if count > MAX_METRICS {
+            return Err(RecordError::ReportLength(count));
         }
-        Ok((0..n).map(|i| self.f32(at + 1 + 4 * i)).collect())
+        Ok((0..count).map(|i| self.f32(offset + 1 + size_of::<f32>() * i)).collect())
     }
 }
 
-pub struct Batch<'a> {
-    pub clock: f64,
+/// A batch of events, and the tail of bytes that these refer to.
+pub(crate) struct Batch<'a> {
+    /// The simulator's time, in milliseconds.
+    pub(crate) clock_ms: f64,
     records: &'a [u8],
     tail: &'a [u8],
 }
 
 impl<'a> Batch<'a> {
-    pub fn parse(frame: &'a [u8]) -> Result<Self, Malformed> {
-        let head = Fields(frame);
-        let clock = head.f64(4);
-        if !clock.is_finite() {
-            return malformed("the clock at byte 4 is not a number");
-        }
-        let (body, count) = (&frame[BATCH_HEAD..], head.u32(12) as usize);
-        let size = count.saturating_mul(EVENT);
-        if size > body.len() {
-            return malformed(format!("{count} records at byte 12 do not fit into {} bytes", frame.len()));
-        }
-        let (records, tail) = body.split_at(size);
-        Ok(Batch { clock, records, tail })
-    }
-
-    pub fn events(&self) -> impl Iterator<Item = Fields<'a>> + use<'a> {
-        self.records.chunks_exact(EVENT).map(Fields)
-    }
-
-    /// What a (u32 + u32) field points to, in units of `size` bytes.
-    pub fn tail(&self, at: Fields, offset: usize, size: usize) -> Result<&'a [u8], Malformed> {
-        let (from, many) = (at.u32(offset) as usize, at.u32(offset + 4) as usize);
-        let to = many.checked_mul(size).and_then(|n| n.checked_add(from));
-        match to.and_then(|to| self.tail.get(from..to)) {
-            Some(bytes) => Ok(bytes),
-            None => malformed(format!("offset {from} and length {many} reach past the tail")),
+    /// Takes a frame apart, of no less than [`BATCH_HEADER_BYTES`].
+    pub(crate) fn parse(frame: &'a [u8]) -> Result<Self, FrameError> {
+        let header = Fields(frame);
+        let clock_ms = header.f64(CLOCK_OFFSET);
+        if !clock_ms.is_finite() {
+            return Err(FrameError::Clock);
         }
+        let body = &frame[BATCH_HEADER_BYTES..];
+        let records = header.u32(RECORD_COUNT_OFFSET) as usize;
+        let record_bytes = records.saturating_mul(EVENT_BYTES);
+        let parts = body.split_at_checked(record_bytes);
+        let (records, tail) = parts.ok_or(FrameError::Records { records, frame_bytes: frame.len() })?;
+        Ok(Batch { clock_ms, records, tail })
+    }
+
+    /// The records, in their order.
+    pub(crate) fn events(&self) -> impl Iterator<Item = Fields<'a>> + use<'a> {
+        self.records.chunks_exact(EVENT_BYTES).map(Fields)
+    }
+
+    /// The part of the tail that a record's offset in bytes and length in items of `item_bytes` refer to; both are 4 bytes.
+    pub(crate) fn tail(
+        &self,
+        record: Fields,
+        field: usize,
+        item_bytes: usize,
+    ) -> Result<&'a [u8], RecordError> {
+        let offset = record.u32(field) as usize;
+        let length = record.u32(field + size_of::<u32>()) as usize;
+        let end = length.checked_mul(item_bytes).and_then(|bytes| bytes.checked_add(offset));
+        let part = end.and_then(|end| self.tail.get(offset..end));
+        part.ok_or(RecordError::OutsideTail { offset, length })
     }
 }
 
-/// Records of a reply. Each names its instance only when that changes.
+/// The records of a reply. An instance is named only where it differs from that of the record before.
 #[derive(Default)]
-pub struct Reply {
+pub(crate) struct Reply {
     records: Vec<u8>,
     count: u32,
-    named: Option<u32>,
+    instance: Option<u32>,
 }
 
 impl Reply {
-    const ACTION: usize = 16;
-    const AS: u16 = 1050;
-
-    pub fn put(&mut self, instance: u32, code: u16, fields: &[&[u8]]) {
-        if self.named != Some(instance) {
-            self.named = Some(instance);
-            self.record(Self::AS, &[&instance.to_be_bytes()]);
+    /// Appends a command of an instance.
+    pub(crate) fn put(&mut self, instance: u32, code: u16, fields: &[&[u8]]) {
+        if self.instance != Some(instance) {
+            self.instance = Some(instance);
+            self.record(command::INSTANCE, &[&instance.to_be_bytes()]);
         }
         self.record(code, fields);
     }
 
     fn record(&mut self, code: u16, fields: &[&[u8]]) {
-        let end = self.records.len() + Self::ACTION;
+        let end = self.records.len() + COMMAND_BYTES;
         self.records.extend(code.to_be_bytes());
         for field in fields {
             self.records.extend(*field);
@@ -135,9 +140,9 @@
     }
 
     /// The whole frame; the reply is empty again afterwards.
-    pub fn frame(&mut self) -> Vec<u8> {
+    pub(crate) fn take_frame(&mut self) -> Vec<u8> {
         let mut frame = self.count.to_be_bytes().to_vec();
-        frame.extend((self.records.len() as u32 + 8).to_be_bytes());
+        frame.extend((self.records.len() as u32 + REPLY_HEADER_BYTES).to_be_bytes());
         frame.append(&mut self.records);
         *self = Reply::default();
         frame
--- a/crates/wirehost/src/main.rs
+++ b/crates/wirehost/src/main.rs
@@ -1,47 +1,65 @@
-//! Hosts grebespool planners on the simulator's wire: batches on standard input, replies on standard output.
+//! Hosts policies on the simulator's wire: batches on standard input, replies on standard output.
 
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-
-use grebespool_wirehost::frame::BATCH_HEAD;
-use grebespool_wirehost::hosted::Hosted;
+use grebespool_wirehost::{BATCH_HEADER_BYTES, Instances, LENGTH_BYTES, WireError};
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
+use thiserror::Error;
+
+/// Why the program ends before its input does.
+#[derive(Debug, Error)]
+enum ServeError {
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    #[error("malformed batch: cut short after {0} bytes of its length")]
+    LengthCutShort(usize),
+    #[error("malformed batch: length {0} at byte 0 is less than its header")]
+    ShorterThanHeader(usize),
+    #[error("malformed batch: cut short, {read} of {length} bytes")]
+    CutShort { read: usize, length: usize },
+    #[error("{0}")]
+    Wire(#[from] WireError),
+}
 
 fn main() -> ExitCode {
     match serve(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("grebespool-wirehost: {what}");
+        Err(error) => {
+            eprintln!("grebespool-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut hosted = Hosted::default();
+/// Answers batches until the input ends or nobody reads the replies.
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), ServeError> {
+    let mut instances = Instances::default();
     let mut frame = Vec::new();
-    loop {
-        frame.clear();
-        let head = input.by_ref().take(4).read_to_end(&mut frame).map_err(|e| e.to_string())?;
-        if head == 0 {
-            return Ok(());
-        }
-        let Ok(length) = <[u8; 4]>::try_from(&frame[..]) else {
-            return Err(format!("malformed batch: cut short after {head} bytes of its length"));
-        };
-        let length = u32::from_be_bytes(length) as usize;
-        if length < BATCH_HEAD {
-            return Err(format!("malformed batch: length {length} at byte 0 is less than its header"));
-        }
-        // `take` grows the buffer as bytes arrive, so a false length claims no memory.
-        input.by_ref().take(length as u64 - 4).read_to_end(&mut frame).map_err(|e| e.to_string())?;
-        if frame.len() < length {
-            return Err(format!("malformed batch: cut short, {} of {length} bytes", frame.len()));
-        }
-        let reply = hosted.batch(&frame).map_err(|m| m.to_string())?;
+    while read_frame(&mut input, &mut frame)? {
+        let reply = instances.apply_batch(&frame)?;
         match output.write_all(&reply).and_then(|()| output.flush()) {
-            Err(e) if e.kind() == io::ErrorKind::BrokenPipe => return Ok(()),
-            result => result.map_err(|e| e.to_string())?,
+            Err(error) if error.kind() == io::ErrorKind::BrokenPipe => return Ok(()),
+            result => result?,
         }
     }
+    Ok(())
+}
+
+/// Reads a whole frame; `false` at the end of the input.
+fn read_frame(input: &mut impl Read, frame: &mut Vec<u8>) -> Result<bool, ServeError> {
+    frame.clear();
+    let read = input.take(LENGTH_BYTES as u64).read_to_end(frame)?;
+    if read == 0 {
+        return Ok(false);
+    }
+    let length = <[u8; LENGTH_BYTES]>::try_from(&frame[..]).map_err(|_| ServeError::LengthCutShort(read))?;
+    let length = u32::from_be_bytes(length) as usize;
+    if length < BATCH_HEADER_BYTES {
+        return Err(ServeError::ShorterThanHeader(length));
+    }
+    // `take` grows the buffer as bytes arrive, so a false length claims no memory.
+    input.take((length - LENGTH_BYTES) as u64).read_to_end(frame)?;
+    if frame.len() < length {
+        return Err(ServeError::CutShort { read: frame.len(), length });
+    }
+    Ok(true)
 }
--- a/crates/wirehost/tests/fixtures.rs
+++ b/crates/wirehost/tests/fixtures.rs
@@ -1,9 +1,8 @@
 //! A stored session on the simulator's wire: the same batches are answered by the same bytes.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_wirehost::hosted::Hosted;
+use grebespool_wirehost::Instances;
 use rstest::rstest;
 use std::collections::BTreeSet;
 
@@ -28,9 +27,9 @@
 
 #[rstest]
 fn stored_batches_are_answered_by_the_stored_replies() {
-    let mut hosted = Hosted::default();
+    let mut instances = Instances::default();
     for (i, (batch, reply)) in session().into_iter().enumerate() {
-        assert_eq!(hosted.batch(&batch).unwrap(), reply, "batch {i}");
+        assert_eq!(instances.apply_batch(&batch).unwrap(), reply, "batch {i}");
     }
 }
 
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -1,9 +1,8 @@
 //! The adapter against frames built from the field layout, worked frames of the wire page among them.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_wirehost::hosted::Hosted;
+use grebespool_wirehost::Instances;
 use rstest::rstest;
 
 const SETTINGS: &str = "classes.count=1\nclasses.0.aimMs=1500.0\nclasses.0.effect=retryable\n\
@@ -56,14 +55,14 @@
 }
 
 #[rstest]
-fn an_empty_batch_gets_the_worked_reply() {
+fn answers_empty_batch_with_empty_reply() {
     let batch = [0, 0, 0, 16, 0x40, 0xc0, 0x6e, 0x20, 0, 0, 0, 0, 0, 0, 0, 0];
-    assert_eq!(Hosted::default().batch(&batch).unwrap(), [0, 0, 0, 0, 0, 0, 0, 8]);
+    assert_eq!(Instances::default().apply_batch(&batch).unwrap(), [0, 0, 0, 0, 0, 0, 0, 8]);
 }
 
 #[rstest]
-fn a_start_lays_the_table_and_binds_the_proxy() {
-    let reply = Hosted::default().batch(&start(SETTINGS)).unwrap();
+fn start_sets_weights_before_binding_the_proxy() {
+    let reply = Instances::default().apply_batch(&start(SETTINGS)).unwrap();
     assert_eq!(reply[4..8], (reply.len() as u32).to_be_bytes());
     let records: Vec<&[u8]> = reply[8..].chunks(16).collect();
     assert_eq!(records[0], [4, 0x1a, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
@@ -79,8 +78,8 @@
 #[case::no_span("classes.0.aimMs=1500.0", "classes.0.aimMs=-1", "classes.0.aimMs is no span")]
 #[case::unknown_effect("effect=retryable", "effect=odd", "classes.0.effect is unknown: odd")]
 #[case::absent_optional("report.fields=cpu_share,something_new\n", "", "")]
-fn settings_are_named_when_they_fail(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
-    let result = Hosted::default().batch(&start(&SETTINGS.replace(from, to)));
+fn error_names_the_setting(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
+    let result = Instances::default().apply_batch(&start(&SETTINGS.replace(from, to)));
     match result {
         Ok(_) => assert_eq!(says, ""),
         Err(m) => assert!(!says.is_empty() && m.to_string().contains(says), "{m}"),
@@ -97,26 +96,26 @@
 #[case::no_instance(frame(&[record(1020, &[])], &[]), "for no instance")]
 #[case::not_started(frame(&[target(4), record(1020, &[])], &[]), "instance 4 was not started")]
 #[case::list_number(frame(&[record(1140, &[16])], &[]), "list number 16")]
-fn malformed_batches_are_told(#[case] batch: Vec<u8>, #[case] says: &str) {
-    let told = Hosted::default().batch(&batch).unwrap_err().to_string();
-    assert!(told.contains(says) && told.lines().count() == 1, "{told}");
+fn refuses_malformed_batches(#[case] batch: Vec<u8>, #[case] says: &str) {
+    let error = Instances::default().apply_batch(&batch).unwrap_err().to_string();
+    assert!(error.contains(says) && error.lines().count() == 1, "{error}");
 }
 
 #[rstest]
-fn instances_share_nothing() {
-    let (mut both, mut alone) = (Hosted::default(), Hosted::default());
-    let first = both.batch(&start(SETTINGS)).unwrap();
-    assert_eq!(first, both.batch(&start(SETTINGS)).unwrap());
-    assert_eq!(first, alone.batch(&start(SETTINGS)).unwrap());
+fn instances_are_independent() {
+    let (mut both, mut alone) = (Instances::default(), Instances::default());
+    let first = both.apply_batch(&start(SETTINGS)).unwrap();
+    assert_eq!(first, both.apply_batch(&start(SETTINGS)).unwrap());
+    assert_eq!(first, alone.apply_batch(&start(SETTINGS)).unwrap());
 }
 
-// The token is whatever the simulator returns: one that was never set publishes, and fires no regular evaluation.
+/// The token is whatever the simulator returns: one that was never set publishes, and fires no regular evaluation.
 #[rstest]
-fn a_timer_with_an_unknown_token_publishes_like_the_urgent_one() {
+fn unknown_timer_token_publishes_like_the_urgent_timer() {
     let fired = |token: u32| {
-        let mut hosted = Hosted::default();
-        hosted.batch(&start(SETTINGS)).unwrap();
-        hosted.batch(&frame(&[target(3), record(1020, &token.to_be_bytes())], &[])).unwrap()
+        let mut instances = Instances::default();
+        instances.apply_batch(&start(SETTINGS)).unwrap();
+        instances.apply_batch(&frame(&[target(3), record(1020, &token.to_be_bytes())], &[])).unwrap()
     };
     assert_eq!(fired(12345), fired(2));
     assert_ne!(fired(12345), fired(1));
