--- a/crates/assignments/src/lib.rs
+++ b/crates/assignments/src/lib.rs
@@ -1,11 +1,13 @@
-//! Between the decisions ([`grebespool::policy`]) and whatever carries their orders: what is ordered as it stands, one
-//! message for each proxy and turn, and the small indices that stand for ids. Free of I/O and clocks, and of any
-//! protocol.
+//! What the policy ([`grebespool::policy`]) has assigned to which proxy, and the indices that stand for servers.
+//!
+//! [`Assignments`] is the policy's host: it takes weights, bindings, admission rules, timers and requests, and gives
+//! whoever carries them one update for each proxy and turn. [`ServerIndices`] maps the ids of servers to the small
+//! indices that the policy uses. Free of I/O and clocks, and of any protocol; nothing is decided here.
 
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+mod assignments;
+mod server_indices;
+mod tables;
 
-mod books;
-mod door;
-
-pub use books::{Desk, Level, Told};
-pub use door::Servers;
+pub use assignments::Assignments;
+pub use server_indices::ServerIndices;
+pub use tables::{AdmissionRule, ProxyUpdate, ServerWeight};
--- a/crates/controller-server/src/outgoing.rs
+++ b/crates/controller-server/src/outgoing.rs
@@ -1,14 +1,14 @@
 //! What waits to be written to one stream, and who joined on it.
 
 use grebespool_wire::{Message, Proof, Reason};
-use grebespool_write_queue::{Ended, Outgoing as Bytes, Patience};
+use grebespool_write_queue::{WriteLimits, WriteOutcome, WriteQueue};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::Instant;
 
 pub struct Outgoing {
-    bytes: Bytes,
+    bytes: WriteQueue,
     /// What the planner shows when it welcomes this stream.
     pub proof: Cell<Proof>,
     /// Who joined on it.
@@ -16,12 +16,16 @@
 }
 
 impl Outgoing {
-    pub fn new(patience: Patience) -> Self {
-        Outgoing { bytes: Bytes::new(patience), proof: Cell::new(Proof([0; 32])), name: RefCell::default() }
+    pub fn new(limits: WriteLimits) -> Self {
+        Outgoing {
+            bytes: WriteQueue::new(limits),
+            proof: Cell::new(Proof([0; 32])),
+            name: RefCell::default(),
+        }
     }
 
     pub fn put(&self, now: Duration, message: &Message) {
-        self.bytes.put(now, &message.frame());
+        self.bytes.push(now, &message.frame());
     }
 
     pub fn close(&self, now: Duration, reason: Reason, text: &str) {
@@ -35,10 +39,10 @@
     ///
     /// Why it has to end.
     pub async fn write(&self, to: OwnedWriteHalf, began: Instant) -> Result<(), Reason> {
-        match self.bytes.write(to, began).await {
-            Ended::Closed => Ok(()),
-            Ended::Broken => Err(Reason::Stopping),
-            Ended::Slow => Err(Reason::Slow),
+        match self.bytes.run(to, began).await {
+            WriteOutcome::Closed => Ok(()),
+            WriteOutcome::ConnectionLost => Err(Reason::Stopping),
+            WriteOutcome::ReaderTooSlow => Err(Reason::Slow),
         }
     }
 }
--- a/crates/controller-server/src/stream.rs
+++ b/crates/controller-server/src/stream.rs
@@ -4,7 +4,7 @@
 use crate::outgoing::Outgoing;
 use grebespool_controller::{Arrival, StreamId};
 use grebespool_wire::{Inbox, MOST_BODY, MOST_BODY_UNJOINED, Message, Reason, Role, VERSION};
-use grebespool_write_queue::Patience;
+use grebespool_write_queue::WriteLimits;
 use rand::RngCore;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -36,8 +36,8 @@
     let id = shared.next_stream.get();
     shared.next_stream.set(id + 1);
     let (reader, writer) = socket.into_split();
-    let patience = Patience::new(shared.listen.stall.0, shared.listen.stall_bytes);
-    let out = Rc::new(Outgoing::new(patience));
+    let limits = WriteLimits { max_wait: shared.listen.stall.0, max_bytes: shared.listen.stall_bytes };
+    let out = Rc::new(Outgoing::new(limits));
     shared.streams.borrow_mut().insert(id, out.clone());
     let reading = async {
         let Ended(reason, text) = read(&shared, &out, id, reader, from).await;
--- a/crates/controller/src/engine.rs
+++ b/crates/controller/src/engine.rs
@@ -9,7 +9,7 @@
 use crate::watch::Watch;
 use grebespool::host::*;
 use grebespool::policy::Policy;
-use grebespool_assignments::{Desk, Servers};
+use grebespool_assignments::{Assignments, ServerIndices, ServerWeight};
 use grebespool_site_failover::{Impossible, Order as SiteOrder, Plan, Refused, Status, Timing};
 use grebespool_wire as wire;
 use grebespool_wire::{Cause, Entry, Level, MetLine, Order, Orders, Reason, ServerId};
@@ -92,8 +92,8 @@
     bounds: Bounds,
     routes: usize,
     fields: Vec<LoadMetric>,
-    planner: Policy<Desk>,
-    desk: Desk,
+    planner: Policy<Assignments>,
+    assignments: Assignments,
     joined: BTreeMap<ProxyId, Joined>,
     channel: Channel,
     list: ListSense,
@@ -104,7 +104,7 @@
     admission: Admission,
     confirm: Confirm,
     woken_at: Duration,
-    servers: Servers<ServerId>,
+    servers: ServerIndices<ServerId>,
     proxies: Proxies,
     streams: BTreeMap<StreamId, ProxyId>,
     /// Servers that drain, since when this planner has known.
@@ -157,10 +157,10 @@
         if zones.is_empty() {
             return Err(Unsupported::Zones);
         }
-        let desk = Desk::default();
+        let assignments = Assignments::default();
         let (n, fields, tell_every) = (routes.len(), sight.metrics.clone(), sight.report_interval / 4);
         let window = if pace.window.is_zero() { Duration::from_secs(10) } else { pace.window };
-        let planner = Policy::new(desk.clone(), start.seed, routes, plane, graces, pace, sight);
+        let planner = Policy::new(assignments.clone(), start.seed, routes, plane, graces, pace, sight);
         outlet.ask_list(0);
         Ok(Engine {
             outlet,
@@ -169,7 +169,7 @@
             routes: n,
             fields,
             planner,
-            desk,
+            assignments,
             joined: BTreeMap::new(),
             channel: Channel::new(pace),
             list: ListSense::new(zones, bounds.servers),
@@ -180,7 +180,7 @@
             admission: Admission::new(bounds.joins, window),
             confirm: Confirm::new(bounds.unconfirmed),
             woken_at: Duration::ZERO,
-            servers: Servers::new(Self::FORGET),
+            servers: ServerIndices::new(Self::FORGET),
             proxies: Proxies::default(),
             streams: BTreeMap::new(),
             drains: BTreeMap::new(),
@@ -241,7 +241,7 @@
     }
 
     fn listed(&self, id: &ServerId) -> Option<grebespool::host::ServerIndex> {
-        self.servers.find(id).filter(|_| self.list.lists(*id))
+        self.servers.index(id).filter(|_| self.list.lists(*id))
     }
 
     /// What each pool holds, and which one each proxy has, by name.
@@ -317,7 +317,7 @@
 
     /// When [`Engine::woken`] is to be called next.
     pub fn due(&self) -> Duration {
-        [self.desk.due(), self.channel.due(), self.confirm.due()]
+        [self.assignments.next_timer(), self.channel.due(), self.confirm.due()]
             .into_iter()
             .flatten()
             .fold(self.tell_at, Duration::min)
@@ -341,7 +341,7 @@
             self.cut(old, Reason::Superseded, "the same name has joined on a newer stream");
         }
         self.joined.insert(proxy, Joined { stream, zone, seq: 0 });
-        self.desk.joined(proxy);
+        self.assignments.add_proxy(proxy);
         self.streams.insert(stream, proxy);
         self.outlet.welcome(stream);
         self.watch.iter_mut().for_each(|w| w.joined(now, zone));
@@ -369,7 +369,7 @@
             // The last time that anything was due is near enough: an end is one sign of several.
             let at = self.woken_at;
             self.watch.iter_mut().zip(zone).for_each(|(w, zone)| w.left(at, zone));
-            self.desk.left(proxy);
+            self.assignments.remove_proxy(proxy);
             self.channel.drop_stream(stream);
             self.confirm.ended(stream);
             self.applied.remove(&stream);
@@ -400,7 +400,7 @@
         let Some(zone) = self.joined.get(proxy).map(|j| j.zone) else { return };
         let mut wrong = 0;
         for m in met {
-            let Some(server) = self.servers.find(&m.server).filter(|_| self.list.lists(m.server)) else {
+            let Some(server) = self.servers.index(&m.server).filter(|_| self.list.lists(m.server)) else {
                 continue;
             };
             if m.dropped > m.tries || m.tries > ReportSense::MOST_TRIES {
@@ -420,12 +420,12 @@
 
     /// The list, whole (`base` 0) or its changes since `base`, sent at `now_ms` by its own clock.
     pub fn list(&mut self, now: Duration, version: u64, base: u64, now_ms: u64, entries: &[Entry]) {
-        let (servers, reports, desk) = (&mut self.servers, &mut self.reports, &self.desk);
+        let (servers, reports, desk) = (&mut self.servers, &mut self.reports, &self.assignments);
         let mut listed = vec![];
         let taken = self.list.take(now, (version, base, now_ms), entries, |id, entry| {
-            let server = servers.enter(now, &id, |s| desk.holds(s));
+            let server = servers.add(now, &id, |s| desk.contains_server(s));
             if entry.state == EndpointState::Removed {
-                servers.gone(now, server);
+                servers.remove(now, server);
                 reports.forget(server);
             }
             listed.push(Endpoint { server, ..entry });
@@ -468,7 +468,7 @@
             // One that says no is there.
             watch.probed(now, zone, result != HealthCheckResult::Failed);
         }
-        if let Some(server) = self.servers.find(&server) {
+        if let Some(server) = self.servers.index(&server) {
             self.planner.health_check_finished(server, result);
             self.settle(now, Cause::Interval);
         }
@@ -513,7 +513,7 @@
                 self.settle(now, Cause::Interval);
             }
         }
-        for token in self.desk.wakes(now) {
+        for token in self.assignments.take_due_timers(now) {
             self.planner.timer_fired(now, token);
             self.settle(now, Cause::Interval);
         }
@@ -528,28 +528,32 @@
 
     /// Makes one message for each proxy concerned of what this turn changed.
     fn settle(&mut self, now: Duration, cause: Cause) {
-        let Engine { desk, joined, servers, list, start, .. } = self;
+        let Engine { assignments, joined, servers, list, start, .. } = self;
         let mut messages = vec![];
-        desk.settle(|proxy, told| {
+        assignments.publish(|proxy, told| {
             let Some(joined) = joined.get_mut(&proxy) else { return };
             let (table, version) = (told.table, told.version);
-            let levels = told.levels.iter().map(|l| Level { routes: l.0, share: l.1, tries: tries(l.2) });
+            let levels = told.admission.iter().map(|rule| Level {
+                routes: rule.routes,
+                share: rule.level,
+                tries: tries(rule.retry_policy),
+            });
             let (mut parts, mut cost): (Vec<Order>, usize);
-            if let Some(routes) = told.bound {
-                let lines: Vec<_> = told.lines.iter().map(|(s, w)| (*servers.id(*s), *w)).collect();
+            if let Some(routes) = told.bound_routes {
+                let lines: Vec<_> = told.weights.iter().map(|w| (*servers.id(w.server), w.weight)).collect();
                 cost = 1 + lines.len() + levels.len();
                 parts = vec![Order::Bind { table, version, routes, lines, levels: levels.collect() }];
             } else {
-                let line = |(s, weight): &(ServerIndex, f32)| {
-                    let (server, weight) = (*servers.id(*s), *weight);
+                let line = |w: &ServerWeight| {
+                    let (server, weight) = (*servers.id(w.server), w.weight);
                     Order::Line { table, version, server, weight }
                 };
-                parts = told.lines.iter().map(line).collect();
+                parts = told.weights.iter().map(line).collect();
                 parts.extend(levels.map(Order::Level));
                 cost = parts.len();
             }
-            parts.extend(told.mark.map(Order::Mark));
-            cost += usize::from(told.mark.is_some());
+            parts.extend(told.ack_token.map(Order::Mark));
+            cost += usize::from(told.ack_token.is_some());
             joined.seq += 1;
             let orders = Orders {
                 epoch: start.epoch,
@@ -573,8 +577,11 @@
                 self.cut(stream, Reason::Busy, text);
             }
         }
-        self.desk.probes().into_iter().for_each(|s| self.outlet.probe(*self.servers.id(s)));
-        if self.desk.asks() {
+        self.assignments
+            .take_health_checks()
+            .into_iter()
+            .for_each(|s| self.outlet.probe(*self.servers.id(s)));
+        if self.assignments.take_poll_request() {
             self.outlet.ask_list(self.list.version());
         }
         self.leave(now);
--- a/crates/platform-protocol/src/log.rs
+++ b/crates/platform-protocol/src/log.rs
@@ -1,6 +1,7 @@
 //! What is said of the same again and again, and what happened to whom.
 
 use grebespool::host::{Endpoint, EndpointState, ProxyId, ServerIndex};
+use grebespool_assignments::ServerWeight;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
 use std::time::Duration;
@@ -57,8 +58,8 @@
     }
 
     /// Of several tables the least weight counts: it is what a drain or a fault is seen by.
-    pub fn ordered(&mut self, lines: &[(ServerIndex, f32)]) {
-        for (server, weight) in lines {
+    pub fn ordered(&mut self, lines: &[ServerWeight]) {
+        for ServerWeight { server, weight } in lines {
             let least = self.ordered.entry(*server).or_insert(f32::MAX);
             *least = least.min(*weight);
         }
--- a/crates/platform-protocol/src/orders.rs
+++ b/crates/platform-protocol/src/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to bytes.
 
 use grebespool::host::{RetryPolicy, RouteSet, ServerIndex};
-use grebespool_assignments::{Level, Told};
+use grebespool_assignments::{AdmissionRule, ProxyUpdate, ServerWeight};
 use serde_json::{Map, Value, json};
 
 /// What the platform calls routes and servers.
@@ -20,17 +20,22 @@
 
 /// One part for each level that differs, of which the first also has the lines and the mark: `whole` forgets levels,
 /// so these come after it, and a level for all routes is one line where they agree.
-fn levels(levels: &[Level], routes: usize) -> Vec<(RouteSet, f32, RetryPolicy)> {
+fn levels(levels: &[AdmissionRule], routes: usize) -> Vec<AdmissionRule> {
     let every = (0..routes).fold(0, |set, r| set | (1 << r));
-    let mut merged: Vec<Level> = vec![];
-    for (set, share, tries) in levels {
-        match merged.iter_mut().find(|l| l.1 == *share && l.2 == *tries) {
-            Some(same) => same.0 |= set,
-            None => merged.push((*set, *share, *tries)),
+    let mut merged: Vec<AdmissionRule> = vec![];
+    for rule in levels {
+        let same =
+            |other: &&mut AdmissionRule| other.level == rule.level && other.retry_policy == rule.retry_policy;
+        match merged.iter_mut().find(same) {
+            Some(same) => same.routes |= rule.routes,
+            None => merged.push(*rule),
         }
     }
-    merged.sort_by_key(|l| l.0);
-    merged.into_iter().map(|(set, share, t)| (if set == every { 0 } else { set }, share, t)).collect()
+    merged.sort_by_key(|rule| rule.routes);
+    for rule in merged.iter_mut().filter(|rule| rule.routes == every) {
+        rule.routes = 0;
+    }
+    merged
 }
 
 fn classes(part: &mut Map<String, Value>, set: RouteSet, routes: &[String]) {
@@ -47,33 +52,33 @@
 }
 
 /// One message, as one frame for each of its parts.
-pub fn frame<'a, F: Fn(ServerIndex) -> &'a str>(told: &Told, words: &Words<'a, F>) -> Vec<u8> {
+pub fn frame<'a, F: Fn(ServerIndex) -> &'a str>(update: &ProxyUpdate, words: &Words<'a, F>) -> Vec<u8> {
     let mut parts: Vec<Map<String, Value>> = vec![];
-    let mut levels = levels(told.levels, words.routes.len()).into_iter().peekable();
+    let mut levels = levels(update.admission, words.routes.len()).into_iter().peekable();
     let mut first = Map::new();
-    if told.bound.is_some() || !told.lines.is_empty() {
-        let line = |(s, weight): &(ServerIndex, f32)| json!([(words.server)(*s), shortest(*weight)]);
-        first.insert("lines".into(), told.lines.iter().map(line).collect());
+    if update.bound_routes.is_some() || !update.weights.is_empty() {
+        let line = |w: &ServerWeight| json!([(words.server)(w.server), shortest(w.weight)]);
+        first.insert("lines".into(), update.weights.iter().map(line).collect());
     }
-    if let Some(set) = told.bound {
+    if let Some(set) = update.bound_routes {
         first.insert("whole".into(), json!(true));
         classes(&mut first, set, words.routes);
     }
-    if let Some((_, share, t)) = levels.next_if(|l| l.0 == told.bound.unwrap_or(0)) {
-        first.insert("level".into(), shortest(share));
-        first.insert("retry".into(), json!(tries(t)));
+    if let Some(rule) = levels.next_if(|rule| rule.routes == update.bound_routes.unwrap_or(0)) {
+        first.insert("level".into(), shortest(rule.level));
+        first.insert("retry".into(), json!(tries(rule.retry_policy)));
     }
     if !first.is_empty() {
         parts.push(first);
     }
-    for (set, share, t) in levels {
+    for rule in levels {
         let mut part = Map::new();
-        classes(&mut part, set, words.routes);
-        part.insert("level".into(), shortest(share));
-        part.insert("retry".into(), json!(tries(t)));
+        classes(&mut part, rule.routes, words.routes);
+        part.insert("level".into(), shortest(rule.level));
+        part.insert("retry".into(), json!(tries(rule.retry_policy)));
         parts.push(part);
     }
-    if let (Some(mark), Some(last)) = (told.mark, parts.last_mut()) {
+    if let (Some(mark), Some(last)) = (update.ack_token, parts.last_mut()) {
         last.insert("ticket".into(), json!(mark));
     }
     let last = parts.len().saturating_sub(1);
--- a/crates/platform-protocol/src/station.rs
+++ b/crates/platform-protocol/src/station.rs
@@ -11,7 +11,7 @@
     self, Endpoint, EndpointState, HealthCheckResult, ProxyId, ServerIndex, TableId, ZoneId,
 };
 use grebespool::policy::Policy;
-use grebespool_assignments::{Desk, Servers};
+use grebespool_assignments::{Assignments, ServerIndices};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -36,9 +36,9 @@
 
 pub struct Station<O> {
     outlet: O,
-    planner: Policy<Desk>,
-    desk: Desk,
-    servers: Servers<String>,
+    planner: Policy<Assignments>,
+    assignments: Assignments,
+    servers: ServerIndices<String>,
     roster: Roster,
     lives: Lives,
     /// The stream that holds of each joined proxy.
@@ -67,16 +67,16 @@
     /// `kept_free`: descriptors that are held back from connections that have not joined. `unix_ms`: the machines'
     /// time at the planner's start.
     pub fn start(outlet: O, terms: Terms, kept_free: usize, unix_ms: f64) -> Self {
-        let desk = Desk::default();
+        let assignments = Assignments::default();
         let Terms { seed, routes, plane, graces, pace, sight, .. } = terms;
         let collectors = terms.zones.len() * Lives::COLLECTORS;
         let most_unjoined = terms.limits.sockets.saturating_sub(kept_free + collectors + plane.proxies);
-        let planner = Policy::new(desk.clone(), seed, routes, plane, graces, pace, sight);
+        let planner = Policy::new(assignments.clone(), seed, routes, plane, graces, pace, sight);
         let mut station = Station {
             outlet,
             planner,
-            desk,
-            servers: Servers::new(Self::FORGET),
+            assignments,
+            servers: ServerIndices::new(Self::FORGET),
             roster: Roster::new(terms.zones),
             lives: Lives::new(most_unjoined),
             joined: BTreeMap::new(),
@@ -104,7 +104,7 @@
 
     /// When [`Station::woken`] is to be called next.
     pub fn due(&self) -> Duration {
-        self.desk.due().map_or(self.look_at, |due| due.min(self.look_at))
+        self.assignments.next_timer().map_or(self.look_at, |due| due.min(self.look_at))
     }
 
     pub fn list_version(&self) -> Option<u64> {
@@ -175,7 +175,7 @@
             if let Some(log) = &mut self.weight_log {
                 log.left(proxy);
             }
-            self.desk.left(proxy);
+            self.assignments.remove_proxy(proxy);
             self.planner.proxy_left(proxy);
             self.settle();
         }
@@ -298,13 +298,13 @@
         }
         self.joined.insert(proxy, conn);
         self.diary.joined(proxy);
-        self.desk.joined(proxy);
+        self.assignments.add_proxy(proxy);
         self.planner.proxy_joined(now, proxy, zone, bare, rate);
         self.settle();
     }
 
     fn met(&mut self, now: Duration, met: &Met) {
-        let (zone, server) = (self.roster.zone(&met.zone), self.servers.find(&met.server));
+        let (zone, server) = (self.roster.zone(&met.zone), self.servers.index(&met.server));
         let (Some(from), Some(server)) = (zone, server) else {
             let why = format!("sums of zone {:?} at server {:?}", met.zone, met.server);
             return self.spoilt(now, &why);
@@ -368,10 +368,10 @@
         }
         let mut listed: Vec<Endpoint> = vec![];
         for (id, entry) in judged.entries {
-            let desk = &self.desk;
-            let server = self.servers.enter(now, &id, |s| desk.holds(s));
+            let assignments = &self.assignments;
+            let server = self.servers.add(now, &id, |s| assignments.contains_server(s));
             if entry.state == EndpointState::Removed {
-                self.servers.gone(now, server);
+                self.servers.remove(now, server);
             }
             listed.push(Endpoint { server, ..entry });
         }
@@ -401,7 +401,7 @@
         if self.roster.address(server) != Some(address) {
             return;
         }
-        if let Some(server) = self.servers.find(&server.to_string()) {
+        if let Some(server) = self.servers.index(&server.to_string()) {
             self.planner.health_check_finished(server, result);
             self.settle();
         }
@@ -422,7 +422,7 @@
                 self.outlet.debug(&line);
             }
         }
-        for token in self.desk.wakes(now) {
+        for token in self.assignments.take_due_timers(now) {
             self.planner.timer_fired(now, token);
             self.settle();
         }
@@ -431,30 +431,40 @@
     /// Ends a turn: one message for each proxy that it concerns.
     fn settle(&mut self) {
         let Station {
-            desk, servers, outlet, planner, joined, lives, routes, roster, diary, weight_log, ..
+            assignments,
+            servers,
+            outlet,
+            planner,
+            joined,
+            lives,
+            routes,
+            roster,
+            diary,
+            weight_log,
+            ..
         } = self;
         let words = Words { routes, server: |s: ServerIndex| servers.id(s).as_str() };
         // Many proxies are told the same.
         let mut frames: BTreeMap<(TableId, bool), Vec<u8>> = BTreeMap::new();
-        desk.settle(|proxy, told| {
+        assignments.publish(|proxy, update| {
             let Some(&conn) = joined.get(&proxy) else { return };
-            if told.bound.is_some() {
+            if update.bound_routes.is_some() {
                 diary.bound(proxy);
                 if let Some(log) = weight_log {
-                    log.bound(proxy, told.table);
+                    log.bound(proxy, update.table);
                 }
             }
-            let frame = frames.entry((told.table, told.bound.is_some())).or_insert_with(|| {
-                if told.bound.is_none() {
-                    diary.ordered(told.lines);
+            let frame = frames.entry((update.table, update.bound_routes.is_some())).or_insert_with(|| {
+                if update.bound_routes.is_none() {
+                    diary.ordered(update.weights);
                 }
                 if let Some(log) = weight_log {
-                    log.written(told.table, told.lines);
+                    log.written(update.table, update.weights);
                 }
-                orders::frame(told, &words)
+                orders::frame(update, &words)
             });
             outlet.write(conn, frame);
-            if let (Some(mark), Some(life)) = (told.mark, lives.of.get_mut(&conn)) {
+            if let (Some(mark), Some(life)) = (update.ack_token, lives.of.get_mut(&conn)) {
                 life.marks.push_back(mark);
                 // A proxy that answers none is not remembered for ever.
                 if life.marks.len() > 256 {
@@ -462,7 +472,7 @@
                 }
             }
         });
-        for server in desk.probes() {
+        for server in assignments.take_health_checks() {
             let id = servers.id(server);
             match roster.address(id) {
                 Some(address) => outlet.probe(id, address),
@@ -470,7 +480,7 @@
                 None => planner.health_check_finished(server, HealthCheckResult::Failed),
             }
         }
-        if desk.asks() {
+        if assignments.take_poll_request() {
             self.asked = true;
             self.outlet.watch();
         }
--- a/crates/platform-protocol/src/weight_log.rs
+++ b/crates/platform-protocol/src/weight_log.rs
@@ -5,6 +5,7 @@
 //! wait for the next look. Memory is bounded by the tables themselves.
 
 use grebespool::host::{ProxyId, ServerIndex, TableId};
+use grebespool_assignments::ServerWeight;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tables that are written at one look.
@@ -53,9 +54,9 @@
     }
 
     /// These lines of a table were written; a weight of zero takes the server out.
-    pub fn written(&mut self, table: TableId, lines: &[(ServerIndex, f32)]) {
+    pub fn written(&mut self, table: TableId, lines: &[ServerWeight]) {
         let logged = self.tables.entry(table).or_default();
-        for (server, weight) in lines {
+        for ServerWeight { server, weight } in lines {
             let before = if *weight > 0.0 {
                 logged.weights.insert(*server, *weight)
             } else {
--- a/crates/platform-server/src/lib.rs
+++ b/crates/platform-server/src/lib.rs
@@ -15,7 +15,7 @@
 
 use grebespool::host::HealthCheckResult;
 use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
-use grebespool_write_queue::Outgoing;
+use grebespool_write_queue::WriteQueue;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 struct Shared {
     began: Instant,
     station: RefCell<Station<Shell>>,
-    streams: Rc<RefCell<BTreeMap<Conn, Rc<Outgoing>>>>,
+    streams: Rc<RefCell<BTreeMap<Conn, Rc<WriteQueue>>>>,
     /// The station was called, so it may be due earlier.
     called: Notify,
     watch: Rc<Watch>,
@@ -60,7 +60,7 @@
 /// What the station asks, handed to the tasks concerned.
 struct Shell {
     began: Instant,
-    streams: Rc<RefCell<BTreeMap<Conn, Rc<Outgoing>>>>,
+    streams: Rc<RefCell<BTreeMap<Conn, Rc<WriteQueue>>>>,
     watch: Rc<Watch>,
     probes: Rc<Probes>,
 }
@@ -68,13 +68,13 @@
 impl Outlet for Shell {
     fn write(&mut self, conn: Conn, bytes: &[u8]) {
         if let Some(out) = self.streams.borrow().get(&conn) {
-            out.put(self.began.elapsed(), bytes);
+            out.push(self.began.elapsed(), bytes);
         }
     }
     fn close(&mut self, conn: Conn) {
         if let Some(out) = self.streams.borrow().get(&conn) {
             // A few words go out with it; a reader that has left much untaken takes none of them.
-            if out.waiting() > 1 << 10 { out.cut() } else { out.close() }
+            if out.queued_bytes() > 1 << 10 { out.abort() } else { out.close() }
         }
     }
     fn probe(&mut self, server: &str, address: SocketAddr) {
--- a/crates/platform-server/src/stream.rs
+++ b/crates/platform-server/src/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::Shared;
 use grebespool_platform_protocol::Conn;
-use grebespool_write_queue::{Ended, Outgoing, Patience};
+use grebespool_write_queue::{WriteLimits, WriteOutcome, WriteQueue};
 use std::io::ErrorKind;
 use std::pin::pin;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
                 Ok((socket, _)) => {
                     let _ = socket.set_nodelay(true);
                     conn += 1;
-                    let out = Rc::new(Outgoing::new(Patience::new(LONGEST_WAIT, MOST_WAITING)));
+                    let out = Rc::new(WriteQueue::new(WriteLimits { max_wait: LONGEST_WAIT, max_bytes: MOST_WAITING }));
                     shared.streams.borrow_mut().insert(conn, out.clone());
                     shared.call(|station, now| station.opened(now, conn));
                     tasks.spawn_local(run(shared.clone(), socket, conn, out));
@@ -69,10 +69,10 @@
     }
 }
 
-async fn run(shared: Rc<Shared>, socket: TcpStream, conn: Conn, out: Rc<Outgoing>) {
+async fn run(shared: Rc<Shared>, socket: TcpStream, conn: Conn, out: Rc<WriteQueue>) {
     let held = Held(shared.clone(), conn);
     let (reader, writer) = socket.into_split();
-    let mut writing = pin!(out.write(writer, shared.began));
+    let mut writing = pin!(out.run(writer, shared.began));
     tokio::select! {
         end = read(&shared, conn, &reader) => {
             drop(held);
@@ -83,7 +83,7 @@
             }
         }
         ended = &mut writing => {
-            if ended == Ended::Slow {
+            if ended == WriteOutcome::ReaderTooSlow {
                 warn!(conn, "closed: its bytes were not taken");
             }
             drop(held);
