--- a/crates/platform-protocol/tests/same/mod.rs
+++ b/crates/platform-protocol/tests/same/mod.rs
@@ -2,7 +2,7 @@
 //! orders, message by message.
 
 use crate::helpers::*;
-use grebespool_wirehost::hosted::Hosted;
+use grebespool_wirehost::Instances;
 use rstest::rstest;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 /// The wire's side: tables and bindings, as the simulator would keep them.
 #[derive(Default)]
 struct Wire {
-    hosted: Hosted,
+    instances: Instances,
     tables: BTreeMap<u16, BTreeMap<String, f32>>,
     bound: BTreeMap<u16, u16>,
     levels: BTreeMap<usize, (f32, u8)>,
@@ -49,7 +49,7 @@
         frame.extend(tail);
         let length = (frame.len() as u32).to_be_bytes();
         frame[..4].copy_from_slice(&length);
-        let reply = self.hosted.batch(&frame).unwrap();
+        let reply = self.instances.apply_batch(&frame).unwrap();
         self.reply(&reply)
     }
 
