--- a/src/host.rs
+++ b/src/host.rs
@@ -198,7 +198,7 @@
     InFlight,
     /// Requests that wait for a worker.
     Pending,
-    /// The utilisation of the workers, 0 to 1.
+    /// The utilization of the workers, 0 to 1.
     Utilization,
     /// The mean time to serve a request, in milliseconds.
     ServiceTimeMs,
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The load of a request that waits, beside the utilisation of workers: that stops at 1 and can't tell how full a server is.
+/// The load of a request that waits, beside the utilization of workers: that stops at 1 and can't tell how full a server is.
 const LOAD_PER_PENDING: f64 = 0.1;
 /// A start later than the known one by no more than this is the same start.
 const SAME_START: Duration = Duration::from_millis(1);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -7,6 +7,7 @@
 //! Start reading at [`Policy::timer_fired`]; `weights` has the mechanism.
 
 mod admission;
+mod capacity;
 mod control_channel;
 mod effective_weights;
 mod endpoints;
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,7 +1,8 @@
 //! Slow start: the share of its weight that a server gets after a start or a return, in steps of a quarter.
 
+use super::capacity::FULL_UTILIZATION;
 use crate::host::PolicyHost;
-use crate::state::{AdmissionControl, LoadSample, Policy, ServerState, SlowStart};
+use crate::state::{LoadSample, Policy, ServerState, SlowStart};
 use std::time::Duration;
 
 impl SlowStart {
@@ -70,7 +71,7 @@
 /// Whether the last report tells of the present step, and that one more would not fill the server.
 fn has_room_for_a_step(server: &ServerState) -> bool {
     let step = server.slow_start.step;
-    let max_utilization = AdmissionControl::FULL_UTILIZATION * f64::from(step) / f64::from(step + 1);
+    let max_utilization = FULL_UTILIZATION * f64::from(step) / f64::from(step + 1);
     let shows_room = |sample: &LoadSample| {
         sample.at > server.slow_start.evidence_from
             && sample.utilization.is_none_or(|utilization| utilization < max_utilization)
--- a/src/policy/zone_spill.rs
+++ b/src/policy/zone_spill.rs
@@ -1,8 +1,9 @@
 //! Zone spill: how far a zone's proxies use other zones' servers, and over which links. Responsible for the links' state and
 //! for each zone's lean; what these make of a weight is in [`effective_weights`](super::effective_weights).
 
+use super::capacity::FULL_UTILIZATION;
 use crate::host::{PolicyHost, ZoneId};
-use crate::state::{AdmissionControl, Link, LoadSample, OutlierDetector, Policy, ZoneSpill, mean};
+use crate::state::{Link, LoadSample, OutlierDetector, Policy, ZoneSpill, mean};
 use std::time::Duration;
 
 /// What a zone's proxies observed of another zone's servers.
@@ -48,10 +49,10 @@
     /// part of the local one.
     const SLOW_OBJECTIVE_PART: f64 = 0.4;
     const LOSSY_SHARE: f64 = 0.7;
-    /// A zone leans more on others above the first utilisation, and less below the second.
+    /// A zone leans more on others above the first utilization, and less below the second.
     const FULL_UTILIZATION: f64 = 0.92;
     const EASY_UTILIZATION: f64 = 0.7;
-    /// Change of the lean in a tick for each unit by which utilisations differ.
+    /// Change of the lean in a tick for each unit by which utilizations differ.
     const LEAN_GAIN: f64 = 0.4;
     /// The part of [`Self::LEAN_GAIN`] by which the lean falls in a tick that needs none.
     const LEAN_DECAY_DIVISOR: f64 = 20.0;
@@ -69,7 +70,7 @@
         let factor = if self.bad_links.contains_key(&link) { 1.0 } else { Self::GOOD_LINK_ATTEMPTS };
         let min_attempts = factor * OutlierDetector::MIN_ATTEMPTS;
         // Requests fare badly at full servers too; these lose weight one by one.
-        let is_full = |utilization: f64| utilization >= AdmissionControl::FULL_UTILIZATION;
+        let is_full = |utilization: f64| utilization >= FULL_UTILIZATION;
         let full = self.utilization[usize::from(link.to)].is_some_and(is_full);
         if local.attempts.min(remote.attempts) < min_attempts || full {
             return;
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The utilisation of the least utilised zone that a zone has a good link to.
+    /// The utilization of the least utilized zone that a zone has a good link to.
     fn least_utilized_remote(&self, from: ZoneId) -> Option<f64> {
         let reachable = (0..self.zones()).filter(|to| *to != from && !self.is_bad_link(from, *to));
         reachable.filter_map(|to| self.utilization[usize::from(to)]).min_by(f64::total_cmp)
@@ -123,7 +124,7 @@
         }
     }
 
-    /// The mean utilisation of a zone's servers; `None` where it is not known, or its weight is limited. Warming servers look
+    /// The mean utilization of a zone's servers; `None` where it is not known, or its weight is limited. Warming servers look
     /// idle because they are held back.
     fn zone_utilization(&self, zone: ZoneId, from: Duration) -> Option<f64> {
         if self.zone_spill.weight_limits[usize::from(zone)] < 1.0 {
--- a/src/state.rs
+++ b/src/state.rs
@@ -21,7 +21,7 @@
     pub(crate) reported_load: Option<f64>,
     /// The same, where it is believed.
     pub(crate) load: Option<f64>,
-    /// Utilisation of the workers, 0 to 1, where it is reported and believed.
+    /// Utilization of the workers, 0 to 1, where it is reported and believed.
     pub(crate) utilization: Option<f64>,
     /// Attempts that ended.
     pub(crate) attempts: f64,
@@ -187,7 +187,7 @@
 pub(crate) struct ZoneSpill {
     /// Links over which requests fare badly, and until when that counts.
     pub(crate) bad_links: BTreeMap<Link, Duration>,
-    /// By zone: mean utilisation of its servers, 0 to 1, where known.
+    /// By zone: mean utilization of its servers, 0 to 1, where known.
     pub(crate) utilization: Vec<Option<f64>>,
     /// By zone: how far it leans on other zones' servers beyond the ordinary.
     pub(crate) lean: Vec<f64>,
