--- a/crates/cli/src/editions.rs
+++ b/crates/cli/src/editions.rs
@@ -61,16 +61,17 @@
     if shown.waiting > 0 {
         println!("proposals of this member that wait for an answer: {}", shown.waiting);
     }
-    if !shown.view.spared.is_empty() {
+    if !shown.view.exempt_servers.is_empty() {
         println!(
             "called against one of two editions, as nothing else would be left: {}",
-            shown.view.spared.len()
+            shown.view.exempt_servers.len()
         );
     }
-    let ready = shown.view.servers.values().filter(|s| s.state == grebespool_config_consensus::State::Ready);
+    let ready =
+        shown.view.servers.values().filter(|s| s.state == grebespool_config_consensus::ServerState::Ready);
     println!(
         "shared: {} routes, {} limits, {} racks, {} servers of which {} are ready",
-        shown.view.most.len(),
+        shown.view.max_shares.len(),
         shown.view.limits.len(),
         shown.view.racks.len(),
         shown.view.servers.len(),
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -5,6 +5,7 @@
     Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
     run as run_member,
 };
+use grebespool_config_consensus::{ConsensusSettings, LeaseParameters, ValidationRules};
 use grebespool_controller::{SiteOrder, Start};
 use grebespool_controller_server::{
     Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
@@ -226,12 +227,16 @@
             period: a.period.0,
             slack: a.slack.0,
         }),
-        agree: duties.agree.as_ref().map(|a| grebespool_config_consensus::Terms {
-            lease: a.lease.0,
-            renew: a.renew.0,
-            drift: members.drift,
-            most_withdrawn: a.most_withdrawn,
-            limits: LIMITS.to_vec(),
+        agree: duties.agree.as_ref().map(|a| ConsensusSettings {
+            lease: LeaseParameters {
+                duration: a.lease.0,
+                renew_interval: a.renew.0,
+                clock_drift: members.drift,
+            },
+            validation: ValidationRules {
+                max_withdrawn_share: a.most_withdrawn,
+                known_limits: LIMITS.to_vec(),
+            },
         }),
     })
 }
--- a/crates/cli/tests/fleet/editions.rs
+++ b/crates/cli/tests/fleet/editions.rs
@@ -4,7 +4,7 @@
 use crate::helpers::Fleet;
 use grebespool_cluster::seal::{Own, Packet, Sealed};
 use grebespool_cluster::{Answer, Keys, Question, fleet_id};
-use grebespool_config_consensus::{Acts, Change, Limit};
+use grebespool_config_consensus::{ActiveVersions, Change, Limit};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -25,22 +25,23 @@
     member: usize,
     asked: Instant,
     came: Instant,
-    acts: Acts,
+    acts: ActiveVersions,
 }
 
 /// Once somebody acts by an edition alone, nobody acts by editions before it alone any more. What was asked after that
 /// answer had come was surely said later, whatever lay in buffers.
 fn contradictions(seen: &[Seen]) -> Vec<(Seen, Seen)> {
-    let mut by_came: Vec<&Seen> = seen.iter().filter(|s| matches!(s.acts, Acts::Alone(_))).collect();
+    let mut by_came: Vec<&Seen> =
+        seen.iter().filter(|s| matches!(s.acts, ActiveVersions::Single(_))).collect();
     by_came.sort_by_key(|s| s.came);
     let mut found = vec![];
     for later in seen {
         let highest = match later.acts {
-            Acts::Alone(n) | Acts::Both(_, n) => n,
-            Acts::Unleased => continue,
+            ActiveVersions::Single(n) | ActiveVersions::Joint(_, n) => n,
+            ActiveVersions::Unleased => continue,
         };
         let before = by_came.partition_point(|s| s.came < later.asked);
-        let alone = |s: &&&Seen| matches!(s.acts, Acts::Alone(n) if n > highest);
+        let alone = |s: &&&Seen| matches!(s.acts, ActiveVersions::Single(n) if n > highest);
         found.extend(by_came[..before].iter().rev().find(alone).map(|first| (**first, *later)));
     }
     found
@@ -84,7 +85,7 @@
     }
 
     fn newest(&self) -> u64 {
-        let alone = |s: &Seen| if let Acts::Alone(n) = s.acts { n } else { 0 };
+        let alone = |s: &Seen| if let ActiveVersions::Single(n) = s.acts { n } else { 0 };
         self.seen.lock().unwrap().iter().map(alone).max().unwrap_or_default()
     }
 
@@ -99,7 +100,7 @@
                 seen.iter()
                     .rev()
                     .take_while(|s| s.asked > since)
-                    .any(|s| s.member == m && matches!(s.acts, Acts::Alone(n) if n >= least))
+                    .any(|s| s.member == m && matches!(s.acts, ActiveVersions::Single(n) if n >= least))
             };
             if (0..members).all(agrees) {
                 return;
@@ -142,7 +143,7 @@
             while going() {
                 if proposes {
                     draw += 3.0;
-                    let limit = Limit::Least(draw);
+                    let limit = Limit::AtLeast(draw);
                     let changes = vec![Change::Limit("power.reserve".into(), Some(limit))];
                     let proposed = ask(&mut sealed, Question::Propose { changes, forced: false });
                     if !matches!(timeout(MS(3000), proposed).await, Ok(Ok(_))) {
@@ -286,19 +287,22 @@
     let found = contradictions(&seen);
     println!("faults {faults}, editions {editions}, answers {}, contradictions {}", seen.len(), found.len());
     assert!(found.is_empty(), "{} contradictions: {:?}", found.len(), found[0]);
-    assert!(seen.iter().any(|s| s.acts == Acts::Unleased), "nobody was ever without a lease");
+    assert!(seen.iter().any(|s| s.acts == ActiveVersions::Unleased), "nobody was ever without a lease");
 }
 
 /// What the checker is for: each of these has one that acts by the new edition alone too early, or goes on with the old.
 #[rstest]
-#[case::goes_on_with_the_old(&[(0, 0, 1, Acts::Alone(1)), (1, 2, 3, Acts::Alone(2)), (0, 4, 5, Acts::Alone(1))], 1)]
-#[case::still_the_stricter_of_older_ones(&[(1, 2, 3, Acts::Alone(3)), (0, 4, 5, Acts::Both(1, 2))], 1)]
-#[case::in_a_buffer_since_before(&[(0, 0, 9, Acts::Alone(1)), (1, 2, 3, Acts::Alone(2))], 0)]
-#[case::the_stricter_of_both(&[(1, 2, 3, Acts::Alone(2)), (0, 4, 5, Acts::Both(1, 2))], 0)]
-#[case::without_a_lease(&[(1, 2, 3, Acts::Alone(2)), (0, 4, 5, Acts::Unleased)], 0)]
-fn the_checker_finds_what_it_is_for(#[case] told: &[(usize, u64, u64, Acts)], #[case] count: usize) {
+#[case::goes_on_with_the_old(&[(0, 0, 1, ActiveVersions::Single(1)), (1, 2, 3, ActiveVersions::Single(2)), (0, 4, 5, ActiveVersions::Single(1))], 1)]
+#[case::still_the_stricter_of_older_ones(&[(1, 2, 3, ActiveVersions::Single(3)), (0, 4, 5, ActiveVersions::Joint(1, 2))], 1)]
+#[case::in_a_buffer_since_before(&[(0, 0, 9, ActiveVersions::Single(1)), (1, 2, 3, ActiveVersions::Single(2))], 0)]
+#[case::the_stricter_of_both(&[(1, 2, 3, ActiveVersions::Single(2)), (0, 4, 5, ActiveVersions::Joint(1, 2))], 0)]
+#[case::without_a_lease(&[(1, 2, 3, ActiveVersions::Single(2)), (0, 4, 5, ActiveVersions::Unleased)], 0)]
+fn the_checker_finds_what_it_is_for(
+    #[case] told: &[(usize, u64, u64, ActiveVersions)],
+    #[case] count: usize,
+) {
     let began = Instant::now();
-    let seen = |t: &(usize, u64, u64, Acts)| Seen {
+    let seen = |t: &(usize, u64, u64, ActiveVersions)| Seen {
         member: t.0,
         asked: began + MS(t.1),
         came: began + MS(t.2),
--- a/crates/cluster/src/accord.rs
+++ b/crates/cluster/src/accord.rs
@@ -6,7 +6,10 @@
 use crate::run::Shared;
 use crate::seal::Packet;
 use crate::store::Store;
-use grebespool_config_consensus::{Acts, Change, Host, Kept, Member, Terms, Ticket, Word};
+use grebespool_config_consensus::{
+    ActiveVersions, Change, ConsensusNode as Member, ConsensusSettings as Terms, CoordinatorRef, Event, Host,
+    Message as Word, ProposalId as Ticket, ProposalOutcome, StoredState as Kept,
+};
 use grebespool_leader_election::Id;
 use grebespool_singleton_tasks::{Duty, Token};
 use std::cell::RefCell;
@@ -29,38 +32,38 @@
     writing: Option<(Kept, u64)>,
     fix: Option<(Token, Vec<u8>)>,
     end: Option<Token>,
-    proposed: Vec<(Ticket, Result<u64, Vec<String>>)>,
+    proposed: Vec<(Ticket, ProposalOutcome)>,
 }
 
 #[derive(Default)]
 pub(crate) struct Slate(Asked);
 
 impl Host for Slate {
-    fn say(&mut self, to: Id, word: Word) {
+    fn send(&mut self, to: Id, word: Word) {
         self.0.said.push((to, word));
     }
-    fn keep(&mut self, kept: &Kept, stamp: u64) {
+    fn persist(&mut self, kept: &Kept, stamp: u64) {
         self.0.writing = Some((kept.clone(), stamp));
     }
-    fn fix(&mut self, token: Token, content: Vec<u8>) {
+    fn write_journal(&mut self, token: Token, content: Vec<u8>) {
         self.0.fix = Some((token, content));
     }
-    fn end(&mut self, token: Token) {
+    fn finish_journal_step(&mut self, token: Token) {
         self.0.end = Some(token);
     }
-    fn acts(&mut self, acts: Acts) {
+    fn active_versions_changed(&mut self, acts: ActiveVersions) {
         info!("this member acts by {acts}");
     }
-    fn proposed(&mut self, ticket: Ticket, done: Result<u64, Vec<String>>) {
+    fn proposal_decided(&mut self, ticket: Ticket, done: ProposalOutcome) {
         self.0.proposed.push((ticket, done));
     }
-    fn note(&mut self, text: &str) {
-        warn!("{text}");
+    fn log(&mut self, event: &Event) {
+        warn!("{event}");
     }
 }
 
 /// Who waits for what becomes of a proposal.
-type Asking = oneshot::Sender<Result<u64, Vec<String>>>;
+type Asking = oneshot::Sender<ProposalOutcome>;
 
 /// The editions of one member, and who waits for an answer.
 pub(crate) struct Editions {
@@ -78,7 +81,7 @@
             warn!(why, "what was held of editions is damaged; the convener is asked for all of it")
         };
         let kept = store.editions(damaged)?;
-        let member = Member::start(Slate::default(), own, terms, kept, life);
+        let member = Member::new(Slate::default(), own, terms, kept, life);
         Ok(Editions { member: RefCell::new(member), called: Notify::new(), asking: RefCell::default() })
     }
 }
@@ -94,7 +97,7 @@
         let (done, asked) = {
             let mut member = editions.member.borrow_mut();
             let now = self.began.elapsed();
-            member.owns(bench.may(now, duty));
+            member.set_journal_token(bench.may(now, duty));
             let done = what(&mut member, now);
             (done, std::mem::take(&mut member.host().0))
         };
@@ -118,7 +121,7 @@
         if let Some((token, content)) = asked.fix {
             let begun = self.duty(|d, now| Bench::write(d, duty, |d| d.begin(now, duty, content)));
             if begun != Some(true) {
-                self.agree(|m, now| m.unfixed(now, token));
+                self.agree(|m, now| m.journal_write_rejected(now, token));
             }
         }
         if asked.end.is_some() {
@@ -128,25 +131,25 @@
     }
 
     pub(crate) fn accord_heard(self: &Rc<Self>, from: Id, word: Word) {
-        self.agree(|m, now| m.heard(now, from, word));
+        self.agree(|m, now| m.message_received(now, from, word));
     }
 
     pub(crate) fn editions_shown(&self) -> Answer {
         let Some(editions) = &self.editions else { return none() };
         let member = editions.member.borrow();
-        let shown = member.shown(self.began.elapsed());
+        let shown = member.status(self.began.elapsed());
         let own = self.member.borrow();
         let seats = &own.kept_state().roster.seats;
         let named = |id: Id| seats.get(&id).map_or(format!("{id:016x}"), |s| s.name.clone());
-        let name = |(number, hash): grebespool_config_consensus::Name| (number, hash.to_string());
+        let name = |id: grebespool_config_consensus::VersionId| (id.number, id.hash.to_string());
         Answer::Editions(Box::new(operator::Editions {
             name: self.name.clone(),
-            acts: shown.acts,
-            standing: name(shown.standing),
-            next: shown.next.map(name),
-            convener: shown.convener.map(|(_, id)| named(id)),
-            waiting: shown.waiting,
-            view: member.view(),
+            acts: shown.active,
+            standing: name(shown.committed),
+            next: shown.pending.map(name),
+            convener: shown.coordinator.map(|CoordinatorRef { member, .. }| named(member)),
+            waiting: shown.undecided_proposals,
+            view: member.effective_configuration(),
         }))
     }
 
@@ -165,12 +168,12 @@
         });
         match ticket {
             Some(Ok(_)) => {}
-            Some(Err(why)) => return Answer::Refused(why),
+            Some(Err(why)) => return Answer::Refused(why.to_string()),
             None => return none(),
         }
         match timeout(WAITED, told).await {
-            Ok(Ok(Ok(number))) => Answer::Done(format!("edition {number} holds")),
-            Ok(Ok(Err(why))) => Answer::Refused(why.join("; ")),
+            Ok(Ok(ProposalOutcome::Activated(number))) => Answer::Done(format!("edition {number} holds")),
+            Ok(Ok(ProposalOutcome::Rejected(why))) => Answer::Refused(why.join("; ")),
             _ => Answer::Refused(format!(
                 "nothing is agreed yet after {WAITED:?}; it is proposed again until it is answered, while this member runs"
             )),
@@ -185,10 +188,10 @@
 async fn tick(shared: Rc<Shared>) {
     let Some(editions) = &shared.editions else { return };
     loop {
-        let due = editions.member.borrow().due();
+        let due = editions.member.borrow().next_timer();
         let due = shared.began + due.min(shared.began.elapsed() + Duration::from_secs(3600));
         tokio::select! {
-            () = sleep_until(due) => drop(shared.agree(|m, now| m.woken(now))),
+            () = sleep_until(due) => drop(shared.agree(|m, now| m.timer_fired(now))),
             () = editions.called.notified() => {}
         }
     }
--- a/crates/cluster/src/disk.rs
+++ b/crates/cluster/src/disk.rs
@@ -30,7 +30,7 @@
     memories: Sender<((u64, u64), Vec<u8>)>,
     cells: Sender<(Vec<Writing>, bool)>,
     tallies: Sender<Tally>,
-    editions: Sender<(grebespool_config_consensus::Kept, u64)>,
+    editions: Sender<(grebespool_config_consensus::StoredState, u64)>,
 }
 
 impl Disk {
@@ -55,7 +55,7 @@
         let _ = self.cells.send((cells, copied));
     }
 
-    pub fn hold(&self, held: grebespool_config_consensus::Kept, stamp: u64) {
+    pub fn hold(&self, held: grebespool_config_consensus::StoredState, stamp: u64) {
         let _ = self.editions.send((held, stamp));
     }
 
@@ -133,7 +133,7 @@
 /// answered for by nobody until it stands.
 fn keep_editions(
     store: &Store,
-    held: &Receiver<(grebespool_config_consensus::Kept, u64)>,
+    held: &Receiver<(grebespool_config_consensus::StoredState, u64)>,
     told: &UnboundedSender<Written>,
 ) {
     while let Ok(mut last) = held.recv() {
--- a/crates/cluster/src/duties.rs
+++ b/crates/cluster/src/duties.rs
@@ -38,7 +38,7 @@
     pub terms: Terms,
     pub accounts: Option<Accounting>,
     /// Editions of settings and lists that members agree on.
-    pub agree: Option<grebespool_config_consensus::Terms>,
+    pub agree: Option<grebespool_config_consensus::ConsensusSettings>,
 }
 
 pub(crate) const EDITIONS: &str = "editions";
@@ -235,13 +235,13 @@
         }
         bench.called.notify_one();
         if lost_editions {
-            self.agree(|m, now| m.cease(now));
+            self.agree(|m, now| m.stop_coordinating(now));
         }
         for (_, token, record, first) in stood.into_iter().filter(|s| Some(s.0) == editions) {
             self.agree(|m, now| match &record {
-                last if first => m.convene(now, token, last.as_ref()),
-                Some(record) if record.ended => m.ended(now, token),
-                _ => m.fixed(now, token),
+                last if first => m.start_coordinating(now, token, last.as_ref()),
+                Some(record) if record.ended => m.journal_step_finished(now, token),
+                _ => m.journal_durable(now, token),
             });
         }
     }
@@ -255,7 +255,7 @@
         };
         let taking_part = seats.clone();
         self.duty(|d, now| d.roster(now, seats, leader, until));
-        self.agree(|m, now| m.seats(now, taking_part));
+        self.agree(|m, now| m.set_voters(now, taking_part));
     }
 
     pub(crate) fn duty_heard(self: &Rc<Self>, from: Id, word: Word) {
--- a/crates/cluster/src/operator.rs
+++ b/crates/cluster/src/operator.rs
@@ -2,7 +2,7 @@
 
 use crate::keys::Keys;
 use crate::seal::{Own, Packet, Sealed};
-use grebespool_config_consensus::{Acts, Change, View};
+use grebespool_config_consensus::{ActiveVersions as Acts, Change, EffectiveConfiguration as View};
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::time::Duration;
--- a/crates/cluster/src/run.rs
+++ b/crates/cluster/src/run.rs
@@ -335,7 +335,7 @@
     while let Some(written) = told.recv().await {
         match written {
             Written::Cells(stamp) => shared.duty_kept(stamp),
-            Written::Editions(stamp) => drop(shared.agree(|m, now| m.kept(now, stamp))),
+            Written::Editions(stamp) => drop(shared.agree(|m, now| m.persisted(now, stamp))),
             Written::Kept(stamp) => shared.call(|m, now| m.kept(now, stamp)),
             Written::Failed(why) => {
                 warn!(why, "the disk takes no writes: this member neither votes nor leads");
--- a/crates/cluster/src/seal.rs
+++ b/crates/cluster/src/seal.rs
@@ -40,7 +40,7 @@
     /// Of duties, on a stream of their own: many at once never wait before a beat.
     Duty(grebespool_singleton_tasks::Word),
     /// Of editions.
-    Accord(grebespool_config_consensus::Word),
+    Accord(grebespool_config_consensus::Message),
 }
 
 fn denied(text: String) -> io::Error {
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -297,7 +297,10 @@
     /// # Errors
     ///
     /// The disk's.
-    pub fn editions(&self, mut damaged: impl FnMut(&str)) -> io::Result<grebespool_config_consensus::Kept> {
+    pub fn editions(
+        &self,
+        mut damaged: impl FnMut(&str),
+    ) -> io::Result<grebespool_config_consensus::StoredState> {
         let read = disk(self.state.begin_read())?;
         match read.open_table(EDITIONS) {
             Ok(table) => {
@@ -305,10 +308,10 @@
                 let held = bytes.map(|b| unsummed(b.value()));
                 held.transpose().map(Option::unwrap_or_default).or_else(|why| {
                     damaged(&why);
-                    Ok(grebespool_config_consensus::Kept::default())
+                    Ok(grebespool_config_consensus::StoredState::default())
                 })
             }
-            Err(TableError::TableDoesNotExist(_)) => Ok(grebespool_config_consensus::Kept::default()),
+            Err(TableError::TableDoesNotExist(_)) => Ok(grebespool_config_consensus::StoredState::default()),
             Err(why) => Err(io::Error::other(why)),
         }
     }
@@ -318,7 +321,7 @@
     /// # Errors
     ///
     /// The disk's.
-    pub fn keep_editions(&self, held: &grebespool_config_consensus::Kept) -> io::Result<()> {
+    pub fn keep_editions(&self, held: &grebespool_config_consensus::StoredState) -> io::Result<()> {
         let write = disk(self.state.begin_write())?;
         disk(disk(write.open_table(EDITIONS))?.insert("held", summed(held).as_slice()))?;
         disk(write.commit())
--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -8,7 +8,10 @@
 use grebespool_cluster::{
     Answer, Audit, DutyOrder, Editions, Keys, Question, Shown, Store, audit, first_roster, fleet_id, seat_id,
 };
-use grebespool_config_consensus::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
+use grebespool_config_consensus::{
+    ActiveVersions, Change, ConfigVersion, Configuration, EffectiveConfiguration, Limit, Message, Rack,
+    Renewal, Route, Server, ServerState, StoredState,
+};
 use grebespool_leader_election::{Drain, Held, Kept, Listed, Memory, Phase, Roster, Seat, Weight, Word};
 use grebespool_singleton_tasks::{Cell, Counts, Record, Tally, Token};
 use redb::{Database, ReadableTable, TableDefinition};
@@ -93,38 +96,41 @@
     }
 }
 
-fn content() -> Content {
+fn content() -> Configuration {
     let server = |capacity, state| Server { rack: "r1".into(), capacity, state };
-    Content {
-        routes: BTreeMap::from([("browse".into(), Route { importance: 1.5, most: 0.75 })]),
+    Configuration {
+        routes: BTreeMap::from([("browse".into(), Route { importance: 1.5, max_share: 0.75 })]),
         limits: BTreeMap::from([
-            ("power.most_withdrawn".into(), Limit::Most(0.25)),
-            ("power.reserve".into(), Limit::Least(0.1)),
+            ("power.most_withdrawn".into(), Limit::AtMost(0.25)),
+            ("power.reserve".into(), Limit::AtLeast(0.1)),
         ]),
-        racks: BTreeMap::from([("r1".into(), Rack { site: "north".into(), feed: "a".into(), cap: 4000.0 })]),
+        racks: BTreeMap::from([(
+            "r1".into(),
+            Rack { site: "north".into(), feed: "a".into(), power_cap: 4000.0 },
+        )]),
         servers: BTreeMap::from([
-            ("s1".into(), server(120.0, State::Ready)),
-            ("s2".into(), server(80.5, State::Draining)),
-            ("s3".into(), server(40.0, State::Gone)),
+            ("s1".into(), server(120.0, ServerState::Ready)),
+            ("s2".into(), server(80.5, ServerState::Draining)),
+            ("s3".into(), server(40.0, ServerState::Removed)),
         ]),
     }
 }
 
 fn changes() -> Vec<Change> {
     vec![
-        Change::Whole(Box::new(content())),
+        Change::Replace(Box::new(content())),
         Change::Route("search".into(), None),
-        Change::Limit("power.reserve".into(), Some(Limit::Least(0.2))),
+        Change::Limit("power.reserve".into(), Some(Limit::AtLeast(0.2))),
         Change::Rack("r2".into(), None),
         Change::Server("s2".into(), None),
-        Change::State("s1".into(), State::Draining),
+        Change::State("s1".into(), ServerState::Draining),
     ]
 }
 
-fn held_editions() -> grebespool_config_consensus::Kept {
-    let standing = Edition::default().next(&changes()[..1], &BTreeMap::new());
-    let next = Some(standing.next(&changes()[1..], &BTreeMap::new()));
-    grebespool_config_consensus::Kept { standing, next, seen: token() }
+fn held_editions() -> StoredState {
+    let committed = ConfigVersion::default().successor(&changes()[..1], &BTreeMap::new());
+    let pending = Some(committed.successor(&changes()[1..], &BTreeMap::new()));
+    StoredState { committed, pending, newest_token: token() }
 }
 
 fn kept() -> Kept {
@@ -317,7 +323,7 @@
     }
 }
 
-fn editions(acts: Acts, next: Option<(u64, String)>, convener: Option<String>) -> Answer {
+fn editions(acts: ActiveVersions, next: Option<(u64, String)>, convener: Option<String>) -> Answer {
     Answer::Editions(Box::new(Editions {
         name: "a".into(),
         acts,
@@ -325,7 +331,10 @@
         next,
         convener,
         waiting: 3,
-        view: View::both(held_editions().standing.content(), held_editions().next.unwrap().content()),
+        view: EffectiveConfiguration::intersect(
+            held_editions().committed.configuration(),
+            held_editions().pending.unwrap().configuration(),
+        ),
     }))
 }
 
@@ -336,9 +345,12 @@
         ("done", Answer::Done("it stands down".into())),
         ("refused", Answer::Refused("this member does not lead".into())),
         ("lines", Answer::Lines(vec!["one".into(), "two".into()])),
-        ("editions-both", editions(Acts::Both(41, 42), Some((42, "ba9876543210".into())), Some("b".into()))),
-        ("editions-alone", editions(Acts::Alone(41), None, None)),
-        ("editions-unleased", editions(Acts::Unleased, None, None)),
+        (
+            "editions-both",
+            editions(ActiveVersions::Joint(41, 42), Some((42, "ba9876543210".into())), Some("b".into())),
+        ),
+        ("editions-alone", editions(ActiveVersions::Single(41), None, None)),
+        ("editions-unleased", editions(ActiveVersions::Unleased, None, None)),
     ]
 }
 
@@ -394,12 +406,14 @@
     ]
 }
 
-fn of_editions() -> Vec<(&'static str, grebespool_config_consensus::Word)> {
-    use grebespool_config_consensus::Word;
-    let standing = held_editions().standing.name();
+fn of_editions() -> Vec<(&'static str, Message)> {
+    let committed = held_editions().committed.id();
     vec![
-        ("edition-call", Word::Call { token: token(), standing }),
-        ("edition-renew", Word::Renew { token: token(), count: 9, standing, next: None }),
+        ("edition-call", Message::Announce { token: token(), committed }),
+        (
+            "edition-renew",
+            Message::Renew { token: token(), renewal: Renewal { count: 9, committed, pending: None } },
+        ),
     ]
 }
 
--- /dev/null
+++ b/crates/config-consensus/src/coordinator/mod.rs
@@ -0,0 +1,278 @@
+//! The coordinator: the owner of the journal numbers versions, prepares each on all replicas, and activates it.
+
+mod batch;
+mod leases;
+mod queue;
+mod recovery;
+
+use crate::context::Context;
+use crate::host::Host;
+use crate::message::{Chunk, Message, Proposal, ProposalId, ProposalOutcome, VersionHeader};
+use crate::settings::ConsensusSettings;
+use crate::version::{ConfigVersion, ContentHash, StoredState, VersionId};
+use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::{Record, Token};
+use leases::ReplicaLeases;
+use queue::{ProposalKey, ProposalQueue};
+use recovery::Recovery;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// A version that is being prepared.
+#[derive(Debug, Clone)]
+struct PendingVersion {
+    version: ConfigVersion,
+    header: VersionHeader,
+    /// Replicas that have it on disk and apply its intersection with the version before it.
+    prepared_by: BTreeSet<Id>,
+    journal_write_started: bool,
+    /// A quorum has its journal record.
+    durable: bool,
+    /// A replica applies it alone already, by the word of a former coordinator.
+    activated_before: bool,
+    /// Proposals that are answered once it is active.
+    proposals: Vec<ProposalKey>,
+}
+
+impl PendingVersion {
+    /// A version that this coordinator makes.
+    fn proposed(
+        version: ConfigVersion,
+        header: VersionHeader,
+        proposals: Vec<ProposalKey>,
+    ) -> PendingVersion {
+        PendingVersion {
+            version,
+            header,
+            prepared_by: BTreeSet::new(),
+            journal_write_started: false,
+            durable: false,
+            activated_before: false,
+            proposals,
+        }
+    }
+
+    /// A version that was found in the journal.
+    fn recovered(version: ConfigVersion, header: VersionHeader) -> PendingVersion {
+        let proposed = PendingVersion::proposed(version, header, vec![]);
+        PendingVersion { journal_write_started: true, durable: true, ..proposed }
+    }
+}
+
+#[derive(Debug, Clone)]
+enum Phase {
+    /// The version of the journal's last record is not here yet.
+    Recovering(Recovery),
+    /// No version is being prepared.
+    Idle,
+    /// A version is being prepared.
+    Preparing(Box<PendingVersion>),
+}
+
+/// One ownership of the journal.
+#[derive(Debug)]
+pub(crate) struct Coordinator {
+    token: Token,
+    settings: ConsensusSettings,
+    phase: Phase,
+    committed: ConfigVersion,
+    leases: ReplicaLeases,
+    queue: ProposalQueue,
+    /// The journal takes a new step: the one before is finished.
+    journal_ready: bool,
+    /// The step before took effect, and the journal was not told yet.
+    finish_step: bool,
+    retransmit_at: Duration,
+    /// Replicas of another history, as far as they are logged.
+    conflicting: BTreeMap<Id, ContentHash>,
+}
+
+impl Coordinator {
+    /// Starts with what this member stores and the journal's last record.
+    pub(crate) fn new(
+        cx: &mut Context<impl Host>,
+        token: Token,
+        settings: ConsensusSettings,
+        stored: &StoredState,
+        last: Option<&Record>,
+    ) -> Self {
+        let mut coordinator = Coordinator {
+            token,
+            phase: Phase::Idle,
+            committed: ConfigVersion::default(),
+            leases: ReplicaLeases::new(cx.now, settings.lease),
+            settings,
+            queue: ProposalQueue::default(),
+            journal_ready: last.is_none_or(|record| record.ended),
+            finish_step: false,
+            retransmit_at: cx.now,
+            conflicting: BTreeMap::new(),
+        };
+        if let Some(record) = last {
+            coordinator.recover(cx, stored, record);
+        }
+        coordinator
+    }
+
+    /// Its ownership of the journal.
+    pub(crate) fn token(&self) -> Token {
+        self.token
+    }
+
+    /// When [`Coordinator::timer_fired`] is to be called next.
+    pub(crate) fn next_timer(&self) -> Duration {
+        let expiry = match &self.phase {
+            Phase::Preparing(pending) if pending.durable => self.leases.last_expiry(),
+            _ => Duration::MAX,
+        };
+        let earliest = self.retransmit_at.saturating_sub(self.settings.lease.renew_interval);
+        self.retransmit_at.min(expiry.max(earliest))
+    }
+
+    /// Retransmits when it is time, and continues.
+    pub(crate) fn timer_fired(&mut self, cx: &mut Context<impl Host>) {
+        if cx.now >= self.retransmit_at {
+            self.retransmit_at = cx.now + self.settings.lease.renew_interval;
+            self.retransmit(cx);
+        }
+        self.proceed(cx);
+    }
+
+    /// Sends again what was not answered.
+    fn retransmit(&mut self, cx: &mut Context<impl Host>) {
+        let announce = Message::Announce { token: self.token, committed: self.committed.id() };
+        match &self.phase {
+            Phase::Recovering(recovery) => {
+                let request = recovery.download.request();
+                for voter in cx.voters().to_vec() {
+                    cx.send(voter, request.clone());
+                    // The replica then renews, and reports the versions that it has: one may be the version that is recovered.
+                    cx.send(voter, announce.clone());
+                }
+            }
+            Phase::Preparing(pending) => {
+                let prepare = Message::Prepare { token: self.token, header: pending.header.clone() };
+                for voter in cx.voters().to_vec() {
+                    if !pending.prepared_by.contains(&voter) {
+                        cx.send(voter, prepare.clone());
+                    }
+                }
+            }
+            Phase::Idle => {
+                for voter in cx.voters().to_vec() {
+                    if self.leases.is_silent(voter, cx.now) {
+                        cx.send(voter, announce.clone());
+                    }
+                }
+            }
+        }
+    }
+
+    /// Takes every step that is possible now.
+    fn proceed(&mut self, cx: &mut Context<impl Host>) {
+        if std::mem::take(&mut self.finish_step) {
+            cx.host().finish_journal_step(self.token);
+        }
+        self.prepare_next(cx);
+        self.write_journal(cx);
+        self.activate(cx);
+    }
+
+    /// Writes the pending version's header into the journal, once the version can be found again: the header contains the
+    /// changes, or a quorum has the version on disk.
+    fn write_journal(&mut self, cx: &mut Context<impl Host>) {
+        let Phase::Preparing(pending) = &mut self.phase else { return };
+        let voters = cx.voters();
+        let prepared = voters.iter().filter(|voter| pending.prepared_by.contains(voter)).count();
+        let quorum = prepared * 2 > voters.len();
+        if !pending.journal_write_started && (pending.header.changes.is_some() || quorum) {
+            pending.journal_write_started = true;
+            let content = postcard::to_stdvec(&pending.header).expect("encoding into memory does not fail");
+            cx.host().write_journal(self.token, content);
+        }
+    }
+
+    /// Activates the pending version, once it is durable and no replica may apply the version before it alone.
+    fn activate(&mut self, cx: &mut Context<impl Host>) {
+        let Phase::Preparing(pending) = &self.phase else { return };
+        let settled =
+            |voter: &Id| pending.prepared_by.contains(voter) || self.leases.is_expired(*voter, cx.now);
+        let safe = pending.activated_before || cx.voters().iter().all(settled);
+        if !pending.durable || !safe {
+            return;
+        }
+        let Phase::Preparing(pending) = std::mem::replace(&mut self.phase, Phase::Idle) else { return };
+        self.committed = pending.version;
+        let committed = self.committed.id();
+        cx.broadcast(&Message::Activate { token: self.token, committed });
+        for ProposalKey { proposer, id } in pending.proposals {
+            let outcome = ProposalOutcome::Activated(committed.number);
+            cx.send(proposer, Message::ProposalDecided { id, outcome });
+        }
+        cx.host().finish_journal_step(self.token);
+    }
+
+    /// A quorum has the step of the journal that was started.
+    pub(crate) fn journal_durable(&mut self, cx: &mut Context<impl Host>) {
+        if let Phase::Preparing(pending) = &mut self.phase {
+            pending.durable = true;
+        }
+        self.proceed(cx);
+    }
+
+    /// The step of the journal could not be started: it is retried.
+    pub(crate) fn journal_write_rejected(&mut self) {
+        if let Phase::Preparing(pending) = &mut self.phase {
+            pending.journal_write_started = pending.durable;
+        }
+    }
+
+    /// A quorum knows that the step of the journal is finished.
+    pub(crate) fn journal_step_finished(&mut self, cx: &mut Context<impl Host>) {
+        self.journal_ready = true;
+        self.proceed(cx);
+    }
+
+    /// A replica has prepared a version.
+    pub(crate) fn prepared(&mut self, cx: &mut Context<impl Host>, from: Id, version: VersionId) {
+        if let Phase::Preparing(pending) = &mut self.phase
+            && pending.version.id() == version
+        {
+            pending.prepared_by.insert(from);
+            self.proceed(cx);
+        }
+    }
+
+    /// A member sends its undecided proposals.
+    pub(crate) fn propose(&mut self, cx: &mut Context<impl Host>, from: Id, mut proposals: Vec<Proposal>) {
+        let decided = self.committed.decided(from);
+        if let Phase::Preparing(pending) = &mut self.phase
+            && let Some(deciding) = pending.header.decided.get(&from)
+        {
+            // Part of the pending version, by this coordinator or one before: answered once that is active.
+            let is_part =
+                |id: ProposalId| id > decided.last && id <= deciding.last && !deciding.rejected.contains(&id);
+            let keys = proposals.iter().map(|proposal| ProposalKey { proposer: from, id: proposal.id });
+            let unknown: Vec<ProposalKey> =
+                keys.filter(|key| is_part(key.id) && !pending.proposals.contains(key)).collect();
+            pending.proposals.extend(unknown);
+            proposals.retain(|proposal| !is_part(proposal.id));
+        }
+        self.queue.enqueue(cx, from, proposals, self.committed.number(), &decided);
+        self.proceed(cx);
+    }
+
+    /// A chunk of fetched bytes was received from a member.
+    pub(crate) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: Id, chunk: &Chunk) {
+        self.chunk_recovered(cx, from, chunk);
+        self.queue.chunk_received(cx, from, chunk);
+        self.proceed(cx);
+    }
+
+    /// The encoded version with this hash, if it is the pending or the committed one.
+    pub(crate) fn bytes(&self, hash: ContentHash) -> Option<Vec<u8>> {
+        let pending = if let Phase::Preparing(pending) = &self.phase { Some(&pending.version) } else { None };
+        let known = pending.into_iter().chain([&self.committed]);
+        known.filter(|version| version.hash == hash).map(|version| version.body.encode()).next()
+    }
+}
--- /dev/null
+++ b/crates/config-consensus/src/coordinator/queue.rs
@@ -0,0 +1,198 @@
+//! Proposals that wait for a version.
+
+use crate::configuration::Change;
+use crate::context::Context;
+use crate::host::Host;
+use crate::message::{Chunk, Message, Proposal, ProposalBody, ProposalId, ProposalOutcome};
+use crate::transfer::Download;
+use crate::version::{ContentHash, DecidedProposals};
+use grebespool_leader_election::Id;
+use std::collections::BTreeMap;
+
+/// Proposals that wait; a member that floods proposes the others again once these are decided.
+const MAX_QUEUED: usize = 512;
+/// The reason for a rejection by a former coordinator.
+const REJECTED_BEFORE: &str = "refused by the convener before; its reasons are in that member's log";
+/// The reason for bytes that do not decode, or have another hash.
+const UNREADABLE_CHANGES: &str = "its bytes are no changes, or not those that it told of";
+
+/// Identifies a proposal among those of all members.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct ProposalKey {
+    pub proposer: Id,
+    pub id: ProposalId,
+}
+
+/// A proposal whose changes are here.
+#[derive(Debug, Clone)]
+pub(super) struct ReadyProposal {
+    pub key: ProposalKey,
+    pub changes: Vec<Change>,
+    pub forced: bool,
+}
+
+#[derive(Debug, Clone)]
+enum ProposedChanges {
+    Ready(Vec<Change>),
+    Downloading(Download),
+}
+
+/// A proposal in the queue.
+#[derive(Debug, Clone)]
+pub(super) struct QueuedProposal {
+    key: ProposalKey,
+    forced: bool,
+    changes: ProposedChanges,
+}
+
+impl From<ReadyProposal> for QueuedProposal {
+    fn from(ready: ReadyProposal) -> QueuedProposal {
+        let ReadyProposal { key, changes, forced } = ready;
+        QueuedProposal { key, forced, changes: ProposedChanges::Ready(changes) }
+    }
+}
+
+/// The queue, and the rejections that their proposers may not know of yet.
+#[derive(Debug, Default)]
+pub(super) struct ProposalQueue {
+    /// In the order in which they came, and each member's in its own order.
+    queued: Vec<QueuedProposal>,
+    /// Reasons of rejections, for proposers that lost the answer.
+    rejected: BTreeMap<ProposalKey, Vec<String>>,
+    /// Each member's first proposal that it has no answer to, as of its last message.
+    first_unanswered: BTreeMap<Id, ProposalId>,
+}
+
+impl ProposalQueue {
+    /// Whether a proposal can become part of a version.
+    pub(super) fn has_ready(&self) -> bool {
+        self.queued.iter().any(|queued| matches!(queued.changes, ProposedChanges::Ready(_)))
+    }
+
+    /// Whether the proposer may not know yet what became of a proposal.
+    pub(super) fn is_unanswered(&self, key: ProposalKey) -> bool {
+        self.first_unanswered.get(&key.proposer).is_none_or(|first| key.id >= *first)
+    }
+
+    /// Remembers why a proposal was rejected.
+    pub(super) fn reject(&mut self, key: ProposalKey, reasons: Vec<String>) {
+        self.rejected.insert(key, reasons);
+    }
+
+    /// Takes a member's unanswered proposals, in its order. `decided` are its proposals that are part of the committed
+    /// version of this number, or of one before.
+    pub(super) fn enqueue(
+        &mut self,
+        cx: &mut Context<impl Host>,
+        proposer: Id,
+        proposals: Vec<Proposal>,
+        committed: u64,
+        decided: &DecidedProposals,
+    ) {
+        let first = proposals.first().map_or(ProposalId::MAX, |proposal| proposal.id);
+        self.rejected.retain(|key, _| key.proposer != proposer || key.id >= first);
+        self.first_unanswered.insert(proposer, first);
+        for proposal in proposals {
+            let key = ProposalKey { proposer, id: proposal.id };
+            if let Some(outcome) = self.known_outcome(key, committed, decided) {
+                cx.send(proposer, Message::ProposalDecided { id: key.id, outcome });
+            } else if let Some(queued) = self.queued.iter().find(|queued| queued.key == key) {
+                if let ProposedChanges::Downloading(download) = &queued.changes {
+                    cx.send(proposer, download.request());
+                }
+            } else if self.queued.len() >= MAX_QUEUED {
+                return;
+            } else {
+                self.push(cx, key, proposal);
+            }
+        }
+    }
+
+    fn known_outcome(
+        &self,
+        key: ProposalKey,
+        committed: u64,
+        decided: &DecidedProposals,
+    ) -> Option<ProposalOutcome> {
+        if let Some(reasons) = self.rejected.get(&key) {
+            return Some(ProposalOutcome::Rejected(reasons.clone()));
+        }
+        if key.id > decided.last {
+            return None;
+        }
+        if decided.rejected.contains(&key.id) {
+            return Some(ProposalOutcome::Rejected(vec![REJECTED_BEFORE.into()]));
+        }
+        Some(ProposalOutcome::Activated(committed))
+    }
+
+    fn push(&mut self, cx: &mut Context<impl Host>, key: ProposalKey, proposal: Proposal) {
+        let changes = match proposal.body {
+            ProposalBody::Inline(changes) => ProposedChanges::Ready(changes),
+            ProposalBody::ByHash(hash) => {
+                let download = Download::new(hash);
+                cx.send(key.proposer, download.request());
+                ProposedChanges::Downloading(download)
+            }
+        };
+        self.queued.push(QueuedProposal { key, forced: proposal.forced, changes });
+    }
+
+    /// A chunk was received, maybe of a proposal's changes.
+    pub(super) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: Id, chunk: &Chunk) {
+        let downloading =
+            self.queued.iter_mut().enumerate().find_map(|(index, queued)| match &mut queued.changes {
+                ProposedChanges::Downloading(download)
+                    if queued.key.proposer == from && download.hash == chunk.hash =>
+                {
+                    Some((index, download))
+                }
+                _ => None,
+            });
+        let Some((index, download)) = downloading else { return };
+        let Some(bytes) = download.receive(chunk) else {
+            return cx.send(from, download.request());
+        };
+        match decode_changes(&bytes, chunk.hash) {
+            Some(changes) => self.queued[index].changes = ProposedChanges::Ready(changes),
+            None => self.reject_unreadable(cx, index),
+        }
+    }
+
+    fn reject_unreadable(&mut self, cx: &mut Context<impl Host>, index: usize) {
+        let key = self.queued.remove(index).key;
+        let reasons = vec![UNREADABLE_CHANGES.to_string()];
+        let outcome = ProposalOutcome::Rejected(reasons.clone());
+        cx.send(key.proposer, Message::ProposalDecided { id: key.id, outcome });
+        self.reject(key, reasons);
+    }
+
+    /// Takes all proposals whose changes are here. A member's later proposals wait for its earlier ones.
+    pub(super) fn take_ready(&mut self) -> Vec<ReadyProposal> {
+        let (mut ready, mut waiting, mut blocked) = (vec![], vec![], vec![]);
+        for queued in std::mem::take(&mut self.queued) {
+            let QueuedProposal { key, forced, changes } = queued;
+            match changes {
+                ProposedChanges::Ready(changes) if !blocked.contains(&key.proposer) => {
+                    ready.push(ReadyProposal { key, changes, forced });
+                }
+                changes => {
+                    blocked.push(key.proposer);
+                    waiting.push(QueuedProposal { key, forced, changes });
+                }
+            }
+        }
+        self.queued = waiting;
+        ready
+    }
+
+    /// Returns proposals to the front of the queue.
+    pub(super) fn put_back(&mut self, proposals: impl Iterator<Item = QueuedProposal>) {
+        let queued = std::mem::take(&mut self.queued);
+        self.queued = proposals.chain(queued).collect();
+    }
+}
+
+fn decode_changes(bytes: &[u8], hash: ContentHash) -> Option<Vec<Change>> {
+    postcard::from_bytes(bytes).ok().filter(|_| ContentHash::of(bytes) == hash)
+}
--- /dev/null
+++ b/crates/config-consensus/src/coordinator/recovery.rs
@@ -0,0 +1,107 @@
+//! How a new coordinator finds the version of the journal's last record.
+
+use super::{Coordinator, PendingVersion, Phase};
+use crate::context::Context;
+use crate::host::{Event, Host};
+use crate::message::{Chunk, VersionHeader};
+use crate::transfer::Download;
+use crate::version::{ConfigVersion, ContentHash, StoredState};
+use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::Record;
+
+/// A version that the journal describes and this member does not have.
+#[derive(Debug, Clone)]
+pub(super) struct Recovery {
+    /// What is asked for: the version, or its parent.
+    pub download: Download,
+    /// The journal's record.
+    pub header: VersionHeader,
+    /// Whether the version was activated; its parent is not needed then.
+    pub activated: bool,
+}
+
+/// The version of a header, and its parent, as far as they are known.
+struct Found {
+    version: Option<ConfigVersion>,
+    parent: Option<ConfigVersion>,
+}
+
+impl Recovery {
+    /// Looks for the version among those that are known, or makes it from its parent.
+    fn find(&self, known: &[&ConfigVersion]) -> Found {
+        let with_hash =
+            |hash: ContentHash| known.iter().copied().find(|version| version.hash == hash).cloned();
+        let parent = with_hash(self.header.parent);
+        let made = || parent.as_ref()?.apply_header(&self.header);
+        let version = with_hash(self.header.hash).or_else(made);
+        Found { version, parent }
+    }
+}
+
+impl Coordinator {
+    /// Continues with the journal's last record.
+    pub(super) fn recover(&mut self, cx: &mut Context<impl Host>, stored: &StoredState, last: &Record) {
+        let header: VersionHeader = match postcard::from_bytes(&last.content) {
+            Ok(header) => header,
+            Err(error) => return cx.host().log(&Event::UnreadableJournal(error)),
+        };
+        // A version that this member applies alone was activated.
+        let activated = last.ended || stored.committed.hash == header.hash;
+        let download = Download::new(header.hash);
+        self.phase = Phase::Recovering(Recovery { download, header, activated });
+        let known: Vec<&ConfigVersion> = [&stored.committed].into_iter().chain(&stored.pending).collect();
+        self.try_finish_recovery(&known);
+    }
+
+    /// Leaves recovery if the version can be found among those that are known, or made from them.
+    fn try_finish_recovery(&mut self, known: &[&ConfigVersion]) {
+        let Phase::Recovering(recovery) = &mut self.phase else { return };
+        let known: Vec<&ConfigVersion> = known.iter().copied().chain([&self.committed]).collect();
+        match recovery.find(&known) {
+            Found { version: Some(version), .. } if recovery.activated => {
+                self.committed = version;
+                self.phase = Phase::Idle;
+                self.finish_step = !self.journal_ready;
+            }
+            Found { version: Some(version), parent: Some(parent) } => {
+                let pending = PendingVersion::recovered(version, recovery.header.clone());
+                self.committed = parent;
+                self.phase = Phase::Preparing(Box::new(pending));
+            }
+            // The parent is fetched first: the version may be made from it.
+            Found { parent: None, .. }
+                if !recovery.activated && recovery.download.hash != recovery.header.parent =>
+            {
+                recovery.download = Download::new(recovery.header.parent);
+            }
+            _ => {}
+        }
+    }
+
+    /// A chunk was received, maybe of what is recovered.
+    pub(super) fn chunk_recovered(&mut self, cx: &mut Context<impl Host>, from: Id, chunk: &Chunk) {
+        let Phase::Recovering(recovery) = &mut self.phase else { return };
+        if recovery.download.hash != chunk.hash {
+            return;
+        }
+        let Some(bytes) = recovery.download.receive(chunk) else {
+            let request = recovery.download.request();
+            return cx.send(from, request);
+        };
+        match ConfigVersion::decode(&bytes, chunk.hash) {
+            Ok(version) => self.version_recovered(cx, version),
+            Err(error) => cx.host().log(&Event::FetchedVersionRejected(error)),
+        }
+    }
+
+    /// A fetched version is complete. The parent is kept as the committed version until the one after it is here.
+    fn version_recovered(&mut self, cx: &mut Context<impl Host>, version: ConfigVersion) {
+        self.try_finish_recovery(&[&version]);
+        if let Phase::Recovering(recovery) = &mut self.phase {
+            self.committed = version;
+            recovery.download = Download::new(recovery.header.hash);
+            let request = recovery.download.request();
+            cx.broadcast(&request);
+        }
+    }
+}
--- a/crates/config-consensus/src/lib.rs
+++ b/crates/config-consensus/src/lib.rs
@@ -1,24 +1,41 @@
-//! Editions of settings and lists that the members of a fleet agree on (`docs/design/config-consensus.md`). No I/O and no clock: a
-//! [`Member`] is told what happens and when by its own clock, and asks its [`Host`] to say, to write and to agree.
+//! Agreement of a fleet's members on one shared configuration (`docs/design/config-consensus.md`).
 //!
-//! Whatever clocks do: an edition's number has one content, and what was fixed is what the next convener goes on with.
-//! With clocks within the stated drift no member acts by an edition alone while another still acts by the one before it
-//! alone; between them both act by what both editions allow ([`View`]).
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! A [`ConsensusNode`] stores configuration versions as a replica, proposes changes, and coordinates while it owns the
+//! journal. It has no I/O and no clock: its caller reports events with the time of a local monotonic clock, and carries out
+//! what the node asks of its [`Host`].
+//!
+//! Guarantees, whatever clocks do: a version number has one content, and a version that is durable on a quorum is what the
+//! next coordinator continues with. With clocks within the stated drift, no member applies a version alone while another
+//! still applies the version before it alone; in between, members apply the intersection of both
+//! ([`EffectiveConfiguration::intersect`]).
+//!
+//! It never elects the owner of the journal, and never waits for a member longer than that member's lease.
 
-mod content;
-mod convene;
-mod edition;
-mod fetch;
-mod holder;
-mod member;
-mod terms;
-mod word;
+mod configuration;
+mod context;
+mod coordinator;
+mod host;
+mod message;
+mod node;
+mod proposer;
+mod replica;
+mod settings;
+mod transfer;
+mod version;
 
-pub use content::{Change, Content, Fault, Limit, Rack, Route, Server, State, View, check};
-pub use edition::{Blob, Done, Edition, Hash, Kept, MOST_BYTES};
-pub use holder::Acts;
-pub use member::{Member, Shown};
-pub use terms::{Host, Terms};
-pub use word::{Body, Manifest, Name, Proposal, Ticket, Word};
+pub use configuration::{
+    Change, Configuration, EffectiveConfiguration, Limit, Rack, Route, Server, ServerState, ValidationError,
+    validate,
+};
+pub use host::{Event, Host};
+pub use message::{
+    Chunk, Message, Proposal, ProposalBody, ProposalId, ProposalOutcome, Renewal, VersionHeader,
+};
+pub use node::{ConsensusNode, NodeStatus};
+pub use proposer::ProposeError;
+pub use replica::{ActiveVersions, CoordinatorRef};
+pub use settings::{ConsensusSettings, LeaseParameters, ValidationRules};
+pub use version::{
+    ConfigVersion, ContentHash, DecidedProposals, DecodeError, MAX_VERSION_BYTES, StoredState, VersionBody,
+    VersionId,
+};
--- /dev/null
+++ b/crates/config-consensus/src/proposer.rs
@@ -0,0 +1,138 @@
+//! Proposals of this member that are not decided yet.
+
+use crate::configuration::{Change, EffectiveConfiguration};
+use crate::context::Context;
+use crate::host::Host;
+use crate::message::{MAX_INLINE_BYTES, Message, Proposal, ProposalBody, ProposalId};
+use crate::version::{ContentHash, MAX_VERSION_BYTES};
+use grebespool_leader_election::Id;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use thiserror::Error;
+
+/// Undecided proposals of one member.
+const MAX_UNDECIDED: usize = 1024;
+/// The upper half of a proposal id is the member's start count.
+const START_COUNT_SHIFT: u32 = 32;
+
+/// Why changes are not proposed.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum ProposeError {
+    /// This member has as many undecided proposals as it may.
+    #[error("{undecided} proposals wait already")]
+    TooMany {
+        /// How many there are.
+        undecided: usize,
+    },
+    /// The changes are larger than a version may be.
+    #[error("{bytes} bytes of changes; {MAX_VERSION_BYTES} can be")]
+    TooLarge {
+        /// Their encoded size.
+        bytes: usize,
+    },
+    /// The changes cannot be encoded.
+    #[error(transparent)]
+    Encode(#[from] postcard::Error),
+}
+
+struct Undecided {
+    proposal: Proposal,
+    /// The encoded changes, where they are too large for a message.
+    bytes: Vec<u8>,
+    /// Servers that it takes out of service. They drain at once, since that is the stricter side, until the proposal is
+    /// rejected.
+    withdrawn: Vec<String>,
+}
+
+/// Submits this member's proposals, and retransmits them until they are decided.
+pub(crate) struct Proposer {
+    undecided: BTreeMap<ProposalId, Undecided>,
+    last_id: ProposalId,
+    retransmit_at: Duration,
+}
+
+impl Proposer {
+    /// Of a member that was started so often.
+    pub(crate) fn new(start_count: u32) -> Proposer {
+        Proposer {
+            undecided: BTreeMap::new(),
+            last_id: u64::from(start_count) << START_COUNT_SHIFT,
+            retransmit_at: Duration::ZERO,
+        }
+    }
+
+    /// How many proposals are undecided.
+    pub(crate) fn undecided(&self) -> usize {
+        self.undecided.len()
+    }
+
+    /// When proposals are sent next.
+    pub(crate) fn next_timer(&self) -> Duration {
+        if self.undecided.is_empty() { Duration::MAX } else { self.retransmit_at }
+    }
+
+    /// Whether it is time to send proposals.
+    pub(crate) fn is_due(&self, now: Duration) -> bool {
+        now >= self.retransmit_at
+    }
+
+    /// Takes a proposal; [`Proposer::send`] sends it.
+    pub(crate) fn submit(&mut self, changes: Vec<Change>, forced: bool) -> Result<ProposalId, ProposeError> {
+        if self.undecided.len() >= MAX_UNDECIDED {
+            return Err(ProposeError::TooMany { undecided: self.undecided.len() });
+        }
+        let bytes = postcard::to_stdvec(&changes)?;
+        if bytes.len() > MAX_VERSION_BYTES {
+            return Err(ProposeError::TooLarge { bytes: bytes.len() });
+        }
+        let withdrawn = changes.iter().filter_map(Change::withdrawn_server).cloned().collect();
+        let (body, bytes) = if bytes.len() <= MAX_INLINE_BYTES {
+            (ProposalBody::Inline(changes), vec![])
+        } else {
+            (ProposalBody::ByHash(ContentHash::of(&bytes)), bytes)
+        };
+        self.last_id += 1;
+        let proposal = Proposal { id: self.last_id, body, forced };
+        self.undecided.insert(self.last_id, Undecided { proposal, bytes, withdrawn });
+        Ok(self.last_id)
+    }
+
+    /// Sends the undecided proposals, as many as go into one message, and sets the retransmission timer.
+    pub(crate) fn send(
+        &mut self,
+        cx: &mut Context<impl Host>,
+        coordinator: Option<Id>,
+        retransmit_after: Duration,
+    ) {
+        self.retransmit_at = cx.now + retransmit_after;
+        let Some(coordinator) = coordinator.filter(|_| !self.undecided.is_empty()) else { return };
+        let (mut proposals, mut bytes) = (vec![], 0);
+        for undecided in self.undecided.values() {
+            bytes += postcard::to_stdvec(&undecided.proposal).map_or(0, |encoded| encoded.len());
+            if bytes > MAX_INLINE_BYTES && !proposals.is_empty() {
+                break;
+            }
+            proposals.push(undecided.proposal.clone());
+        }
+        cx.send(coordinator, Message::Propose { proposals });
+    }
+
+    /// Forgets a decided proposal; whether it was undecided until now. A decision may be received more than once.
+    pub(crate) fn decide(&mut self, id: ProposalId) -> bool {
+        self.undecided.remove(&id).is_some()
+    }
+
+    /// Drains the servers that undecided proposals withdraw.
+    pub(crate) fn drain_withdrawn(&self, effective: &mut EffectiveConfiguration) {
+        for name in self.undecided.values().flat_map(|undecided| &undecided.withdrawn) {
+            effective.drain(name);
+        }
+    }
+
+    /// The encoded changes with this hash.
+    pub(crate) fn bytes(&self, hash: ContentHash) -> Option<Vec<u8>> {
+        let by_hash = ProposalBody::ByHash(hash);
+        let undecided = self.undecided.values().find(|undecided| undecided.proposal.body == by_hash)?;
+        Some(undecided.bytes.clone())
+    }
+}
--- /dev/null
+++ b/crates/config-consensus/src/transfer.rs
@@ -0,0 +1,52 @@
+//! Transfer of bytes that are too large for one message, chunk by chunk. The receiver asks for each chunk, so that a transfer
+//! never delays lease renewals on a slow link, and a lost chunk is asked for again.
+
+use crate::message::{Chunk, Message};
+use crate::version::{ContentHash, MAX_VERSION_BYTES};
+
+/// Size of a chunk, in bytes.
+const CHUNK_BYTES: usize = 64 << 10;
+
+/// Bytes that are being fetched.
+#[derive(Debug, Clone)]
+pub(crate) struct Download {
+    pub hash: ContentHash,
+    bytes: Vec<u8>,
+    next_index: u32,
+}
+
+impl Download {
+    /// Starts with the first chunk.
+    pub(crate) fn new(hash: ContentHash) -> Download {
+        Download { hash, bytes: vec![], next_index: 0 }
+    }
+
+    /// The request for the next chunk.
+    pub(crate) fn request(&self) -> Message {
+        Message::FetchChunk { hash: self.hash, index: self.next_index }
+    }
+
+    /// Takes a chunk, and returns all bytes with the last one. A chunk out of order was asked for twice and is ignored.
+    pub(crate) fn receive(&mut self, chunk: &Chunk) -> Option<Vec<u8>> {
+        let max_count = MAX_VERSION_BYTES.div_ceil(CHUNK_BYTES) as u32;
+        let expected = chunk.index == self.next_index && chunk.index < chunk.count;
+        if !expected || chunk.count > max_count || chunk.bytes.len() > CHUNK_BYTES {
+            return None;
+        }
+        self.bytes.extend_from_slice(&chunk.bytes);
+        self.next_index += 1;
+        if self.next_index < chunk.count {
+            return None;
+        }
+        self.next_index = 0;
+        Some(std::mem::take(&mut self.bytes))
+    }
+}
+
+/// The chunk of these bytes that was asked for, if there is one.
+pub(crate) fn chunk_of(hash: ContentHash, bytes: &[u8], index: u32) -> Option<Message> {
+    let count = bytes.len().div_ceil(CHUNK_BYTES).max(1) as u32;
+    let start = index as usize * CHUNK_BYTES;
+    let part = bytes.get(start..bytes.len().min(start + CHUNK_BYTES))?;
+    Some(Message::Chunk(Chunk { hash, index, count, bytes: part.to_vec() }))
+}
--- /dev/null
+++ b/crates/config-consensus/tests/consensus/test_cluster/journal.rs
@@ -0,0 +1,100 @@
+//! Who owns the journal, and what it holds.
+
+use super::network::InFlight;
+use super::{DisabledGuard, MS, TestCluster};
+use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::{Record, Token};
+use rand::Rng;
+use std::time::Duration;
+
+/// How long an ownership lasts after it was renewed.
+const OWNERSHIP: Duration = Duration::from_millis(900);
+
+impl TestCluster {
+    /// The token by which a member owns the journal at this moment.
+    pub(super) fn owned_by(&self, id: Id) -> Option<Token> {
+        let (owner, token) = self.owner?;
+        let runs = self.now < self.owned_until || self.disabled == DisabledGuard::JournalOwnership;
+        (owner == id && runs).then_some(token)
+    }
+
+    /// Renews the ownership while the owner reaches a quorum; another member gets it once it is over.
+    pub(super) fn renew_ownership(&mut self) {
+        if let Some((id, _)) = self.owner {
+            if self.now < self.owned_until {
+                if self.has_quorum(id) && !self.owner_lapses {
+                    self.owned_until = self.now + OWNERSHIP;
+                }
+                return;
+            }
+            if self.now < self.owned_until + MS(40) {
+                return;
+            }
+            self.end_ownership(id);
+        }
+        self.grant_ownership();
+    }
+
+    fn end_ownership(&mut self, id: Id) {
+        if self.is_up(id) && self.disabled != DisabledGuard::JournalOwnership {
+            self.call(id, |node, now| node.stop_coordinating(now));
+        }
+        self.owner = None;
+        self.owner_lapses = false;
+        // A step that was not reported as durable is found by the next owner, or not.
+        if let Some((token, content)) = self.journal_write.take()
+            && self.rng.random_bool(0.5)
+        {
+            self.append_to_journal(token, content);
+        }
+    }
+
+    fn grant_ownership(&mut self) {
+        let candidates: Vec<Id> = self.nodes.keys().copied().filter(|id| self.has_quorum(*id)).collect();
+        if candidates.is_empty() {
+            return;
+        }
+        let id = candidates[self.rng.random_range(0..candidates.len())];
+        self.tokens += 1;
+        let token = Token { epoch: self.tokens, number: 1 };
+        self.owner = Some((id, token));
+        self.owned_until = self.now + OWNERSHIP;
+        let last = self.journal.clone();
+        self.call(id, |node, now| node.start_coordinating(now, token, last.as_ref()));
+    }
+
+    fn append_to_journal(&mut self, token: Token, content: Vec<u8>) {
+        let step = self.journal.as_ref().map_or(0, |last| last.step) + 1;
+        self.journal = Some(Record { token, step, ended: false, content });
+    }
+
+    /// Whether the journal takes a write of its owner now.
+    fn is_writable(&self, id: Id) -> bool {
+        self.now < self.owned_until && self.has_quorum(id)
+    }
+
+    pub(super) fn deliver_journal_write(&mut self, id: Id, token: Token, content: Vec<u8>) {
+        if self.owner != Some((id, token)) {
+            return;
+        }
+        if self.is_writable(id) {
+            self.journal_write = None;
+            self.append_to_journal(token, content);
+            self.call(id, |node, now| node.journal_durable(now, token));
+        } else {
+            self.schedule(InFlight::JournalWrite(id, token, content));
+        }
+    }
+
+    pub(super) fn deliver_journal_finish(&mut self, id: Id, token: Token) {
+        if self.owner != Some((id, token)) {
+            return;
+        }
+        if self.is_writable(id) {
+            self.journal.as_mut().unwrap().ended = true;
+            self.call(id, |node, now| node.journal_step_finished(now, token));
+        } else {
+            self.schedule(InFlight::JournalFinish(id, token));
+        }
+    }
+}
--- /dev/null
+++ b/crates/config-consensus/tests/consensus/test_cluster/network.rs
@@ -0,0 +1,111 @@
+//! Messages between members, and steps of the journal that are on their way.
+
+use super::{DisabledGuard, MS, TestCluster};
+use grebespool_config_consensus::*;
+use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::Token;
+use rand::Rng;
+use std::time::Duration;
+
+/// Bytes of a message that is no chunk, where the bandwidth is limited.
+const MESSAGE_BYTES: usize = 200;
+
+pub enum InFlight {
+    Message { to: Id, from: Id, message: Message },
+    JournalWrite(Id, Token, Vec<u8>),
+    JournalFinish(Id, Token),
+}
+
+impl TestCluster {
+    /// Delivers after a random delay.
+    pub(super) fn schedule(&mut self, what: InFlight) {
+        let delay = self.max_delay.mul_f64(self.rng.random_range(0.1..1.0));
+        self.deliver_at(self.now + delay, what);
+    }
+
+    fn deliver_at(&mut self, at: Duration, what: InFlight) {
+        self.sent += 1;
+        self.in_flight.insert((at, self.sent), what);
+    }
+
+    pub(super) fn send(&mut self, from: Id, to: Id, message: Message) {
+        if let Message::Renew { renewal, .. } = &message {
+            self.nodes.get_mut(&from).unwrap().renewals = renewal.count;
+        }
+        self.transmit(from, to, message.clone());
+        if let (DisabledGuard::ActivationWait, Message::Prepare { token, header }) = (self.disabled, message)
+        {
+            self.transmit(from, to, Message::Activate { token, committed: header.id() });
+        }
+    }
+
+    fn transmit(&mut self, from: Id, to: Id, message: Message) {
+        let copies = if self.rng.random_bool(self.duplication) { 2 } else { 1 };
+        for _ in 0..copies {
+            if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
+                continue;
+            }
+            let message = message.clone();
+            if self.bandwidth.is_finite() {
+                let bytes =
+                    if let Message::Chunk(chunk) = &message { chunk.bytes.len() } else { MESSAGE_BYTES };
+                let free_at = self.link_free_at.entry((from, to)).or_default();
+                *free_at = (*free_at).max(self.now) + Duration::from_secs_f64(bytes as f64 / self.bandwidth);
+                let at = *free_at;
+                self.deliver_at(at, InFlight::Message { to, from, message });
+            } else {
+                self.schedule(InFlight::Message { to, from, message });
+            }
+        }
+    }
+
+    pub(super) fn deliver_due(&mut self) {
+        while let Some(first) = self.in_flight.first_entry().filter(|first| first.key().0 <= self.now) {
+            let what = first.remove();
+            self.deliver(what);
+        }
+    }
+
+    fn deliver(&mut self, what: InFlight) {
+        match what {
+            InFlight::Message { to, from, message } => self.deliver_message(to, from, message),
+            InFlight::JournalWrite(id, token, content) => self.deliver_journal_write(id, token, content),
+            InFlight::JournalFinish(id, token) => self.deliver_journal_finish(id, token),
+        }
+    }
+
+    fn deliver_message(&mut self, to: Id, from: Id, mut message: Message) {
+        if self.nodes.get(&to).is_some_and(|node| node.suspended) {
+            // It waits in the socket's buffer.
+            return self.deliver_at(self.now + MS(20), InFlight::Message { to, from, message });
+        }
+        if let (DisabledGuard::LeaseFromSending, Message::Renewed { renewal, .. }) =
+            (self.disabled, &mut message)
+        {
+            renewal.count = self.nodes[&to].renewals;
+        }
+        self.call(to, |node, now| node.message_received(now, from, message));
+    }
+
+    pub(super) fn is_up(&self, id: Id) -> bool {
+        self.nodes.get(&id).is_some_and(|node| node.consensus.is_some() && !node.suspended)
+    }
+
+    fn is_connected(&self, a: Id, b: Id) -> bool {
+        self.is_up(a) && self.is_up(b) && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
+    }
+
+    /// Whether a member reaches a quorum whose disks take writes.
+    pub(super) fn has_quorum(&self, id: Id) -> bool {
+        let writable = |other: &&Id| self.is_connected(id, **other) && !self.nodes[*other].disk_full;
+        self.nodes.keys().filter(writable).count() * 2 > self.nodes.len()
+    }
+
+    /// Cuts the links from a member to others (`outgoing`), and from others to it (`incoming`).
+    pub fn cut_off(&mut self, id: Id, outgoing: bool, incoming: bool) {
+        for other in self.nodes.keys().copied().filter(|other| *other != id) {
+            self.cut.extend(outgoing.then_some((id, other)));
+            self.cut.extend(incoming.then_some((other, id)));
+        }
+    }
+}
--- a/crates/config-distribution/src/chain.rs
+++ b/crates/config-distribution/src/chain.rs
@@ -5,7 +5,7 @@
 //! order or another history is detected and never applied.
 
 use crate::digest::Digest;
-use grebespool_config_consensus::{Change, Content, View};
+use grebespool_config_consensus::{Change, Configuration, EffectiveConfiguration};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use thiserror::Error;
@@ -35,7 +35,7 @@
     /// Of the most urgent of these changes.
     pub fn of(changes: &[Change]) -> Priority {
         let one = |change: &Change| match change {
-            change if change.closes().is_some() => Priority::Drain,
+            change if change.withdrawn_server().is_some() => Priority::Drain,
             Change::Limit(..) | Change::Route(..) => Priority::Limit,
             _ => Priority::Other,
         };
@@ -73,7 +73,7 @@
     /// How many versions were prepared before it.
     pub number: u64,
     /// The content.
-    pub content: Content,
+    pub content: Configuration,
 }
 
 /// What a chain comes to.
@@ -87,10 +87,10 @@
 
 impl ScopeState {
     /// What may be acted by: the active version, or what it and the pending one both allow.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> EffectiveConfiguration {
         match &self.pending {
-            None => View::of(&self.active.content),
-            Some(pending) => View::both(&self.active.content, &pending.content),
+            None => EffectiveConfiguration::single(&self.active.content),
+            Some(pending) => EffectiveConfiguration::intersect(&self.active.content, &pending.content),
         }
     }
 
--- a/crates/config-distribution/src/control.rs
+++ b/crates/config-distribution/src/control.rs
@@ -10,7 +10,7 @@
 use crate::replica::{Durable, Replica, Write};
 use crate::settings::Settings;
 use crate::store::Store;
-use grebespool_config_consensus::{Change, check};
+use grebespool_config_consensus::{Change, ValidationRules, validate};
 use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -402,9 +402,10 @@
     if let Some(idle) = proposal.changes.iter().find(|change| !change.apply(&mut next)) {
         return Err(format!("scope {}: nothing of that name to change: {idle:?}", proposal.scope.0));
     }
-    let limits: Vec<&str> = next.limits.keys().map(String::as_str).collect();
+    let known_limits = next.limits.keys().map(String::as_str).collect();
     // How much may be withdrawn at once is judged over all scopes, where proposals are made.
-    match check(active, &next, &limits, 1.0, true) {
+    let rules = ValidationRules { max_withdrawn_share: 1.0, known_limits };
+    match validate(active, &next, &rules, true) {
         Ok(()) => Ok([before, &proposal.changes].concat()),
         Err(faults) => {
             let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
--- a/crates/config-distribution/src/planner.rs
+++ b/crates/config-distribution/src/planner.rs
@@ -11,7 +11,7 @@
 use crate::settings::Settings;
 use crate::store::Store;
 use crate::subscriber::{Manner, Subscriber};
-use grebespool_config_consensus::View;
+use grebespool_config_consensus::EffectiveConfiguration;
 use grebespool_leader_election::Id;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -177,7 +177,7 @@
     }
 
     /// What a scope's configuration allows, as it is held.
-    pub fn view(&self, scope: ScopeId) -> Option<View> {
+    pub fn view(&self, scope: ScopeId) -> Option<EffectiveConfiguration> {
         self.store.chain(scope).map(|chain| chain.state().view())
     }
 
--- a/crates/config-distribution/tests/fixtures.rs
+++ b/crates/config-distribution/tests/fixtures.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_config_consensus::{Change, Limit, State};
+use grebespool_config_consensus::{Change, Limit, ServerState};
 use grebespool_config_distribution::*;
 use rstest::rstest;
 use serde::{Serialize, de::DeserializeOwned};
@@ -39,9 +39,9 @@
 
 fn changes() -> Vec<Change> {
     vec![
-        Change::Limit("draw".into(), Some(Limit::Most(12.5))),
+        Change::Limit("draw".into(), Some(Limit::AtMost(12.5))),
         Change::Route("search".into(), None),
-        Change::State("s1".into(), State::Draining),
+        Change::State("s1".into(), ServerState::Draining),
     ]
 }
 
--- a/crates/config-distribution/tests/parts.rs
+++ b/crates/config-distribution/tests/parts.rs
@@ -11,7 +11,7 @@
 const SCOPE: ScopeId = ScopeId(7);
 
 fn prepare(most: f64) -> Step {
-    Step::Prepare(vec![Change::Limit("draw".into(), Some(Limit::Most(most)))])
+    Step::Prepare(vec![Change::Limit("draw".into(), Some(Limit::AtMost(most)))])
 }
 
 /// A chain of so many links, and the links.
--- a/crates/config-distribution/tests/schedules/world.rs
+++ b/crates/config-distribution/tests/schedules/world.rs
@@ -1,7 +1,7 @@
 //! Control machines and planners under a simulated network, disks and clocks that fail. Who leads is the world's to say, as
 //! `grebespool-leader-election` would: one at a time, terms that rise.
 
-use grebespool_config_consensus::{Change, Content, Limit, Rack, Server, State};
+use grebespool_config_consensus::{Change, Configuration, Limit, Rack, Server, ServerState};
 use grebespool_config_distribution::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -109,19 +109,19 @@
 }
 
 pub fn draw(most: f64) -> Vec<Change> {
-    vec![Change::Limit("draw".into(), Some(Limit::Most(most)))]
+    vec![Change::Limit("draw".into(), Some(Limit::AtMost(most)))]
 }
 
 pub fn content() -> Vec<Change> {
-    let rack = Rack { site: "site".into(), feed: "feed".into(), cap: 900.0 };
-    let mut content = Content::default();
+    let rack = Rack { site: "site".into(), feed: "feed".into(), power_cap: 900.0 };
+    let mut content = Configuration::default();
     content.racks.insert("rack".into(), rack);
     for k in 0..4 {
-        let server = Server { rack: "rack".into(), capacity: 10.0, state: State::Ready };
+        let server = Server { rack: "rack".into(), capacity: 10.0, state: ServerState::Ready };
         content.servers.insert(format!("s{k}"), server);
     }
-    content.limits.insert("draw".into(), Limit::Most(100.0));
-    vec![Change::Whole(Box::new(content))]
+    content.limits.insert("draw".into(), Limit::AtMost(100.0));
+    vec![Change::Replace(Box::new(content))]
 }
 
 impl World {
@@ -738,9 +738,9 @@
     pub fn some_change(&mut self) -> Vec<Change> {
         let server = format!("s{}", self.rng.random_range(0..4));
         vec![match self.rng.random_range(0..3) {
-            0 => Change::State(server, State::Draining),
-            1 => Change::State(server, State::Ready),
-            _ => Change::Limit("draw".into(), Some(Limit::Most(self.rng.random_range(50.0..150.0)))),
+            0 => Change::State(server, ServerState::Draining),
+            1 => Change::State(server, ServerState::Ready),
+            _ => Change::Limit("draw".into(), Some(Limit::AtMost(self.rng.random_range(50.0..150.0)))),
         }]
     }
 
--- a/crates/scale-bench/benches/scale/series.rs
+++ b/crates/scale-bench/benches/scale/series.rs
@@ -1,7 +1,9 @@
 //! The curves that are measured.
 
 use crate::args::{Arguments, Group};
-use grebespool_config_consensus::{Blob, Change, Content, Edition, Rack, Route, Server, State};
+use grebespool_config_consensus::{
+    Change, ConfigVersion, Configuration, Rack, Route, Server, ServerState, VersionBody,
+};
 use grebespool_scale_bench::hollow::{Faults, Fleet, FleetCosts, FleetSettings, Links, Timing, Topology};
 use grebespool_scale_bench::process::{MemberFleet, ProcessCosts, measure_platform};
 use grebespool_scale_bench::resources::thread_time;
@@ -62,15 +64,15 @@
     Ok(samples)
 }
 
-fn content(servers: usize, routes: usize) -> Content {
-    let mut content = Content::default();
-    content.racks.insert("rack".into(), Rack { site: "site".into(), feed: "feed".into(), cap: 1000.0 });
+fn content(servers: usize, routes: usize) -> Configuration {
+    let mut content = Configuration::default();
+    content.racks.insert("rack".into(), Rack { site: "site".into(), feed: "feed".into(), power_cap: 1000.0 });
     for k in 0..servers {
-        let server = Server { rack: "rack".into(), capacity: 10.0, state: State::Ready };
+        let server = Server { rack: "rack".into(), capacity: 10.0, state: ServerState::Ready };
         content.servers.insert(format!("server-{k}"), server);
     }
     for k in 0..routes {
-        content.routes.insert(format!("route-{k}"), Route { importance: 1.0, most: 1.0 });
+        content.routes.insert(format!("route-{k}"), Route { importance: 1.0, max_share: 1.0 });
     }
     content
 }
@@ -81,7 +83,7 @@
     let settings = FleetSettings { planners, topology, links, timing: Timing::default(), seed: 11 };
     let mut fleet = Fleet::start(settings);
     fleet.run(Duration::from_secs(30));
-    fleet.propose(1, vec![Change::Whole(Box::new(content(8, 0)))]);
+    fleet.propose(1, vec![Change::Replace(Box::new(content(8, 0)))]);
     fleet.run(Duration::from_secs(10));
     Ok(fleet)
 }
@@ -203,14 +205,15 @@
         for entries in arguments.entries.iter().copied() {
             let before = allocated();
             let made = if servers { content(entries, 0) } else { content(1, entries) };
-            let mut edition = Edition::new(Blob { number: 1, content: made, ..Blob::default() });
+            let mut version =
+                ConfigVersion::new(VersionBody { number: 1, configuration: made, ..VersionBody::default() });
             let held = allocated().saturating_sub(before);
             let began = thread_time();
             let mut bytes = 0;
             for _ in 0..CHANGES {
-                edition = edition.next(&[], &Default::default());
+                version = version.successor(&[], &Default::default());
                 // What a disk is given, and what a member that fell behind is sent.
-                bytes = edition.blob.bytes().len();
+                bytes = version.body.encode().len();
             }
             let took = (thread_time() - began) / CHANGES;
             let name = "configuration";
--- a/crates/scale-bench/src/capacity/rows/mod.rs
+++ b/crates/scale-bench/src/capacity/rows/mod.rs
@@ -15,7 +15,7 @@
 /// Proxies that one planner can tell apart today (`Proxy` has 16 bits).
 const MOST_PROXIES: f64 = 65_536.0;
 /// The most bytes of a whole configuration today.
-const MOST_CONFIGURATION: f64 = grebespool_config_consensus::MOST_BYTES as f64;
+const MOST_CONFIGURATION: f64 = grebespool_config_consensus::MAX_VERSION_BYTES as f64;
 /// Changes that come at once in the worst minute.
 const CHANGES_AT_ONCE: f64 = 100.0;
 /// How long a region is cut off before it comes back.
--- a/crates/scale-bench/src/hollow/fleet.rs
+++ b/crates/scale-bench/src/hollow/fleet.rs
@@ -5,7 +5,7 @@
 use super::traffic::{Packets, Traffic, TrafficClass};
 use crate::resources::timed;
 use grebespool_cluster::seal::Packet;
-use grebespool_config_consensus::{Acts, Change, Limit, State, Ticket};
+use grebespool_config_consensus::{ActiveVersions, Change, Limit, ProposalId, ProposalOutcome, ServerState};
 use grebespool_leader_election::{Id, Seat};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -121,7 +121,7 @@
     order: u64,
     rng: Pcg64Mcg,
     cut: bool,
-    proposed: BTreeMap<(Id, Ticket), Duration>,
+    proposed: BTreeMap<(Id, ProposalId), Duration>,
     costs: FleetCosts,
 }
 
@@ -169,14 +169,15 @@
     /// How many planners act by a configuration, alone, of this number or a later one.
     pub fn acting_by(&self, number: u64) -> usize {
         let acts = |n: &Node| n.planner.as_ref().map(|p| p.acts(self.now));
-        let new = |acts: Option<Acts>| matches!(acts, Some(Acts::Alone(n)) if n >= number);
+        let new =
+            |acts: Option<ActiveVersions>| matches!(acts, Some(ActiveVersions::Single(n)) if n >= number);
         self.nodes.values().filter(|n| new(acts(n))).count()
     }
 
     /// How many planners act by some configuration.
     pub fn leased(&self) -> usize {
         let acts = |n: &Node| n.planner.as_ref().map(|p| p.acts(self.now));
-        self.nodes.values().filter(|n| acts(n).is_some_and(|a| a != Acts::Unleased)).count()
+        self.nodes.values().filter(|n| acts(n).is_some_and(|a| a != ActiveVersions::Unleased)).count()
     }
 
     /// Proposes changes by a planner that runs.
@@ -268,9 +269,9 @@
     fn propose_some(&mut self) {
         let id = self.some_planner();
         let change = if self.rng.random_bool(0.5) {
-            Change::Limit("power.reserve".into(), Some(Limit::Least(self.rng.random_range(0.0..0.5))))
+            Change::Limit("power.reserve".into(), Some(Limit::AtLeast(self.rng.random_range(0.0..0.5))))
         } else {
-            let states = [State::Ready, State::Draining];
+            let states = [ServerState::Ready, ServerState::Draining];
             Change::State(
                 format!("server-{}", self.rng.random_range(0..8)),
                 states[self.rng.random_range(0..2)],
@@ -387,11 +388,11 @@
         for written in outbox.writes {
             self.write(id, written);
         }
-        for (ticket, done) in outbox.answered {
-            if let Some(at) = self.proposed.remove(&(id, ticket)) {
-                match done {
-                    Ok(_) => self.costs.in_force.push(self.now - at),
-                    Err(_) => self.costs.refused += 1,
+        for (proposal, outcome) in outbox.answered {
+            if let Some(at) = self.proposed.remove(&(id, proposal)) {
+                match outcome {
+                    ProposalOutcome::Activated(_) => self.costs.in_force.push(self.now - at),
+                    ProposalOutcome::Rejected(_) => self.costs.refused += 1,
                 }
             }
         }
@@ -435,8 +436,8 @@
     pub fn contradictions(&self) -> usize {
         let mut contents: BTreeMap<u64, BTreeSet<[u8; 32]>> = BTreeMap::new();
         for planner in self.nodes.values().filter_map(|n| n.planner.as_ref()) {
-            let (number, hash) = planner.configuration().standing.name();
-            contents.entry(number).or_default().insert(hash.0);
+            let version = planner.configuration().committed.id();
+            contents.entry(version.number).or_default().insert(version.hash.0);
         }
         contents.values().filter(|hashes| hashes.len() > 1).count()
     }
--- a/crates/scale-bench/src/hollow/planner.rs
+++ b/crates/scale-bench/src/hollow/planner.rs
@@ -42,7 +42,7 @@
     /// Cells of the journal, and the stamp of the last.
     Cells(BTreeMap<Duty, Cell>, u64),
     /// The configuration that is held, and its stamp.
-    Configuration(Box<consensus::Kept>, u64),
+    Configuration(Box<consensus::StoredState>, u64),
 }
 
 impl Written {
@@ -64,7 +64,7 @@
     /// What is to be written; the newest of a file replaces one that has not begun.
     pub writes: Vec<Written>,
     /// Proposals that were answered.
-    pub answered: Vec<(consensus::Ticket, Result<u64, Vec<String>>)>,
+    pub answered: Vec<(consensus::ProposalId, consensus::ProposalOutcome)>,
 }
 
 #[derive(Debug, Default)]
@@ -126,23 +126,23 @@
 }
 
 impl consensus::Host for Host {
-    fn say(&mut self, to: Id, word: consensus::Word) {
-        self.0.outbox.packets.push((to, Packet::Accord(word)));
+    fn send(&mut self, to: Id, message: consensus::Message) {
+        self.0.outbox.packets.push((to, Packet::Accord(message)));
     }
-    fn keep(&mut self, kept: &consensus::Kept, stamp: u64) {
-        self.0.outbox.writes.push(Written::Configuration(Box::new(kept.clone()), stamp));
+    fn persist(&mut self, state: &consensus::StoredState, stamp: u64) {
+        self.0.outbox.writes.push(Written::Configuration(Box::new(state.clone()), stamp));
     }
-    fn fix(&mut self, token: Token, content: Vec<u8>) {
+    fn write_journal(&mut self, token: Token, content: Vec<u8>) {
         self.0.fix = Some((token, content));
     }
-    fn end(&mut self, _: Token) {
+    fn finish_journal_step(&mut self, _: Token) {
         self.0.end = true;
     }
-    fn acts(&mut self, _: consensus::Acts) {}
-    fn proposed(&mut self, ticket: consensus::Ticket, done: Result<u64, Vec<String>>) {
-        self.0.outbox.answered.push((ticket, done));
+    fn active_versions_changed(&mut self, _: consensus::ActiveVersions) {}
+    fn proposal_decided(&mut self, id: consensus::ProposalId, outcome: consensus::ProposalOutcome) {
+        self.0.outbox.answered.push((id, outcome));
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &consensus::Event) {}
 }
 
 /// The lease and heartbeat settings of all members, by default those that the program states as defaults.
@@ -153,7 +153,7 @@
     /// Of singleton tasks.
     pub tasks: tasks::Terms,
     /// Of configuration versions.
-    pub consensus: consensus::Terms,
+    pub consensus: consensus::ConsensusSettings,
 }
 
 impl Default for Timing {
@@ -162,12 +162,16 @@
         Timing {
             election: election::Terms { beat: ms(250), lease: ms(1500), drift },
             tasks: tasks::Terms { lease: ms(5000), renew: ms(1000), drift },
-            consensus: consensus::Terms {
-                lease: ms(3000),
-                renew: ms(500),
-                drift,
-                most_withdrawn: 0.5,
-                limits: grebespool_cluster::LIMITS.to_vec(),
+            consensus: consensus::ConsensusSettings {
+                lease: consensus::LeaseParameters {
+                    duration: ms(3000),
+                    renew_interval: ms(500),
+                    clock_drift: drift,
+                },
+                validation: consensus::ValidationRules {
+                    max_withdrawn_share: 0.5,
+                    known_limits: grebespool_cluster::LIMITS.to_vec(),
+                },
             },
         }
     }
@@ -178,7 +182,7 @@
 pub struct Disk {
     pub(crate) election: election::Kept,
     pub(crate) cells: BTreeMap<Duty, Cell>,
-    pub(crate) configuration: consensus::Kept,
+    pub(crate) configuration: consensus::StoredState,
     pub(crate) starts: u32,
 }
 
@@ -187,7 +191,7 @@
     pub fn new(id: Id, seats: &BTreeMap<Id, Seat>) -> Disk {
         let roster = election::Roster { epoch: 0, number: 0, seats: seats.clone() };
         let election = election::Kept { id, fleet: 1, epoch: 0, vote: None, roster, stamp: 0 };
-        Disk { election, cells: BTreeMap::new(), configuration: consensus::Kept::default(), starts: 0 }
+        Disk { election, cells: BTreeMap::new(), configuration: consensus::StoredState::default(), starts: 0 }
     }
 
     pub(crate) fn take(&mut self, written: Written) {
@@ -206,7 +210,7 @@
 pub struct Planner {
     election: election::Member<Host>,
     tasks: Duties<Host>,
-    consensus: consensus::Member<Host>,
+    consensus: consensus::ConsensusNode<Host>,
     may_write: bool,
     outbox: Outbox,
     /// Processor time of each state machine since the start.
@@ -231,7 +235,7 @@
             Tally::default(),
         );
         let configuration = disk.configuration.clone();
-        let consensus = consensus::Member::start(
+        let consensus = consensus::ConsensusNode::new(
             Host::default(),
             id,
             timing.consensus.clone(),
@@ -257,7 +261,7 @@
 
     /// When [`Planner::woken`] is to be called next.
     pub fn due(&self) -> Duration {
-        self.election.due().min(self.tasks.due()).min(self.consensus.due())
+        self.election.due().min(self.tasks.due()).min(self.consensus.next_timer())
     }
 
     /// Time has passed.
@@ -268,8 +272,8 @@
         if now >= self.tasks.due() {
             self.call_tasks(now, Box::new(|tasks| tasks.woken(now)));
         }
-        if now >= self.consensus.due() {
-            self.call_consensus(now, Box::new(|member| member.woken(now)));
+        if now >= self.consensus.next_timer() {
+            self.call_consensus(now, Box::new(|node| node.timer_fired(now)));
         }
     }
 
@@ -278,8 +282,8 @@
         match packet {
             Packet::Word(word) => self.call_election(now, |member| member.heard(now, from, word)),
             Packet::Duty(word) => self.call_tasks(now, Box::new(|tasks| tasks.heard(now, from, word))),
-            Packet::Accord(word) => {
-                self.call_consensus(now, Box::new(|member| member.heard(now, from, word)))
+            Packet::Accord(message) => {
+                self.call_consensus(now, Box::new(|node| node.message_received(now, from, message)))
             }
             _ => {}
         }
@@ -291,16 +295,20 @@
             Written::Election(kept) => self.call_election(now, |member| member.kept(now, kept.stamp)),
             Written::Cells(_, stamp) => self.call_tasks(now, Box::new(|tasks| tasks.kept(now, *stamp))),
             Written::Configuration(_, stamp) => {
-                self.call_consensus(now, Box::new(|member| member.kept(now, *stamp)))
+                self.call_consensus(now, Box::new(|node| node.persisted(now, *stamp)))
             }
         }
     }
 
     /// Proposes a change of the configuration. Refused where too many wait.
-    pub fn propose(&mut self, now: Duration, changes: Vec<consensus::Change>) -> Option<consensus::Ticket> {
-        let mut ticket = None;
-        self.call_consensus(now, Box::new(|member| ticket = member.propose(now, changes, false).ok()));
-        ticket
+    pub fn propose(
+        &mut self,
+        now: Duration,
+        changes: Vec<consensus::Change>,
+    ) -> Option<consensus::ProposalId> {
+        let mut id = None;
+        self.call_consensus(now, Box::new(|node| id = node.propose(now, changes, false).ok()));
+        id
     }
 
     /// Whether this planner leads.
@@ -309,13 +317,13 @@
     }
 
     /// By which configuration it may act.
-    pub fn acts(&self, now: Duration) -> consensus::Acts {
-        self.consensus.acts(now)
+    pub fn acts(&self, now: Duration) -> consensus::ActiveVersions {
+        self.consensus.active_versions(now)
     }
 
     /// The configuration that it holds.
-    pub fn configuration(&self) -> &consensus::Kept {
-        self.consensus.held()
+    pub fn configuration(&self) -> &consensus::StoredState {
+        self.consensus.state()
     }
 
     fn charge(&mut self, component: Component, took: Duration) {
@@ -341,7 +349,7 @@
         let until = self.election.leads_until();
         let taking_part = seats.clone();
         self.call_tasks(now, Box::new(|tasks| tasks.roster(now, seats, leader, until)));
-        self.call_consensus(now, Box::new(|member| member.seats(now, taking_part)));
+        self.call_consensus(now, Box::new(|node| node.set_voters(now, taking_part)));
     }
 
     fn call_tasks(&mut self, now: Duration, what: Call<'_, Duties<Host>>) {
@@ -356,22 +364,22 @@
         }
         self.take_asked(asked.outbox);
         if asked.lost {
-            self.call_consensus(now, Box::new(|member| member.cease(now)));
+            self.call_consensus(now, Box::new(|node| node.stop_coordinating(now)));
         }
         for (token, record, first) in asked.durable {
-            let tell = |member: &mut consensus::Member<Host>| match &record {
-                last if first => member.convene(now, token, last.as_ref()),
-                Some(record) if record.ended => member.ended(now, token),
-                _ => member.fixed(now, token),
+            let tell = |member: &mut consensus::ConsensusNode<Host>| match &record {
+                last if first => member.start_coordinating(now, token, last.as_ref()),
+                Some(record) if record.ended => member.journal_step_finished(now, token),
+                _ => member.journal_durable(now, token),
             };
             self.call_consensus(now, Box::new(tell));
         }
     }
 
-    fn call_consensus(&mut self, now: Duration, what: Call<'_, consensus::Member<Host>>) {
+    fn call_consensus(&mut self, now: Duration, what: Call<'_, consensus::ConsensusNode<Host>>) {
         let owned = self.tasks.may(now, CONFIGURATION);
         let ((), took) = timed(|| {
-            self.consensus.owns(owned);
+            self.consensus.set_journal_token(owned);
             what(&mut self.consensus);
         });
         self.charge(Component::Consensus, took);
@@ -380,7 +388,7 @@
         if let Some((token, content)) = asked.fix {
             let begun = self.journal(now, |tasks| tasks.begin(now, CONFIGURATION, content));
             if !begun {
-                self.call_consensus(now, Box::new(|member| member.unfixed(now, token)));
+                self.call_consensus(now, Box::new(|member| member.journal_write_rejected(now, token)));
             }
         }
         if asked.end {
--- a/crates/scale-bench/src/hollow/traffic.rs
+++ b/crates/scale-bench/src/hollow/traffic.rs
@@ -38,17 +38,17 @@
 
     /// The type of a packet.
     pub fn of(packet: &Packet) -> TrafficClass {
-        use grebespool_config_consensus::Word as Consensus;
+        use grebespool_config_consensus::Message as Consensus;
         use grebespool_singleton_tasks::Word as Tasks;
         match packet {
             Packet::Duty(
                 Tasks::Open { .. } | Tasks::Opened { .. } | Tasks::Write { .. } | Tasks::Written { .. },
             ) => TrafficClass::Journal,
             Packet::Duty(_) => TrafficClass::TaskLeases,
-            Packet::Accord(Consensus::Renew { .. } | Consensus::Renewed { .. } | Consensus::Call { .. }) => {
-                TrafficClass::ConfigurationLeases
-            }
-            Packet::Accord(Consensus::Want { .. } | Consensus::Part { .. }) => {
+            Packet::Accord(
+                Consensus::Renew { .. } | Consensus::Renewed { .. } | Consensus::Announce { .. },
+            ) => TrafficClass::ConfigurationLeases,
+            Packet::Accord(Consensus::FetchChunk { .. } | Consensus::Chunk(_)) => {
                 TrafficClass::ConfigurationContent
             }
             Packet::Accord(_) => TrafficClass::ConfigurationChanges,
--- a/crates/scale-bench/src/process.rs
+++ b/crates/scale-bench/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::resources::{ProcessUse, process_use};
 use grebespool_cluster::{Answer, Keys, LIMITS, Question, fleet_id};
-use grebespool_config_consensus::{Acts, Change, Limit};
+use grebespool_config_consensus::{ActiveVersions, Change, Limit};
 use grebespool_test_cluster::{Discovery, Program, frame, server, settings};
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -322,7 +322,7 @@
     /// Proposes a change at the first member; gives how long it took until the last member acted by it alone.
     async fn change(&self, keys: &Keys, number: u32) -> Result<Duration, Unmeasured> {
         let fleet = fleet_id(FLEET);
-        let reserve = Limit::Least(f64::from(number) / 100.0);
+        let reserve = Limit::AtLeast(f64::from(number) / 100.0);
         let changes = vec![Change::Limit(LIMITS[1].into(), Some(reserve))];
         let before = self.acted_by(keys, 0).await?;
         let began = Instant::now();
@@ -347,7 +347,9 @@
     async fn acted_by(&self, keys: &Keys, member: usize) -> io::Result<u64> {
         let fleet = fleet_id(FLEET);
         match grebespool_cluster::ask(&self.addresses[member], fleet, keys, Question::Editions).await? {
-            Answer::Editions(shown) => Ok(if let Acts::Alone(number) = shown.acts { number } else { 0 }),
+            Answer::Editions(shown) => {
+                Ok(if let ActiveVersions::Single(number) = shown.acts { number } else { 0 })
+            }
             _ => Ok(0),
         }
     }
--- a/crates/scale-bench/tests/hollow.rs
+++ b/crates/scale-bench/tests/hollow.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_config_consensus::{Change, Content, Rack, Server, State};
+use grebespool_config_consensus::{Change, Configuration, Rack, Server, ServerState};
 use grebespool_scale_bench::hollow::*;
 use rstest::rstest;
 use std::time::Duration;
@@ -13,11 +13,11 @@
     Fleet::start(FleetSettings { planners, topology, links, timing: Timing::default(), seed: 5 })
 }
 
-pub fn content(servers: usize) -> Content {
-    let mut content = Content::default();
-    content.racks.insert("rack".into(), Rack { site: "site".into(), feed: "feed".into(), cap: 1000.0 });
+pub fn content(servers: usize) -> Configuration {
+    let mut content = Configuration::default();
+    content.racks.insert("rack".into(), Rack { site: "site".into(), feed: "feed".into(), power_cap: 1000.0 });
     for k in 0..servers {
-        let server = Server { rack: "rack".into(), capacity: 10.0, state: State::Ready };
+        let server = Server { rack: "rack".into(), capacity: 10.0, state: ServerState::Ready };
         content.servers.insert(format!("server-{k}"), server);
     }
     content
@@ -31,7 +31,7 @@
     let mut fleet = fleet(planners, links);
     fleet.run(Duration::from_secs(20));
     assert_eq!(fleet.leaders(), 1);
-    fleet.propose(1, vec![Change::Whole(Box::new(content(8)))]);
+    fleet.propose(1, vec![Change::Replace(Box::new(content(8)))]);
     fleet.run(Duration::from_secs(5));
     assert_eq!(fleet.acting_by(1), planners);
     let faults = Faults { change_every: Some(Duration::from_secs(2)), ..Faults::default() };
@@ -45,7 +45,7 @@
 fn a_killed_leader_is_replaced_and_restarts_are_survived() {
     let mut fleet = fleet(5, Links::local());
     fleet.run(Duration::from_secs(20));
-    fleet.propose(1, vec![Change::Whole(Box::new(content(8)))]);
+    fleet.propose(1, vec![Change::Replace(Box::new(content(8)))]);
     fleet.run(Duration::from_secs(5));
     let faults = Faults {
         change_every: Some(Duration::from_secs(3)),
