--- /dev/null
+++ b/crates/platform-protocol/src/event_log.rs
@@ -0,0 +1,102 @@
+//! What happened to which proxies and servers, gathered into a few events for the log.
+
+use crate::event::{EndpointGroup, Event, NameList, StreamChange, TableChange};
+use crate::server_registry::EndpointChange;
+use grebespool::host::{EndpointState, ProxyId, ServerIndex};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// States of changed endpoints, in the order in which they are reported.
+const REPORTED_STATES: [EndpointState; 3] =
+    [EndpointState::Draining, EndpointState::Removed, EndpointState::Ready];
+
+/// Gathers what happened since it was last drained. The number of events does not grow with what happens.
+#[derive(Default)]
+pub(crate) struct EventLog {
+    joined: Vec<ProxyId>,
+    bound: Vec<ProxyId>,
+    left: Vec<ProxyId>,
+    closed: Vec<ProxyId>,
+    replaced: Vec<ProxyId>,
+    /// The least weight that was written of each server in any table: a drain or a fault shows in it.
+    least_weights: BTreeMap<ServerIndex, f32>,
+    /// Servers that were reported as removed and not as restored.
+    removed: BTreeSet<ServerIndex>,
+}
+
+impl EventLog {
+    /// The stream of a proxy changed.
+    pub(crate) fn stream_changed(&mut self, proxy: ProxyId, change: StreamChange) {
+        let proxies = match change {
+            StreamChange::Joined => &mut self.joined,
+            StreamChange::Bound => &mut self.bound,
+            StreamChange::Left => &mut self.left,
+            StreamChange::Closed => &mut self.closed,
+            StreamChange::Replaced => &mut self.replaced,
+        };
+        proxies.push(proxy);
+    }
+
+    /// Weights of one table were written.
+    pub(crate) fn weights_written(&mut self, weights: &[(ServerIndex, f32)]) {
+        for (server, weight) in weights {
+            let least = self.least_weights.entry(*server).or_insert(f32::MAX);
+            *least = least.min(*weight);
+        }
+    }
+
+    /// One event for each kind of change that there was.
+    pub(crate) fn drain<'a>(&mut self, id: impl Fn(ServerIndex) -> &'a str) -> Vec<Event> {
+        let mut events = self.drain_streams();
+        let (removed, restored) = self.drain_servers();
+        for (change, servers) in [(TableChange::Removed, removed), (TableChange::Restored, restored)] {
+            if !servers.is_empty() {
+                let servers = NameList::of(servers.into_iter().map(&id));
+                events.push(Event::Servers { change, servers });
+            }
+        }
+        events
+    }
+
+    fn drain_streams(&mut self) -> Vec<Event> {
+        let changes = [
+            (StreamChange::Joined, &mut self.joined),
+            (StreamChange::Bound, &mut self.bound),
+            (StreamChange::Left, &mut self.left),
+            (StreamChange::Closed, &mut self.closed),
+            (StreamChange::Replaced, &mut self.replaced),
+        ];
+        let mut events = vec![];
+        for (change, proxies) in changes {
+            let proxies = std::mem::take(proxies);
+            if !proxies.is_empty() {
+                events.push(Event::Streams { change, proxies: NameList::of(proxies.iter()) });
+            }
+        }
+        events
+    }
+
+    /// Servers that were removed from some table, and servers that are back.
+    fn drain_servers(&mut self) -> (Vec<ServerIndex>, Vec<ServerIndex>) {
+        let (mut removed, mut restored) = (vec![], vec![]);
+        for (server, weight) in std::mem::take(&mut self.least_weights) {
+            if weight <= 0.0 {
+                if self.removed.insert(server) {
+                    removed.push(server);
+                }
+            } else if self.removed.remove(&server) {
+                restored.push(server);
+            }
+        }
+        (removed, restored)
+    }
+}
+
+/// The changed endpoints by state.
+pub(crate) fn group_by_state(changes: &[EndpointChange]) -> Vec<EndpointGroup> {
+    let group = |state: EndpointState| {
+        let ids: Vec<&String> =
+            changes.iter().filter(|change| change.state == state).map(|change| &change.id).collect();
+        (!ids.is_empty()).then(|| EndpointGroup { state, servers: NameList::of(ids.into_iter()) })
+    };
+    REPORTED_STATES.into_iter().filter_map(group).collect()
+}
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,26 +1,31 @@
-//! The platform's protocol between its bytes and the decisions ([`grebespool::policy`]). Free of I/O and clocks: time
-//! comes in as spans since the planner's start, and the list's also with the machines' own time.
+//! The platform's protocol between its bytes and the policy ([`grebespool::policy`]). Free of I/O and clocks: time comes
+//! in as spans since the planner's start, and that of endpoint lists also by the machines' clock.
 //!
-//! Call one method of [`Station`] for each thing that happens; it acts by calling the [`Outlet`] that it was started
-//! with. Call [`Station::woken`] at [`Station::due`]; later is no harm beyond the delay. [`Terms`] reads the file that
-//! a planner is started with.
+//! [`SessionManager`] is called for each thing that happens and acts through the [`Effects`] of its host.
+//! [`PlannerConfig`] parses the file that a planner is started with, and [`EndpointWatch`] says what to request of
+//! discovery. The platform's own names of messages and fields end in one private module, `wire`.
 
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-
-mod frames;
-mod lives;
-mod log;
-mod message;
-mod orders;
-mod roster;
-mod station;
-mod terms;
-mod watch;
+mod config;
+mod connections;
+mod endpoint_watch;
+mod event;
+mod event_log;
+mod log_aggregator;
+mod server_registry;
+mod session_manager;
 mod weight_log;
+mod wire;
 
-pub use frames::{Frames, NotFrames};
-pub use lives::Conn;
-pub use message::{Came, Message, Met, Spoilt, Unread, read};
-pub use station::{Outlet, Station};
-pub use terms::{BadTerms, Limits, Terms};
-pub use watch::{Call, Watch};
+pub use config::{ConfigError, PlannerConfig};
+pub use connections::ConnectionId;
+pub use endpoint_watch::{EndpointWatch, ListRequest};
+pub use event::{
+    EndpointGroup, Event, NameList, ServerWeight, StreamChange, TableChange, TableWeights, Warning,
+    WarningKind,
+};
+pub use server_registry::ReceivedAt;
+pub use session_manager::{Effects, SessionManager, Status};
+pub use wire::{
+    EndpointListError, FieldError, FieldFault, FrameDecoder, FrameError, JoinRequest, Message, MessageError,
+    ServerReport, UsageReport, parse_message,
+};
--- /dev/null
+++ b/crates/platform-protocol/src/session_manager/endpoints.rs
@@ -0,0 +1,92 @@
+//! Endpoint lists from discovery, and health checks of the servers that they name.
+
+use super::{Effects, SessionManager};
+use crate::event::{Event, WarningKind};
+use crate::event_log::group_by_state;
+use crate::server_registry::{EndpointChange, ListUpdate, ReceivedAt};
+use crate::wire::{EndpointList, EndpointListError};
+use grebespool::host::{Endpoint, EndpointState, HealthCheckResult};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl<E: Effects> SessionManager<E> {
+    /// Discovery answered a request for the list: for the changes since a version, or for the full list.
+    ///
+    /// # Errors
+    ///
+    /// The answer is not a list; the request has failed.
+    pub fn endpoint_list_received(
+        &mut self,
+        received: ReceivedAt,
+        since: Option<u64>,
+        body: &[u8],
+    ) -> Result<(), EndpointListError> {
+        let list = EndpointList::parse(body)?;
+        self.apply_endpoint_list(received, since, &list);
+        Ok(())
+    }
+
+    pub(super) fn apply_endpoint_list(
+        &mut self,
+        received: ReceivedAt,
+        since: Option<u64>,
+        list: &EndpointList,
+    ) {
+        let update = self.registry.apply(received, since, list);
+        self.log_list_update(received.now, since, &update);
+        let endpoints: Vec<Endpoint> =
+            update.changes.iter().map(|change| self.endpoint(received.now, change)).collect();
+        // An answer without changes is passed on once after the policy asked, so that it knows of the answer.
+        let was_requested = std::mem::take(&mut self.list_requested);
+        if was_requested || !endpoints.is_empty() {
+            // Servers that a full list leaves out are among the changes, as removed.
+            let is_full = false;
+            self.policy.endpoints_updated(received.now, is_full, &endpoints);
+            self.flush();
+        }
+        // A full list that is wrong in part would be wrong again.
+        if update.needs_full_list && since.is_some() {
+            self.effects.request_full_list();
+        }
+    }
+
+    fn log_list_update(&mut self, now: Duration, since: Option<u64>, update: &ListUpdate) {
+        for fault in &update.faults {
+            self.warn(now, WarningKind::ListPartlyRejected, fault);
+        }
+        if !update.changes.is_empty() {
+            let (version, groups) = (self.registry.version(), group_by_state(&update.changes));
+            self.effects.log(&Event::EndpointListChanged { version, since, groups });
+        }
+    }
+
+    /// The changed server under its index.
+    fn endpoint(&mut self, now: Duration, change: &EndpointChange) -> Endpoint {
+        let desk = &self.desk;
+        let server = self.servers.enter(now, &change.id, |server| desk.holds(server));
+        if change.state == EndpointState::Removed {
+            self.servers.gone(now, server);
+        }
+        let EndpointChange { zone, kind, state, age, .. } = *change;
+        Endpoint { server, zone, kind, state, age }
+    }
+
+    /// A request for the endpoint list failed, or its watch ended.
+    pub fn endpoint_list_failed(&mut self, now: Duration, cause: &str) {
+        self.warn(now, WarningKind::ListRequestFailed, &cause);
+        self.list_requested = false;
+        self.policy.endpoint_poll_failed(now);
+        self.flush();
+    }
+
+    /// A health check finished. The answer of an address that the server no longer has says nothing about it.
+    pub fn health_check_finished(&mut self, server: &str, address: SocketAddr, result: HealthCheckResult) {
+        if self.registry.address(server) != Some(address) {
+            return;
+        }
+        if let Some(server) = self.servers.find(&server.to_string()) {
+            self.policy.health_check_finished(server, result);
+            self.flush();
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform-protocol/src/session_manager/publishing.rs
@@ -0,0 +1,94 @@
+//! The end of each turn: what the policy ordered goes out, one message for each proxy concerned.
+
+use super::{Effects, SessionManager};
+use crate::connections::{ConnectionId, Connections};
+use crate::event::StreamChange;
+use crate::event_log::EventLog;
+use crate::weight_log::WeightLog;
+use crate::wire::UpdateEncoder;
+use grebespool::host::{HealthCheckResult, ProxyId, ServerIndex, TableId};
+use grebespool_assignments::Told;
+use std::collections::BTreeMap;
+
+impl<E: Effects> SessionManager<E> {
+    /// Carries out what the policy ordered since the last flush.
+    pub(super) fn flush(&mut self) {
+        self.write_updates();
+        self.start_health_checks();
+        if self.desk.asks() {
+            self.list_requested = true;
+            self.effects.watch_endpoints();
+        }
+    }
+
+    fn write_updates(&mut self) {
+        let SessionManager { effects, desk, servers, connections, streams, .. } = self;
+        let server_id = |server: ServerIndex| servers.id(server).as_str();
+        let mut writer = UpdateWriter {
+            effects,
+            connections,
+            streams,
+            event_log: &mut self.event_log,
+            weight_log: self.weight_log.as_mut(),
+            encoder: UpdateEncoder::new(&self.route_names, server_id),
+            encoded: BTreeMap::new(),
+        };
+        desk.settle(|proxy, update| writer.write(proxy, update));
+    }
+
+    fn start_health_checks(&mut self) {
+        for server in self.desk.probes() {
+            let id = self.servers.id(server);
+            match self.registry.address(id) {
+                Some(address) => self.effects.start_health_check(id, address),
+                None => self.policy.health_check_finished(server, HealthCheckResult::Failed),
+            }
+        }
+    }
+}
+
+/// Writes the updates of one turn. Many proxies share a table, so each update of a table is encoded once.
+struct UpdateWriter<'a, E, F> {
+    effects: &'a mut E,
+    connections: &'a mut Connections,
+    streams: &'a BTreeMap<ProxyId, ConnectionId>,
+    event_log: &'a mut EventLog,
+    weight_log: Option<&'a mut WeightLog>,
+    encoder: UpdateEncoder<'a, F>,
+    /// By table, and whether it is written in full.
+    encoded: BTreeMap<(TableId, bool), Vec<u8>>,
+}
+
+impl<'a, E: Effects, F: Fn(ServerIndex) -> &'a str> UpdateWriter<'a, E, F> {
+    fn write(&mut self, proxy: ProxyId, update: &Told) {
+        let Some(&id) = self.streams.get(&proxy) else { return };
+        let is_full = update.bound.is_some();
+        if is_full {
+            self.log_bound(proxy, update.table);
+        }
+        if !self.encoded.contains_key(&(update.table, is_full)) {
+            self.log_weights(update, is_full);
+            self.encoded.insert((update.table, is_full), self.encoder.encode(update));
+        }
+        self.effects.write(id, &self.encoded[&(update.table, is_full)]);
+        if let (Some(mark), Some(connection)) = (update.mark, self.connections.get_mut(id)) {
+            connection.mark_sent(mark);
+        }
+    }
+
+    fn log_bound(&mut self, proxy: ProxyId, table: TableId) {
+        self.event_log.stream_changed(proxy, StreamChange::Bound);
+        if let Some(weight_log) = &mut self.weight_log {
+            weight_log.proxy_bound(proxy, table);
+        }
+    }
+
+    fn log_weights(&mut self, update: &Told, is_full: bool) {
+        if !is_full {
+            self.event_log.weights_written(update.lines);
+        }
+        if let Some(weight_log) = &mut self.weight_log {
+            weight_log.weights_written(update.table, update.lines);
+        }
+    }
+}
--- a/crates/platform-protocol/src/weight_log.rs
+++ b/crates/platform-protocol/src/weight_log.rs
@@ -1,104 +1,111 @@
-//! Log lines that tell the weight of each server in each table, and how many proxies hold the table. With the lines of
-//! all planners beside one another, the load that a server is sent can be worked out for any moment of a day.
+//! Reports the weight of each server in each table, and how many proxies hold the table, so that the load that a server
+//! is sent can be worked out for any moment of a day.
 //!
-//! A table is written once a look at the most, with its newest weights, and so many tables a look at the most; the rest
-//! wait for the next look. Memory is bounded by the tables themselves.
+//! A table is reported at most once a drain, with its newest weights, and only so many tables at a time; the rest wait
+//! for the next. Memory is bounded by the tables themselves.
 
+use crate::event::{Event, ServerWeight, TableWeights};
 use grebespool::host::{ProxyId, ServerIndex, TableId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tables that are written at one look.
-const TABLES_PER_LOOK: usize = 32;
-/// Servers named in one line.
-const SERVERS_PER_LINE: usize = 64;
+/// Tables that are reported at a time.
+const TABLES_PER_DRAIN: usize = 32;
+/// Servers in one event.
+const SERVERS_PER_EVENT: usize = 64;
 
 #[derive(Default)]
 struct LoggedTable {
     weights: BTreeMap<ServerIndex, f32>,
-    /// Servers whose weight was not logged since it changed.
+    /// Servers whose weight has changed since it was reported.
     changed: BTreeSet<ServerIndex>,
     proxies: usize,
-    /// Something about the table was not logged since it changed.
+    /// Something about the table has changed since it was reported.
     due: bool,
 }
 
-/// What was written to proxies, kept to be logged.
+/// The weights that proxies were sent.
 #[derive(Default)]
-pub struct WeightLog {
+pub(crate) struct WeightLog {
     tables: BTreeMap<TableId, LoggedTable>,
-    holds: BTreeMap<ProxyId, TableId>,
-    /// Where the next look begins, so that tables which change at every look do not keep others out.
+    table_of: BTreeMap<ProxyId, TableId>,
+    /// Where the next drain begins, so that tables which change all the time do not keep others out.
     next: TableId,
 }
 
 impl WeightLog {
     /// A proxy holds this table from now on.
-    pub fn bound(&mut self, proxy: ProxyId, table: TableId) {
-        self.left(proxy);
-        self.holds.insert(proxy, table);
-        self.recount(table, 1);
+    pub(crate) fn proxy_bound(&mut self, proxy: ProxyId, table: TableId) {
+        self.proxy_left(proxy);
+        self.table_of.insert(proxy, table);
+        self.change_proxies(table, 1);
     }
 
     /// A proxy holds no table any more.
-    pub fn left(&mut self, proxy: ProxyId) {
-        if let Some(table) = self.holds.remove(&proxy) {
-            self.recount(table, -1);
+    pub(crate) fn proxy_left(&mut self, proxy: ProxyId) {
+        if let Some(table) = self.table_of.remove(&proxy) {
+            self.change_proxies(table, -1);
         }
     }
 
-    fn recount(&mut self, table: TableId, by: isize) {
+    fn change_proxies(&mut self, table: TableId, difference: isize) {
         let logged = self.tables.entry(table).or_default();
-        logged.proxies = logged.proxies.saturating_add_signed(by);
+        logged.proxies = logged.proxies.saturating_add_signed(difference);
         logged.due = true;
     }
 
-    /// These lines of a table were written; a weight of zero takes the server out.
-    pub fn written(&mut self, table: TableId, lines: &[(ServerIndex, f32)]) {
+    /// These weights of a table were written; a weight of zero removes the server.
+    pub(crate) fn weights_written(&mut self, table: TableId, weights: &[(ServerIndex, f32)]) {
         let logged = self.tables.entry(table).or_default();
-        for (server, weight) in lines {
-            let before = if *weight > 0.0 {
-                logged.weights.insert(*server, *weight)
-            } else {
-                logged.weights.remove(server)
-            };
-            if before.unwrap_or(0.0) != *weight {
-                logged.changed.insert(*server);
-                logged.due = true;
-            }
+        for (server, weight) in weights {
+            logged.set_weight(*server, *weight);
         }
     }
 
-    /// The lines of one look.
-    pub fn lines<'a>(&mut self, id: impl Fn(ServerIndex) -> &'a str) -> Vec<String> {
-        let due = |range: &mut dyn Iterator<Item = (&TableId, &LoggedTable)>| -> Vec<TableId> {
-            range.filter(|(_, logged)| logged.due).map(|(table, _)| *table).collect()
-        };
-        let mut tables = due(&mut self.tables.range(self.next..));
-        tables.extend(due(&mut self.tables.range(..self.next)));
-        self.next = tables.get(TABLES_PER_LOOK).copied().unwrap_or_default();
-        let mut lines = vec![];
-        for table in tables.into_iter().take(TABLES_PER_LOOK) {
+    /// Events of the tables whose turn it is.
+    pub(crate) fn drain<'a>(&mut self, id: impl Fn(ServerIndex) -> &'a str) -> Vec<Event> {
+        let due = self.due_tables();
+        self.next = due.get(TABLES_PER_DRAIN).copied().unwrap_or_default();
+        let mut events = vec![];
+        for table in due.into_iter().take(TABLES_PER_DRAIN) {
             if let Some(logged) = self.tables.get_mut(&table) {
-                lines.extend(logged.lines(table, &id));
+                events.extend(logged.drain(table, &id));
             }
         }
-        lines
+        events
+    }
+
+    /// All tables that are due, from the next one on.
+    fn due_tables(&self) -> Vec<TableId> {
+        let from_next = self.tables.range(self.next..).chain(self.tables.range(..self.next));
+        from_next.filter(|(_, logged)| logged.due).map(|(table, _)| *table).collect()
     }
 }
 
 impl LoggedTable {
-    fn lines<'a>(&mut self, table: TableId, id: impl Fn(ServerIndex) -> &'a str) -> Vec<String> {
+    fn set_weight(&mut self, server: ServerIndex, weight: f32) {
+        let previous =
+            if weight > 0.0 { self.weights.insert(server, weight) } else { self.weights.remove(&server) };
+        if previous.unwrap_or(0.0) != weight {
+            self.changed.insert(server);
+            self.due = true;
+        }
+    }
+
+    fn drain<'a>(&mut self, table: TableId, id: impl Fn(ServerIndex) -> &'a str) -> Vec<Event> {
         self.due = false;
-        let sum: f32 = self.weights.values().sum();
-        let head = format!("weights of table {table}, {} proxies, sum {sum:.3}:", self.proxies);
-        let weight = |server: &ServerIndex| self.weights.get(server).copied().unwrap_or(0.0);
-        let named: Vec<String> = std::mem::take(&mut self.changed)
-            .iter()
-            .map(|server| format!(" {} {:.3}", id(*server), weight(server)))
+        let sum = self.weights.values().sum();
+        let event = |changed: &[ServerWeight]| {
+            let changed = changed.to_vec();
+            Event::TableWeights(TableWeights { table, proxies: self.proxies, sum, changed })
+        };
+        let weight = |server: ServerIndex| self.weights.get(&server).copied().unwrap_or(0.0);
+        let changed: Vec<ServerWeight> = std::mem::take(&mut self.changed)
+            .into_iter()
+            .map(|server| ServerWeight { server: id(server).into(), weight: weight(server) })
             .collect();
-        if named.is_empty() {
-            return vec![head];
+        if changed.is_empty() {
+            return vec![event(&[])];
         }
-        named.chunks(SERVERS_PER_LINE).map(|chunk| head.clone() + &chunk.concat()).collect()
+        changed.chunks(SERVERS_PER_EVENT).map(event).collect()
     }
 }
--- a/crates/platform-protocol/tests/fixtures.rs
+++ b/crates/platform-protocol/tests/fixtures.rs
@@ -2,13 +2,16 @@
 //! fixed input is answered with the same bytes.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
+#![allow(clippy::wildcard_imports, reason = "the helpers of the tests beside them")]
 
 #[allow(dead_code)]
 mod helpers;
 
 use grebespool::host::{AdmissionMode, Idempotency, LoadMetric};
-use grebespool_platform_protocol::{Call, Came, Frames, Message, Met, Terms, Watch, read};
+use grebespool_platform_protocol::{
+    EndpointWatch, FrameDecoder, JoinRequest, ListRequest, Message, PlannerConfig, ServerReport, UsageReport,
+    parse_message,
+};
 use helpers::*;
 use rstest::rstest;
 use serde_json::json;
@@ -30,30 +33,37 @@
 }
 
 fn message(name: &str) -> Message {
-    let mut frames = Frames::new(4096);
-    frames.take(&frame_of(lines_of(READ)[name]));
-    let body = frames.body().unwrap().expect("a whole frame").to_vec();
-    assert!(!frames.half(), "the length covers the body exactly");
-    read(&body).unwrap()
+    let mut frames = FrameDecoder::new(4096);
+    frames.extend(&frame_of(lines_of(READ)[name]));
+    let body = frames.next_body().unwrap().expect("a whole frame").to_vec();
+    assert!(!frames.has_partial_frame(), "the length covers the body exactly");
+    parse_message(&body).unwrap()
 }
 
 #[rstest]
 #[case::ping("ping", Message::Ping)]
-#[case::collector("collector", Message::Source { zone: "north".into() })]
-#[case::sums("sums", Message::Met(Met {
+#[case::collector("collector", Message::Collector { zone: "north".into() })]
+#[case::sums("sums", Message::ServerReport(ServerReport {
     zone: "north".into(),
     server: "s-5be2a07c".into(),
-    tries: 212,
-    dropped: 3,
-    wait_ms: Some(41.7),
-    report: vec![("cpu_share".into(), 0.61), ("pending".into(), 7.0)],
+    attempts: 212,
+    failures: 3,
+    mean_latency_ms: Some(41.7),
+    metrics: vec![("cpu_share".into(), 0.61), ("pending".into(), 7.0)],
 }))]
-#[case::sums_without_a_report("sums_without_a_report", Message::Met(Met {
-    zone: "a".into(), server: "s".into(), tries: 2, dropped: 2, wait_ms: None, report: vec![],
+#[case::sums_without_a_report("sums_without_a_report", Message::ServerReport(ServerReport {
+    zone: "a".into(),
+    server: "s".into(),
+    attempts: 2,
+    failures: 2,
+    mean_latency_ms: None,
+    metrics: vec![],
 }))]
-#[case::joining("joining", Message::Join { proxy: 17, zone: "a".into(), rate: 21.5, bare: true })]
-#[case::answer_to_a_mark("answer_to_a_mark", Message::Applied { proxy: 17, mark: 905 })]
-#[case::usage("usage", Message::Came(Came { proxy: 17, route: "look up".into(), calls: 19 }))]
+#[case::joining("joining", Message::Join(JoinRequest {
+    proxy: 17, zone: "a".into(), requests_per_second: 21.5, without_table: true,
+}))]
+#[case::answer_to_a_mark("answer_to_a_mark", Message::Ack { proxy: 17, mark: 905 })]
+#[case::usage("usage", Message::Usage(UsageReport { proxy: 17, route: "look up".into(), requests: 19 }))]
 fn recorded_message_is_read_as_expected(#[case] name: &str, #[case] expected: Message) {
     assert_eq!(message(name), expected);
 }
@@ -67,38 +77,49 @@
 
 #[rstest]
 fn recorded_start_file_is_read_as_expected() {
-    let terms = Terms::read(START.as_bytes()).unwrap();
-    assert_eq!(terms.name, "p7");
+    let config = PlannerConfig::parse(START.as_bytes()).unwrap();
+    assert_eq!(config.name, "p7");
     assert_eq!(
-        (terms.listen.to_string(), terms.discovery.to_string()),
+        (config.listen.to_string(), config.discovery.to_string()),
         ("127.0.0.1:9000".into(), "127.0.0.1:8000".into())
     );
-    assert_eq!((terms.seed, terms.limits.sockets), (0x8c1f, 100));
-    assert_eq!(terms.known.unwrap()["version"], json!(3));
+    assert_eq!((config.seed, config.max_descriptors), (0x8c1f, 100));
+    assert_eq!(config.known_endpoints.unwrap()["version"], json!(3));
     assert_eq!(
-        (terms.route_names, terms.zones),
+        (config.route_names, config.zones),
         (vec!["look up".into(), "store".into()], vec!["north".into(), "south".into()])
     );
-    assert_eq!(terms.fields, ["cpu_share", "pending"]);
-    assert_eq!(terms.sight.metrics, [LoadMetric::Utilization, LoadMetric::Pending]);
+    assert_eq!(config.metric_names, ["cpu_share", "pending"]);
+    assert_eq!(config.observability.metrics, [LoadMetric::Utilization, LoadMetric::Pending]);
     assert_eq!(
-        (terms.sight.report_interval, terms.sight.health_checks, terms.sight.endpoint_poll_interval),
+        (
+            config.observability.report_interval,
+            config.observability.health_checks,
+            config.observability.endpoint_poll_interval
+        ),
         (ms(500), true, Some(ms(9000)))
     );
-    let routes: Vec<_> = terms
+    let routes: Vec<_> = config
         .routes
         .iter()
         .map(|route| (route.priority_weight, route.latency_objective, route.idempotency))
         .collect();
     assert_eq!(routes, [(1.0, ms(900), Idempotency::Idempotent), (3.0, ms(700), Idempotency::NonIdempotent)]);
-    assert_eq!(terms.graces.warm_up, ms(12_000));
+    assert_eq!(config.timeouts.warm_up, ms(12_000));
     assert_eq!(
-        (terms.pace.entries_per_s, terms.pace.max_queued_entries, terms.pace.message_overhead),
+        (config.channel.entries_per_s, config.channel.max_queued_entries, config.channel.message_overhead),
         (8000.0, 9000.0, 3.0)
     );
-    assert_eq!(terms.pace.max_transit, ms(400));
-    assert_eq!((terms.plane.zones, terms.plane.proxies, terms.plane.attempt_timeout_factor), (2, 12, 0.7));
-    assert_eq!(terms.plane.admission_mode, AdmissionMode::Share);
+    assert_eq!(config.channel.max_transit, ms(400));
+    assert_eq!(
+        (
+            config.proxy_capabilities.zones,
+            config.proxy_capabilities.proxies,
+            config.proxy_capabilities.attempt_timeout_factor
+        ),
+        (2, 12, 0.7)
+    );
+    assert_eq!(config.proxy_capabilities.admission_mode, AdmissionMode::Share);
 }
 
 /// Servers in the table of a proxy after an answer of discovery, and the version that is known then.
@@ -111,45 +132,45 @@
     #[case] left: &[&str],
     #[case] version: u64,
 ) {
-    let mut rig = Rig::on(Terms::read(START.as_bytes()).unwrap());
-    rig.join(1, 5);
-    rig.until(ms(2000));
-    let holds = table(&rig.written(1), BTreeMap::new());
+    let mut harness = Harness::with_config(PlannerConfig::parse(START.as_bytes()).unwrap());
+    harness.join(1, 5);
+    harness.run_until(ms(2000));
+    let holds = table(&harness.written(1), BTreeMap::new());
     assert_eq!(holds.into_keys().collect::<Vec<_>>(), ["s0", "s1", "s2", "s3"]);
-    rig.station.list(rig.now, UNIX, Some(3), lines_of(DISCOVERY)[name].as_bytes()).unwrap();
+    harness.receive_list_at(UNIX, Some(3), lines_of(DISCOVERY)[name].as_bytes()).unwrap();
     // A new table is bound only to who joins after the change.
-    rig.until(ms(30_000));
-    rig.join(2, 6);
-    let holds = table(&rig.written(2), BTreeMap::new());
+    harness.run_until(ms(30_000));
+    harness.join(2, 6);
+    let holds = table(&harness.written(2), BTreeMap::new());
     assert_eq!(holds.into_keys().collect::<Vec<_>>(), left);
-    assert_eq!(rig.station.list_version(), Some(version));
-    assert!(rig.kept.borrow().said.is_empty(), "{:?}", rig.kept.borrow().said);
+    assert_eq!(harness.manager.endpoint_list_version(), Some(version));
+    assert!(harness.recorded.borrow().warnings.is_empty(), "{:?}", harness.recorded.borrow().warnings);
 }
 
 /// A server that says when it was started has an age, and a young one a small weight; the others keep theirs.
 #[rstest]
 fn recorded_start_of_a_server_is_read_as_its_age() {
-    let mut rig = Rig::on(Terms::read(START.as_bytes()).unwrap());
-    rig.until(ms(15_000));
+    let mut harness = Harness::with_config(PlannerConfig::parse(START.as_bytes()).unwrap());
+    harness.run_until(ms(15_000));
     let restarted = lines_of(DISCOVERY)["restarted"].as_bytes();
-    rig.station.list(rig.now, UNIX + 15_000.0, Some(3), restarted).unwrap();
-    rig.until(ms(15_100));
-    rig.join(1, 5);
-    let holds = table(&rig.written(1), BTreeMap::new());
+    harness.receive_list_at(UNIX + 15_000.0, Some(3), restarted).unwrap();
+    harness.run_until(ms(15_100));
+    harness.join(1, 5);
+    let holds = table(&harness.written(1), BTreeMap::new());
     assert!(holds["s3"] >= 0.9 && holds.get("s1").is_none_or(|weight| *weight <= 0.25), "{holds:?}");
 }
 
 #[rstest]
 fn calls_for_the_list_are_asked_as_recorded() {
-    let mut watch = Watch::new("127.0.0.1:8000".parse().unwrap());
-    watch.ask();
+    let mut watch = EndpointWatch::new("127.0.0.1:8000".parse().unwrap());
+    watch.request();
     assert!(watch.begin());
-    let paths = |watch: &mut Watch| {
-        let call: Call = watch.call(Some(41));
-        watch.answered(&call);
-        call.path
+    let paths = |watch: &mut EndpointWatch| {
+        let request: ListRequest = watch.next_request(Some(41));
+        watch.answered(&request);
+        request.path
     };
-    assert_eq!(watch.call(None).path, "/v1/endpoints");
+    assert_eq!(watch.next_request(None).path, "/v1/endpoints");
     assert_eq!(paths(&mut watch), "/v1/endpoints?since=41&timeout_ms=1");
     assert_eq!(paths(&mut watch), "/v1/endpoints?since=41&timeout_ms=4000");
 }
@@ -176,56 +197,54 @@
 const NO_FRAMES: [&[u8]; 3] = [b"GET / HTTP/1.1\r\n\r\n", &[0, 0, 0, 0], &[0, 0, 0x10, 1, b'{']];
 
 /// Twenty seconds in which proxies come, load rises until calls are let in only in part, and servers drain and leave.
-fn session() -> Rig {
-    let mut rig = Rig::on(Terms::read(START.as_bytes()).unwrap());
-    rig.open(COLLECTOR);
-    rig.say(COLLECTOR, &json!({"msg": "SOURCE", "locality": "north"}));
-    rig.open(50);
-    rig.say(50, &json!({"msg": "PING"}));
+fn session() -> Harness {
+    let mut harness = Harness::with_config(PlannerConfig::parse(START.as_bytes()).unwrap());
+    harness.open(COLLECTOR);
+    harness.receive_message(COLLECTOR, &json!({"msg": "SOURCE", "locality": "north"}));
+    harness.open(50);
+    harness.receive_message(50, &json!({"msg": "PING"}));
     for (conn, body) in (100..).zip(REFUSED) {
-        rig.open(conn);
-        rig.bytes(conn, &framed(body));
+        harness.open(conn);
+        harness.receive(conn, &framed(body));
     }
     for (conn, bytes) in (200..).zip(NO_FRAMES) {
-        rig.open(conn);
-        rig.bytes(conn, bytes);
+        harness.open(conn);
+        harness.receive(conn, bytes);
     }
     // The older stream of a proxy whose joining is read last.
     let joining = framed(subscribe(4, "north").to_string().as_bytes());
-    rig.open(301);
-    rig.bytes(301, &joining[..joining.len() - 1]);
-    rig.open(302);
-    rig.bytes(302, &joining);
-    rig.bytes(301, &joining[joining.len() - 1..]);
-    rig.station.closed(302);
+    harness.open(301);
+    harness.receive(301, &joining[..joining.len() - 1]);
+    harness.open(302);
+    harness.receive(302, &joining);
+    harness.receive(301, &joining[joining.len() - 1..]);
+    harness.manager.connection_closed(302);
     for step in 1..400u64 {
-        rig.until(ms(step * 50));
+        harness.run_until(ms(step * 50));
         match step {
-            20 => rig.join(1, 5),
-            60 => rig.join(2, 6),
-            120 => {
-                rig.station.list(rig.now, UNIX, Some(3), lines_of(DISCOVERY)["changes"].as_bytes()).unwrap()
-            }
-            150 => rig.say(1, &json!({"msg": "ACK", "node": 5, "nonce": 1, "latency": 30.5})),
-            380 => rig.join(3, 7),
-            _ => report_load(&mut rig, step),
+            20 => harness.join(1, 5),
+            60 => harness.join(2, 6),
+            120 => harness.receive_list_at(UNIX, Some(3), lines_of(DISCOVERY)["changes"].as_bytes()).unwrap(),
+            150 => harness.receive_message(1, &json!({"msg": "ACK", "node": 5, "nonce": 1, "latency": 30.5})),
+            380 => harness.join(3, 7),
+            _ => report_load(&mut harness, step),
         }
     }
     // More than may wait without joining, and one that cannot be accepted.
-    (400..=461).for_each(|conn| rig.open(conn));
-    rig.station.shed(rig.now, "no descriptors");
-    rig
+    (400..=461).for_each(|conn| harness.open(conn));
+    harness.manager.accept_failed(harness.now, "no descriptors");
+    harness
 }
 
-fn report_load(rig: &mut Rig, step: u64) {
+fn report_load(harness: &mut Harness, step: u64) {
     let share = 0.99 - 0.001 * (step % 7) as f64;
-    rig.say(
+    harness.receive_message(
         COLLECTOR,
         &json!({"msg": "LOAD", "locality": "north", "endpoint": format!("s{}", step % 4), "total": 20,
                 "errors": 5, "rtt": 80.0, "interval": 500.0,
                 "metrics": {"cpu_share": share, "pending": 1.0}}),
     );
-    rig.say(
+    harness.receive_message(
         COLLECTOR,
         &json!({"msg": "RATE", "node": 5, "route": "store", "total": 20, "errors": 0, "interval": 500.0}),
     );
@@ -246,9 +265,10 @@
 
 #[rstest]
 fn fixed_input_is_answered_with_the_recorded_bytes() {
-    let rig = session();
-    let kept = rig.kept.borrow();
-    let written: Vec<String> = kept.written.iter().flat_map(|(conn, bytes)| as_lines(*conn, bytes)).collect();
+    let harness = session();
+    let recorded = harness.recorded.borrow();
+    let written: Vec<String> =
+        recorded.written.iter().flat_map(|(conn, bytes)| as_lines(*conn, bytes)).collect();
     assert_eq!(written, WRITTEN.lines().collect::<Vec<_>>());
 }
 
--- a/crates/platform-protocol/tests/frames.rs
+++ b/crates/platform-protocol/tests/frames.rs
@@ -1,9 +1,8 @@
-//! Bytes to messages: any split, any truncation, and what cannot be.
+//! Bytes to messages: any split, any truncation, and what is invalid.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_platform_protocol::{Frames, Message, NotFrames, Unread, read};
+use grebespool_platform_protocol::{FrameDecoder, FrameError, Message, MessageError, parse_message};
 use proptest::prelude::*;
 use rstest::rstest;
 use serde_json::json;
@@ -12,51 +11,51 @@
     [&(body.len() as u32).to_be_bytes()[..], body.as_bytes()].concat()
 }
 
-fn taken(frames: &mut Frames) -> Result<Vec<Vec<u8>>, NotFrames> {
+fn decode_all(frames: &mut FrameDecoder) -> Result<Vec<Vec<u8>>, FrameError> {
     let mut bodies = vec![];
-    while let Some(body) = frames.body()? {
+    while let Some(body) = frames.next_body()? {
         bodies.push(body.to_vec());
     }
     Ok(bodies)
 }
 
 #[rstest]
-fn every_split_gives_the_same_messages() {
+fn decodes_the_same_messages_from_any_split() {
     let bodies = [r#"{"msg":"PING"}"#, "{}", r#"{"msg":"ACK","node":1,"nonce":2,"latency":3.5}"#];
     let all: Vec<u8> = bodies.iter().flat_map(|b| framed(b)).collect();
     for first in 0..all.len() {
         for second in first..all.len() {
-            let mut frames = Frames::new(1 << 20);
+            let mut frames = FrameDecoder::new(1 << 20);
             let mut got = vec![];
             for part in [&all[..first], &all[first..second], &all[second..]] {
-                frames.take(part);
-                got.extend(taken(&mut frames).unwrap());
+                frames.extend(part);
+                got.extend(decode_all(&mut frames).unwrap());
             }
             assert_eq!(got, bodies.map(|b| b.as_bytes().to_vec()), "{first} {second}");
-            assert!(!frames.half());
+            assert!(!frames.has_partial_frame());
         }
     }
 }
 
 #[rstest]
-fn a_message_cut_short_anywhere_is_none() {
+fn decodes_nothing_from_a_truncated_frame() {
     let all = framed(r#"{"msg":"SOURCE","locality":"north"}"#);
     for length in 0..all.len() {
-        let mut frames = Frames::new(1 << 20);
-        frames.take(&all[..length]);
-        assert_eq!((taken(&mut frames), frames.half()), (Ok(vec![]), length > 0));
+        let mut frames = FrameDecoder::new(1 << 20);
+        frames.extend(&all[..length]);
+        assert_eq!((decode_all(&mut frames), frames.has_partial_frame()), (Ok(vec![]), length > 0));
     }
 }
 
 #[rstest]
-#[case::nothing_in_it(&[0, 0, 0, 0], NotFrames::Empty)]
-#[case::too_long(&[0, 0, 16, 1], NotFrames::Long { length: 4097, most: 4096 })]
-#[case::http(b"G", NotFrames::Long { length: 0x4700_0000, most: 4096 })]
-#[case::no_object(&[0, 0, 0, 9, b'['], NotFrames::Start(b'['))]
-fn what_cannot_be_frames_is_known_by_its_first_bytes(#[case] bytes: &[u8], #[case] why: NotFrames) {
-    let mut frames = Frames::new(4096);
-    frames.take(bytes);
-    assert_eq!(taken(&mut frames), Err(why));
+#[case::nothing_in_it(&[0, 0, 0, 0], FrameError::Empty)]
+#[case::too_long(&[0, 0, 16, 1], FrameError::TooLong { length: 4097, limit: 4096 })]
+#[case::http(b"G", FrameError::TooLong { length: 0x4700_0000, limit: 4096 })]
+#[case::no_object(&[0, 0, 0, 9, b'['], FrameError::NotAnObject(b'['))]
+fn rejects_invalid_frames_by_their_first_bytes(#[case] bytes: &[u8], #[case] why: FrameError) {
+    let mut frames = FrameDecoder::new(4096);
+    frames.extend(bytes);
+    assert_eq!(decode_all(&mut frames), Err(why));
 }
 
 fn good(kind: &str) -> serde_json::Value {
@@ -92,62 +91,68 @@
 #[case::late_below_nought("ACK", "latency", json!(-5), "is out of range")]
 #[case::cold_as_number("SUBSCRIBE", "cold", json!(1), "is neither true nor false")]
 #[case::rate_as_text("SUBSCRIBE", "w", json!("1"), "is no figure")]
-fn a_spoilt_field_spoils_its_message(
+fn rejects_message_with_invalid_field(
     #[case] kind: &str,
     #[case] field: &str,
     #[case] value: serde_json::Value,
     #[case] fault: &str,
 ) {
     let mut message = good(kind);
-    assert!(read(message.to_string().as_bytes()).is_ok());
+    assert!(parse_message(message.to_string().as_bytes()).is_ok());
     message[field] = value;
-    let Err(Unread::Spoilt(spoilt)) = read(message.to_string().as_bytes()) else { panic!("{message}") };
-    assert_eq!(spoilt.fault, fault);
+    let Err(MessageError::Field(error)) = parse_message(message.to_string().as_bytes()) else {
+        panic!("{message}")
+    };
+    assert_eq!(error.fault.to_string(), fault);
     message.as_object_mut().unwrap().remove(field);
     let optional = field == "metrics";
-    assert_eq!(read(message.to_string().as_bytes()).is_ok(), optional);
+    assert_eq!(parse_message(message.to_string().as_bytes()).is_ok(), optional);
 }
 
 #[rstest]
 #[case::none_answered(json!({"total": 2, "errors": 2, "rtt": 0.0}), None)]
 #[case::none_answered_and_no_time(json!({"total": 2, "errors": 2, "rtt": null}), None)]
 #[case::answered(json!({"total": 3, "errors": 2, "rtt": 9.5}), Some(9.5))]
-fn what_good_collectors_send_is_taken(#[case] fields: serde_json::Value, #[case] wait: Option<f64>) {
+fn accepts_reports_with_and_without_latency(#[case] fields: serde_json::Value, #[case] wait: Option<f64>) {
     let mut message = good("LOAD");
     fields.as_object().unwrap().iter().for_each(|(k, v)| message[k] = v.clone());
-    let Ok(Message::Met(met)) = read(message.to_string().as_bytes()) else { panic!("{message}") };
-    assert_eq!(met.wait_ms, wait);
+    let Ok(Message::ServerReport(report)) = parse_message(message.to_string().as_bytes()) else {
+        panic!("{message}")
+    };
+    assert_eq!(report.mean_latency_ms, wait);
 }
 
-/// Of calls that came in one interval, some fail in the next: good proxies say so, most of all in trouble.
+/// Of requests that came in one interval, some fail in the next: good proxies report so, most of all under faults.
 #[rstest]
-fn usage_may_have_more_failures_than_calls() {
+fn accepts_usage_with_more_failures_than_requests() {
     let mut message = good("RATE");
     message["errors"] = json!(9);
-    let Ok(Message::Came(came)) = read(message.to_string().as_bytes()) else { panic!("{message}") };
-    assert_eq!(came.calls, 4);
+    let Ok(Message::Usage(usage)) = parse_message(message.to_string().as_bytes()) else {
+        panic!("{message}")
+    };
+    assert_eq!(usage.requests, 4);
 }
 
 proptest! {
     #[test]
-    fn no_bytes_do_harm(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..20)) {
-        let mut frames = Frames::new(4096);
+    fn survives_any_bytes(parts in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..200), 0..20)) {
+        let mut frames = FrameDecoder::new(4096);
         for part in parts {
-            frames.take(&part);
-            match taken(&mut frames) {
-                Ok(bodies) => bodies.iter().for_each(|b| drop(read(b))),
+            frames.extend(&part);
+            match decode_all(&mut frames) {
+                Ok(bodies) => bodies.iter().for_each(|b| drop(parse_message(b))),
                 Err(_) => break,
             }
         }
     }
 
     #[test]
-    fn no_object_does_harm(field in "[a-z]{1,9}", text in "\\PC{0,40}", number in any::<f64>()) {
+    fn survives_any_field(field in "[a-z]{1,9}", text in "\\PC{0,40}", number in any::<f64>()) {
         for kind in ["LOAD", "RATE", "ACK", "SUBSCRIBE"] {
             for value in [json!(text), json!(number), json!([number]), json!({"a": text})] {
                 let mut message = good(kind);
                 message[&field] = value;
-                let _ = read(message.to_string().as_bytes());
+                let _ = parse_message(message.to_string().as_bytes());
             }
         }
     }
--- a/crates/platform-protocol/tests/helpers/mod.rs
+++ b/crates/platform-protocol/tests/helpers/mod.rs
@@ -1,6 +1,8 @@
-//! A station whose outlet is kept, and a small deployment.
+//! A session manager whose effects are recorded, and a small deployment.
 
-use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
+use grebespool_platform_protocol::{
+    ConnectionId, Effects, EndpointListError, Event, PlannerConfig, ReceivedAt, SessionManager, Warning,
+};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,8 +14,12 @@
     Duration::from_millis(ms)
 }
 
+/// The machines' clock at the start, in Unix milliseconds.
 pub const UNIX: f64 = 1_700_000_000_000.0;
 
+/// Descriptors that are kept from peers that have not joined.
+const RESERVED_DESCRIPTORS: usize = 20;
+
 pub fn settings() -> Value {
     serde_json::from_str(include_str!("../settings.json")).unwrap()
 }
@@ -29,58 +35,64 @@
     json!({"version": version, "full": full, "servers": servers})
 }
 
-pub fn terms(servers: usize) -> Terms {
-    terms_of(servers, settings())
+pub fn config(servers: usize) -> PlannerConfig {
+    config_with(servers, settings())
 }
 
-pub fn terms_of(servers: usize, settings: Value) -> Terms {
+pub fn config_with(servers: usize, settings: Value) -> PlannerConfig {
     let known = list(3, true, (0..servers).map(|k| server(k, "SERVING", 0)).collect());
     let file = json!({
         "name": "p0", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:8", "seed": "8c1f", "known": known,
         "limits": {"cores": 0.5, "memory_mb": 32, "sockets": 100}, "settings": settings, "unheard_of": [1, {}],
     });
-    Terms::read(file.to_string().as_bytes()).unwrap()
+    PlannerConfig::parse(file.to_string().as_bytes()).unwrap()
 }
 
 #[derive(Default)]
-pub struct Kept {
-    pub written: BTreeMap<Conn, Vec<u8>>,
-    pub closed: Vec<Conn>,
-    pub probes: Vec<String>,
-    pub watches: usize,
-    pub wholes: usize,
-    pub said: Vec<String>,
-    pub noted: Vec<String>,
-    pub debugged: Vec<String>,
+pub struct Recorded {
+    pub written: BTreeMap<ConnectionId, Vec<u8>>,
+    pub closed: Vec<ConnectionId>,
+    pub health_checks: Vec<String>,
+    pub watch_requests: usize,
+    pub full_list_requests: usize,
+    pub warnings: Vec<Warning>,
+    /// Events that are logged in any case.
+    pub events: Vec<Event>,
+    /// Events that are logged for debugging only.
+    pub debug_events: Vec<Event>,
 }
 
 #[derive(Clone, Default)]
-pub struct Outside(pub Rc<RefCell<Kept>>);
+pub struct RecordedEffects(pub Rc<RefCell<Recorded>>);
 
-impl Outlet for Outside {
-    fn write(&mut self, conn: Conn, bytes: &[u8]) {
-        self.0.borrow_mut().written.entry(conn).or_default().extend(bytes);
-    }
-    fn close(&mut self, conn: Conn) {
-        self.0.borrow_mut().closed.push(conn);
-    }
-    fn probe(&mut self, server: &str, _: SocketAddr) {
-        self.0.borrow_mut().probes.push(server.into());
+impl Effects for RecordedEffects {
+    fn write(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        self.0.borrow_mut().written.entry(connection).or_default().extend(bytes);
     }
-    fn watch(&mut self) {
-        self.0.borrow_mut().watches += 1;
+
+    fn close(&mut self, connection: ConnectionId) {
+        self.0.borrow_mut().closed.push(connection);
     }
-    fn ask_whole(&mut self) {
-        self.0.borrow_mut().wholes += 1;
+
+    fn start_health_check(&mut self, server: &str, _: SocketAddr) {
+        self.0.borrow_mut().health_checks.push(server.into());
     }
-    fn say(&mut self, text: &str) {
-        self.0.borrow_mut().said.push(text.into());
+
+    fn watch_endpoints(&mut self) {
+        self.0.borrow_mut().watch_requests += 1;
     }
-    fn note(&mut self, text: &str) {
-        self.0.borrow_mut().noted.push(text.into());
+
+    fn request_full_list(&mut self) {
+        self.0.borrow_mut().full_list_requests += 1;
     }
-    fn debug(&mut self, text: &str) {
-        self.0.borrow_mut().debugged.push(text.into());
+
+    fn log(&mut self, event: &Event) {
+        let recorded = &mut *self.0.borrow_mut();
+        match event {
+            Event::Warning(warning) => recorded.warnings.push(warning.clone()),
+            Event::TableWeights(_) => recorded.debug_events.push(event.clone()),
+            _ => recorded.events.push(event.clone()),
+        }
     }
 }
 
@@ -92,56 +104,67 @@
     json!({"msg": "SUBSCRIBE", "node": node, "locality": locality, "w": 3.5, "cold": true})
 }
 
-pub struct Rig {
-    pub station: Station<Outside>,
-    pub kept: Rc<RefCell<Kept>>,
+pub struct Harness {
+    pub manager: SessionManager<RecordedEffects>,
+    pub recorded: Rc<RefCell<Recorded>>,
     pub now: Duration,
 }
 
-impl Rig {
-    pub fn new(servers: usize) -> Rig {
-        Rig::on(terms(servers))
+impl Harness {
+    pub fn new(servers: usize) -> Harness {
+        Harness::with_config(config(servers))
+    }
+
+    pub fn with_config(config: PlannerConfig) -> Harness {
+        let effects = RecordedEffects::default();
+        let recorded = effects.0.clone();
+        let manager = SessionManager::new(effects, config, RESERVED_DESCRIPTORS, UNIX);
+        Harness { manager, recorded, now: Duration::ZERO }
     }
 
-    pub fn on(terms: Terms) -> Rig {
-        let outside = Outside::default();
-        let kept = outside.0.clone();
-        Rig { station: Station::start(outside, terms, 20, UNIX), kept, now: Duration::ZERO }
+    pub fn open(&mut self, connection: ConnectionId) {
+        self.manager.connection_opened(self.now, connection);
     }
 
-    pub fn open(&mut self, conn: Conn) {
-        self.station.opened(self.now, conn);
+    pub fn receive(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        self.manager.bytes_received(self.now, connection, bytes);
     }
 
-    pub fn bytes(&mut self, conn: Conn, bytes: &[u8]) {
-        self.station.came(self.now, conn, bytes);
+    pub fn receive_message(&mut self, connection: ConnectionId, message: &Value) {
+        self.receive(connection, &framed(message.to_string().as_bytes()));
     }
 
-    pub fn say(&mut self, conn: Conn, message: &Value) {
-        self.bytes(conn, &framed(message.to_string().as_bytes()));
+    pub fn join(&mut self, connection: ConnectionId, node: u64) {
+        self.open(connection);
+        self.receive_message(connection, &subscribe(node, ["north", "south"][node as usize % 2]));
     }
 
-    pub fn join(&mut self, conn: Conn, node: u64) {
-        self.open(conn);
-        self.say(conn, &subscribe(node, ["north", "south"][node as usize % 2]));
+    pub fn receive_list(&mut self, since: Option<u64>, list: &Value) -> Result<(), EndpointListError> {
+        let unix_ms = UNIX + self.now.as_secs_f64() * 1000.0;
+        self.receive_list_at(unix_ms, since, list.to_string().as_bytes())
     }
 
-    pub fn list(&mut self, asked: Option<u64>, list: &Value) -> Result<(), String> {
-        let unix = UNIX + self.now.as_secs_f64() * 1000.0;
-        self.station.list(self.now, unix, asked, list.to_string().as_bytes())
+    /// The machines' clock need not go with the planner's.
+    pub fn receive_list_at(
+        &mut self,
+        unix_ms: f64,
+        since: Option<u64>,
+        body: &[u8],
+    ) -> Result<(), EndpointListError> {
+        self.manager.endpoint_list_received(ReceivedAt { now: self.now, unix_ms }, since, body)
     }
 
-    pub fn until(&mut self, at: Duration) {
-        while self.station.due() <= at {
-            self.now = self.station.due().max(self.now);
-            self.station.woken(self.now);
+    pub fn run_until(&mut self, at: Duration) {
+        while self.manager.next_deadline() <= at {
+            self.now = self.manager.next_deadline().max(self.now);
+            self.manager.timer_fired(self.now);
         }
         self.now = at;
     }
 
-    /// What was written to the connection since this was last asked.
-    pub fn written(&mut self, conn: Conn) -> Vec<Value> {
-        let bytes = self.kept.borrow_mut().written.remove(&conn).unwrap_or_default();
+    /// What was written to the connection since this was last called.
+    pub fn written(&mut self, connection: ConnectionId) -> Vec<Value> {
+        let bytes = self.recorded.borrow_mut().written.remove(&connection).unwrap_or_default();
         let mut rest = &bytes[..];
         let mut messages = vec![];
         while let Some((head, more)) = rest.split_first_chunk::<4>() {
@@ -152,8 +175,8 @@
         messages
     }
 
-    pub fn closed(&self, conn: Conn) -> bool {
-        self.kept.borrow().closed.contains(&conn)
+    pub fn is_closed(&self, connection: ConnectionId) -> bool {
+        self.recorded.borrow().closed.contains(&connection)
     }
 }
 
--- a/crates/platform-protocol/tests/same/mod.rs
+++ b/crates/platform-protocol/tests/parity/mod.rs
@@ -130,11 +130,11 @@
 }
 
 /// What the platform's proxies were told since this was last asked, parts of a message put together.
-fn told(rig: &mut Rig, proxies: &BTreeSet<u16>) -> BTreeMap<u16, Seen> {
+fn told(harness: &mut Harness, proxies: &BTreeSet<u16>) -> BTreeMap<u16, Seen> {
     let names = ["look up", "store"];
     let mut told = BTreeMap::new();
     for proxy in proxies {
-        let messages = rig.written(u64::from(*proxy));
+        let messages = harness.written(u64::from(*proxy));
         let mut seen = Seen::default();
         for m in &messages {
             seen.whole |= m["whole"] == true;
@@ -160,10 +160,10 @@
 #[case::calm(0.5, 0)]
 #[case::crowded(0.99, 5)]
 fn orders_are_the_same_on_the_sockets_and_on_the_wire(#[case] busy: f64, #[case] dropped: u32) {
-    let (mut rig, mut wire, mut proxies) = (Rig::new(8), Wire::default(), BTreeSet::new());
+    let (mut harness, mut wire, mut proxies) = (Harness::new(8), Wire::default(), BTreeSet::new());
     wire.list(Duration::ZERO, 2, &(0..8).map(|k| (k, 1)).collect::<Vec<_>>());
-    rig.open(900);
-    rig.say(900, &json!({"msg": "SOURCE", "locality": "north"}));
+    harness.open(900);
+    harness.receive_message(900, &json!({"msg": "SOURCE", "locality": "north"}));
     let (mut messages, mut levelled) = (0, false);
     for step in 1..400u64 {
         let now = ms(step * 50);
@@ -173,9 +173,9 @@
         wire.timers.retain(|t| t.0 > now);
         let fired: Vec<_> = tokens.iter().map(|t| record(1020, &[&t.to_be_bytes()])).collect();
         let mut expected = if fired.is_empty() { BTreeMap::new() } else { wire.batch(now, &fired, &[]) };
-        rig.now = now;
-        rig.station.woken(now);
-        assert_eq!(told(&mut rig, &proxies), expected, "timers at {now:?}");
+        harness.now = now;
+        harness.manager.timer_fired(now);
+        assert_eq!(told(&mut harness, &proxies), expected, "timers at {now:?}");
         match step {
             s if s % 20 == 3 && proxies.len() < 12 => {
                 let proxy = proxies.len() as u16;
@@ -183,12 +183,12 @@
                 let event = record(1060, &[&proxy.to_be_bytes(), &zone, &[1], &3.5f32.to_be_bytes()]);
                 expected = wire.batch(now, &[event], &[]);
                 proxies.insert(proxy);
-                rig.join(u64::from(proxy), u64::from(proxy));
+                harness.join(u64::from(proxy), u64::from(proxy));
             }
             90 | 91 => {
                 expected = wire.list(now, 0, &[(2, 2), (5, 0)]);
                 let changes = vec![server(2, "DRAINING", 0), server(5, "DELETED", 0)];
-                rig.list(Some(step - 87), &list(step - 86, false, changes)).unwrap();
+                harness.receive_list(Some(step - 87), &list(step - 86, false, changes)).unwrap();
             }
             s => {
                 let k = s as usize % 8;
@@ -209,20 +209,20 @@
                 );
                 let came = record(1100, &[&500f64.to_be_bytes(), &[0, 0], &[1], &20u32.to_be_bytes()]);
                 expected = wire.batch(now, &[met, came], &[]);
-                rig.say(
+                harness.receive_message(
                     900,
                     &json!({"msg": "LOAD", "locality": "north", "endpoint": format!("s{k}"), "total": 20,
                     "errors": dropped, "rtt": 80.0, "interval": 500.0,
                     "metrics": {"cpu_share": cpu as f32, "pending": 1.0}}),
                 );
-                rig.say(
+                harness.receive_message(
                     900,
                     &json!({"msg": "RATE", "node": 0, "route": "store", "total": 20, "errors": 0,
                     "interval": 500.0}),
                 );
             }
         }
-        let told = told(&mut rig, &proxies);
+        let told = told(&mut harness, &proxies);
         levelled |= told.values().any(|s| s.levels.values().any(|l| l.0 < 1.0));
         messages += told.len();
         assert_eq!(told, expected, "step {step}");
--- /dev/null
+++ b/crates/platform-server/src/connection.rs
@@ -0,0 +1,143 @@
+//! Connections at the planner's address: accepted, read and written.
+
+use crate::shared::Shared;
+use grebespool_platform_protocol::ConnectionId;
+use grebespool_write_queue::{Ended, Outgoing, Patience};
+use std::io::ErrorKind;
+use std::pin::pin;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::tcp::OwnedReadHalf;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::task::JoinSet;
+use tokio::time::{sleep, timeout};
+use tracing::{debug, error, warn};
+
+/// A peer that takes none of its bytes for so long is cut off: by the platform's rules it has left.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Bytes that may wait for one peer: some dozens of messages. The platform resets a connection at 128 KiB.
+const MAX_UNWRITTEN: usize = 96 << 10;
+/// Within this time the runtime has polled its sockets.
+const POLL_PAUSE: Duration = Duration::from_millis(1);
+/// How long what is left is written to a peer that sends no more.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The pause after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+
+/// Accepts connections, each served by a task of its own, and reports tasks that fail.
+pub(crate) async fn accept_connections(shared: Rc<Shared>, listener: TcpListener, tasks: JoinSet<()>) {
+    let mut acceptor = Acceptor { shared, tasks, last_accepted: 0, last_read: 0 };
+    loop {
+        acceptor.read_before_eviction().await;
+        tokio::select! {
+            accepted = listener.accept() => match accepted {
+                Ok((socket, _)) => acceptor.serve(socket),
+                Err(failure) => acceptor.make_room(&failure).await,
+            },
+            Some(ended) = acceptor.tasks.join_next() => if let Err(failure) = ended {
+                error!(%failure, "a task fails");
+            },
+        }
+    }
+}
+
+struct Acceptor {
+    shared: Rc<Shared>,
+    tasks: JoinSet<()>,
+    /// The newest connection.
+    last_accepted: ConnectionId,
+    /// The newest connection whose first bytes were read if they had come.
+    last_read: ConnectionId,
+}
+
+impl Acceptor {
+    /// Has whatever came on the connection that goes next read before a newer one replaces it: it may have joined. A
+    /// fixed time is no measure of that; the runtime has to poll its sockets once.
+    async fn read_before_eviction(&mut self) {
+        let evicted = self.shared.manager.borrow().next_evicted();
+        if evicted.is_some_and(|evicted| evicted > self.last_read) {
+            sleep(POLL_PAUSE).await;
+            self.last_read = self.last_accepted;
+        }
+    }
+
+    fn serve(&mut self, socket: TcpStream) {
+        let _ = socket.set_nodelay(true);
+        self.last_accepted += 1;
+        let id = self.last_accepted;
+        let queue = Rc::new(Outgoing::new(Patience::new(WRITE_TIMEOUT, MAX_UNWRITTEN)));
+        self.shared.write_queues.borrow_mut().insert(id, queue.clone());
+        self.shared.call(|manager, now| manager.connection_opened(now, id));
+        self.tasks.spawn_local(serve_connection(self.shared.clone(), socket, id, queue));
+    }
+
+    /// Descriptors may have run out: a peer that has not joined makes room, once what it sent was read.
+    async fn make_room(&mut self, failure: &std::io::Error) {
+        sleep(ACCEPT_RETRY_DELAY).await;
+        self.last_read = self.last_accepted;
+        self.shared.call(|manager, now| manager.accept_failed(now, &failure.to_string()));
+    }
+}
+
+/// Forgets the connection when it is dropped, whatever ends the connection's task.
+struct OpenConnection {
+    shared: Rc<Shared>,
+    id: ConnectionId,
+}
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.shared.write_queues.borrow_mut().remove(&self.id);
+        // Borrowed only where the session manager itself has failed, in a call from this task.
+        if let Ok(mut manager) = self.shared.manager.try_borrow_mut() {
+            manager.connection_closed(self.id);
+        }
+    }
+}
+
+async fn serve_connection(shared: Rc<Shared>, socket: TcpStream, id: ConnectionId, queue: Rc<Outgoing>) {
+    let open = OpenConnection { shared: shared.clone(), id };
+    let (reader, writer) = socket.into_split();
+    let mut writing = pin!(queue.write(writer, shared.started));
+    tokio::select! {
+        end = read_all(&shared, id, &reader) => {
+            drop(open);
+            if end == ReadEnd::Finished {
+                // The peer may still listen: it is owed the answer to its last message.
+                queue.close();
+                let _ = timeout(FINAL_WRITE_TIMEOUT, writing).await;
+            }
+        }
+        ended = &mut writing => {
+            if ended == Ended::Slow {
+                warn!(connection = id, "closes a connection that does not take its bytes");
+            }
+            drop(open);
+        }
+    }
+    debug!(connection = id, "a connection ends");
+}
+
+/// How reading ended.
+#[derive(PartialEq)]
+enum ReadEnd {
+    /// The peer sends no more.
+    Finished,
+    /// The connection broke.
+    Broken,
+}
+
+async fn read_all(shared: &Shared, id: ConnectionId, reader: &OwnedReadHalf) -> ReadEnd {
+    loop {
+        if reader.readable().await.is_err() {
+            return ReadEnd::Broken;
+        }
+        let mut buffer = shared.read_buffer.borrow_mut();
+        match reader.try_read(&mut buffer) {
+            Ok(0) => return ReadEnd::Finished,
+            Ok(length) => shared.call(|manager, now| manager.bytes_received(now, id, &buffer[..length])),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            Err(_) => return ReadEnd::Broken,
+        }
+    }
+}
--- a/crates/platform-server/src/discovery.rs
+++ b/crates/platform-server/src/discovery.rs
@@ -1,109 +1,153 @@
-//! Following the list of servers.
+//! Following the endpoint list at discovery.
 
-use crate::http::{Client, get};
-use crate::{Shared, unix_ms};
-use bytes::Bytes;
-use grebespool_platform_protocol::Call;
+use crate::http::{Client, HttpError, Response, get};
+use crate::shared::Shared;
+use grebespool_platform_protocol::{EndpointListError, ListRequest};
+use std::convert::Infallible;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::time::{Instant, sleep};
 use tracing::info;
 
-/// A watch goes on only if its next call comes soon after the last answer; this is well within.
-const BREATH: Duration = Duration::from_millis(60);
+/// The least time that a long poll takes, so that a service which answers at once is not asked without pause. A watch
+/// goes on only if the next request comes within 200 ms of the last answer.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(60);
+const STATUS_OK: u16 = 200;
 
-/// A connection to be used again, and the answer's status and body.
-type Answer = Result<(Option<Client>, u16, Bytes), String>;
+/// Why a watch ended.
+#[derive(Debug, Error)]
+enum WatchError {
+    #[error(transparent)]
+    Http(#[from] HttpError),
+    #[error(transparent)]
+    List(#[from] EndpointListError),
+    #[error("the request for the list was answered with status {0}")]
+    Status(u16),
+    #[error("the task that watches the list failed and was restarted")]
+    Restarted,
+}
+
+/// The outcome of a request, and the client for the next one.
+type Outcome = Result<(Option<Client>, Response), HttpError>;
+
+/// A request to the former address of discovery. What its answer brings counts as notified, whether or not the new
+/// address answers, so it is waited for beside the requests to the new one.
+struct FormerRequest(Pin<Box<dyn Future<Output = ()>>>);
 
-/// The call to the address that was left last, up to its answer's end. What the answer brings counts as told, whether
-/// or not the new address answers. Harm: one more connection, for as long as one call may take.
-type Left = Pin<Box<dyn Future<Output = ()>>>;
+impl FormerRequest {
+    fn none() -> Self {
+        FormerRequest(Box::pin(std::future::pending()))
+    }
 
-fn none_left() -> Left {
-    Box::pin(std::future::pending())
+    fn new(
+        shared: Rc<Shared>,
+        request: ListRequest,
+        pending: impl Future<Output = Outcome> + 'static,
+    ) -> Self {
+        FormerRequest(Box::pin(async move {
+            let outcome = pending.await;
+            if let Err(error) = take_outcome(&shared, &request, outcome) {
+                info!(address = %request.address, %error, "the former address of discovery gives no list");
+            }
+        }))
+    }
 }
 
-/// Watches the list whenever that is asked, until it fails: then it is for the decisions to ask again.
-pub async fn follow(shared: Rc<Shared>) {
-    if shared.watch.state.borrow().under_way() {
-        // The decisions believe that a watch is on, and would never ask again.
-        end(&shared, "the part that asks for it has ended and is begun anew");
+/// Watches the list whenever that is requested, until it fails; then the policy requests it again.
+pub(crate) async fn follow_endpoints(shared: Rc<Shared>) {
+    if shared.discovery.watch.borrow().is_active() {
+        // The policy takes the watch to be active, and would never request it again.
+        end_watch(&shared, &WatchError::Restarted);
     }
-    let mut left = none_left();
+    let mut former = FormerRequest::none();
     loop {
-        while !shared.watch.state.borrow_mut().begin() {
-            tokio::select! {
-                () = shared.watch.come.notified() => {}
-                () = &mut left => left = none_left(),
-            }
-        }
-        let why = watch(&shared, &mut left).await;
-        end(&shared, &why);
+        wait_for_request(&shared, &mut former).await;
+        let Err(error) = watch(&shared, &mut former).await;
+        end_watch(&shared, &error);
     }
 }
 
-fn end(shared: &Shared, why: &str) {
-    shared.watch.state.borrow_mut().ended();
-    shared.call(|station, now| station.list_failed(now, why));
+async fn wait_for_request(shared: &Shared, former: &mut FormerRequest) {
+    while !shared.discovery.watch.borrow_mut().begin() {
+        tokio::select! {
+            () = shared.discovery.requested.notified() => {}
+            () = &mut former.0 => *former = FormerRequest::none(),
+        }
+    }
 }
 
-async fn ask(call: Call, mut kept: Option<Client>) -> Answer {
-    let (status, body) = get(&mut kept, call.address, &call.path, call.limit).await?;
-    Ok((kept, status, body))
+fn end_watch(shared: &Shared, error: &WatchError) {
+    shared.discovery.watch.borrow_mut().end();
+    shared.call(|manager, now| manager.endpoint_list_failed(now, &error.to_string()));
 }
 
-fn take(shared: &Shared, call: &Call, answer: Answer) -> Result<Option<Client>, String> {
-    match answer? {
-        (client, 200, body) => {
-            shared.call(|station, now| station.list(now, unix_ms(), call.since, &body))?;
-            shared.watch.state.borrow_mut().answered(call);
-            Ok(client)
+/// Requests the list again and again.
+///
+/// # Errors
+///
+/// Why it ended.
+async fn watch(shared: &Rc<Shared>, former: &mut FormerRequest) -> Result<Infallible, WatchError> {
+    let mut client = None;
+    loop {
+        let known_version = shared.manager.borrow().endpoint_list_version();
+        let request = shared.discovery.watch.borrow().next_request(known_version);
+        let sent_at = Instant::now();
+        let mut pending = Box::pin(send(request.clone(), client.take()));
+        let Some(outcome) = outcome_or_move(shared, &request, &mut pending, former).await else {
+            let address = shared.discovery.watch.borrow().address();
+            info!(%address, "requests the list at another address");
+            *former = FormerRequest::new(shared.clone(), request, pending);
+            continue;
+        };
+        client = take_outcome(shared, &request, outcome)?;
+        // This list is newer, and versions of the former address mean something else.
+        *former = FormerRequest::none();
+        if request.long_poll && sent_at.elapsed() < MIN_POLL_INTERVAL {
+            sleep(MIN_POLL_INTERVAL).await;
         }
-        (_, status, _) => Err(format!("the call for the list was answered with status {status}")),
     }
 }
 
-/// Gives why it ended.
-async fn watch(shared: &Rc<Shared>, left: &mut Left) -> String {
-    let mut kept = None;
+async fn send(request: ListRequest, mut client: Option<Client>) -> Outcome {
+    let response = get(&mut client, request.address, &request.path, request.timeout).await?;
+    Ok((client, response))
+}
+
+/// Waits for the outcome of a request. None if discovery got another address first.
+async fn outcome_or_move(
+    shared: &Shared,
+    request: &ListRequest,
+    mut pending: impl Future<Output = Outcome> + Unpin,
+    former: &mut FormerRequest,
+) -> Option<Outcome> {
     loop {
-        let known = shared.station.borrow().list_version();
-        let call = shared.watch.state.borrow().call(known);
-        let began = Instant::now();
-        let mut asking = Box::pin(ask(call.clone(), kept.take()));
-        let answer = loop {
-            tokio::select! {
-                answer = &mut asking => break Some(answer),
-                () = &mut *left => *left = none_left(),
-                () = shared.watch.moved.notified() => {
-                    // A move from before this call was made is no news to it.
-                    if shared.watch.state.borrow().address() != call.address {
-                        break None;
-                    }
+        tokio::select! {
+            outcome = &mut pending => return Some(outcome),
+            () = &mut former.0 => *former = FormerRequest::none(),
+            () = shared.discovery.address_changed.notified() => {
+                // A change from before this request was made is nothing new to it.
+                if shared.discovery.watch.borrow().address() != request.address {
+                    return None;
                 }
             }
-        };
-        let Some(answer) = answer else {
-            info!(address = %shared.watch.state.borrow().address(), "the list is asked at another address");
-            let shared = shared.clone();
-            *left = Box::pin(async move {
-                let answer = asking.await;
-                if let Err(why) = take(&shared, &call, answer) {
-                    info!(address = %call.address, why, "the address that was left has no more to tell");
-                }
-            });
-            continue;
-        };
-        match take(shared, &call, answer) {
-            Ok(client) => kept = client,
-            Err(why) => return why,
-        }
-        // This list is newer, and what its address calls its versions is not what the other did.
-        *left = none_left();
-        // Against a service that answers at once, again and again: it would be asked without pause.
-        if began.elapsed() < BREATH && call.waits {
-            sleep(BREATH).await;
         }
     }
 }
+
+/// Passes a list on. Gives the client for the next request.
+fn take_outcome(
+    shared: &Shared,
+    request: &ListRequest,
+    outcome: Outcome,
+) -> Result<Option<Client>, WatchError> {
+    let (client, response) = outcome?;
+    if response.status != STATUS_OK {
+        return Err(WatchError::Status(response.status));
+    }
+    let received = shared.received_at();
+    shared.call(|manager, _| manager.endpoint_list_received(received, request.since, &response.body))?;
+    shared.discovery.watch.borrow_mut().answered(request);
+    Ok(client)
+}
--- a/crates/platform-server/src/http.rs
+++ b/crates/platform-server/src/http.rs
@@ -1,21 +1,44 @@
-//! Calls over HTTP/1.1, each within a limit of its own.
+//! HTTP/1.1 requests, each with one time limit.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{Request, header};
 use hyper_util::rt::TokioIo;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
+use thiserror::Error;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// The longest answer that is taken.
-const MOST_BODY: usize = 2 << 20;
+/// The longest response body in bytes: an endpoint list of some 10,000 servers.
+const MAX_BODY_LENGTH: usize = 2 << 20;
 
-/// A connection that may be used for one call after another.
-pub struct Client {
+/// Why a request failed.
+#[derive(Debug, Error)]
+pub(crate) enum HttpError {
+    #[error(transparent)]
+    Connect(#[from] io::Error),
+    #[error(transparent)]
+    Protocol(#[from] hyper::Error),
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    #[error("{0}")]
+    Body(Box<dyn std::error::Error + Send + Sync>),
+    #[error("no answer within {0:?}")]
+    TimedOut(Duration),
+}
+
+/// Status and body of a response.
+pub(crate) struct Response {
+    pub(crate) status: u16,
+    pub(crate) body: Bytes,
+}
+
+/// A connection for one request after another. Its task ends with it.
+pub(crate) struct Client {
     address: SocketAddr,
     sender: SendRequest<Empty<Bytes>>,
     driver: AbortHandle,
@@ -28,52 +51,59 @@
 }
 
 impl Client {
-    async fn dial(address: SocketAddr) -> Result<Client, String> {
-        let socket = TcpStream::connect(address).await.map_err(|e| e.to_string())?;
+    async fn connect(address: SocketAddr) -> Result<Client, HttpError> {
+        let socket = TcpStream::connect(address).await?;
         let _ = socket.set_nodelay(true);
-        let (sender, connection) = handshake(TokioIo::new(socket)).await.map_err(|e| e.to_string())?;
+        let (sender, connection) = handshake(TokioIo::new(socket)).await?;
         let driver = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
         Ok(Client { address, sender, driver })
     }
 
-    async fn call(&mut self, path: &str) -> Result<(u16, Bytes), String> {
-        let call = Request::get(path).header(header::HOST, self.address.to_string());
-        let call = call.body(Empty::new()).map_err(|e| e.to_string())?;
-        let answer = self.sender.send_request(call).await.map_err(|e| e.to_string())?;
-        let status = answer.status().as_u16();
-        let body = Limited::new(answer.into_body(), MOST_BODY).collect().await.map_err(|e| e.to_string())?;
-        Ok((status, body.to_bytes()))
+    async fn get(&mut self, path: &str) -> Result<Response, HttpError> {
+        let request = Request::get(path).header(header::HOST, self.address.to_string());
+        let response = self.sender.send_request(request.body(Empty::new())?).await?;
+        let status = response.status().as_u16();
+        let body = Limited::new(response.into_body(), MAX_BODY_LENGTH).collect().await;
+        Ok(Response { status, body: body.map_err(HttpError::Body)?.to_bytes() })
+    }
+
+    fn is_usable(&self, address: SocketAddr) -> bool {
+        self.address == address && !self.sender.is_closed()
     }
 }
 
-/// One call, over the connection that is kept or a new one, which is kept for the next. The limit holds for all of it
-/// together, against an answer that trickles.
-pub async fn get(
-    kept: &mut Option<Client>,
+/// Sends one request, over the client that is left from an earlier one or a new one, and leaves it for the next. The
+/// time limit is for the whole request, so that a response in small pieces does not extend it.
+pub(crate) async fn get(
+    idle: &mut Option<Client>,
     address: SocketAddr,
     path: &str,
     limit: Duration,
-) -> Result<(u16, Bytes), String> {
-    let client = kept.take().filter(|c| c.address == address && !c.sender.is_closed());
-    let calling = async {
-        if let Some(mut client) = client {
-            // One that was closed while it lay idle tells nothing of the service.
-            if client.sender.ready().await.is_ok()
-                && let Ok(answer) = client.call(path).await
-            {
-                return Ok((client, answer));
-            }
+) -> Result<Response, HttpError> {
+    let usable = idle.take().filter(|client| client.is_usable(address));
+    match timeout(limit, get_with(usable, address, path)).await {
+        Ok(result) => {
+            let (client, response) = result?;
+            *idle = Some(client);
+            Ok(response)
         }
-        let mut client = Client::dial(address).await?;
-        let answer = client.call(path).await?;
-        Ok((client, answer))
-    };
-    match timeout(limit, calling).await {
-        Ok(Ok((client, answer))) => {
-            *kept = Some(client);
-            Ok(answer)
-        }
-        Ok(Err(why)) => Err(why),
-        Err(_) => Err(format!("no answer within {limit:?}")),
+        Err(_) => Err(HttpError::TimedOut(limit)),
+    }
+}
+
+async fn get_with(
+    idle: Option<Client>,
+    address: SocketAddr,
+    path: &str,
+) -> Result<(Client, Response), HttpError> {
+    if let Some(mut client) = idle
+        // One that was closed while it was idle tells nothing of the service.
+        && client.sender.ready().await.is_ok()
+        && let Ok(response) = client.get(path).await
+    {
+        return Ok((client, response));
     }
+    let mut client = Client::connect(address).await?;
+    let response = client.get(path).await?;
+    Ok((client, response))
 }
--- a/crates/platform-server/src/log.rs
+++ b/crates/platform-server/src/log.rs
@@ -1,5 +1,5 @@
-//! The log, written by a thread of its own. Whoever reads it may stop reading, or be gone: a planner that writes to a full
-//! pipe itself stands still, and with it every proxy's drains.
+//! The log, written by a thread of its own. Its reader may stop reading, or be gone; a planner that writes to a full pipe
+//! itself would stand still, and with it the drains of every proxy.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -9,31 +9,33 @@
 use std::time::Duration;
 use tracing::Level;
 
-/// Lines that may wait for their reader; more are counted and left out.
-const MOST_WAITING: usize = 256;
-/// Names the least important level that is logged, such as `debug`; `info` where it is not set.
-const LEVEL: &str = "GREBESPOOL_LOG";
+/// Lines that may wait to be written; more are dropped and counted.
+const MAX_QUEUED_LINES: usize = 256;
+/// Names the least severe level that is logged, such as `debug`.
+const LEVEL_VARIABLE: &str = "GREBESPOOL_LOG";
+/// The level where that is not set.
+const DEFAULT_LEVEL: Level = Level::INFO;
 /// How long the last lines are waited for at the end.
-const LAST_LINES: Duration = Duration::from_millis(100);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 enum Entry {
     Line(Vec<u8>),
-    /// All lines before it were written.
-    Written(SyncSender<()>),
+    /// To be answered once all lines before it are written.
+    Flush(SyncSender<()>),
 }
 
-/// What gathers one event's text. The formatter writes each event at once.
-struct Line {
-    to: SyncSender<Entry>,
-    left_out: Arc<AtomicU64>,
+/// Takes the formatted line of one event. The formatter writes each event at once.
+struct LineSender {
+    entries: SyncSender<Entry>,
+    dropped: Arc<AtomicU64>,
 }
 
-impl Write for Line {
-    fn write(&mut self, text: &[u8]) -> std::io::Result<usize> {
-        if self.to.try_send(Entry::Line(text.to_vec())).is_err() {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+impl Write for LineSender {
+    fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
+        if self.entries.try_send(Entry::Line(line.to_vec())).is_err() {
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
-        Ok(text.len())
+        Ok(line.len())
     }
 
     fn flush(&mut self) -> std::io::Result<()> {
@@ -41,53 +43,56 @@
     }
 }
 
-/// The log of this process.
-pub struct Log(Option<SyncSender<Entry>>);
+/// The log of this process on standard error.
+pub struct BackgroundLog {
+    /// Unset where another log was set up before.
+    entries: Option<SyncSender<Entry>>,
+}
 
-impl Log {
-    /// Writes to standard error, where nobody else has set up a log.
-    pub fn start() -> Log {
-        let (to, lines) = sync_channel(MOST_WAITING);
-        let left_out = Arc::new(AtomicU64::new(0));
-        let line = Line { to: to.clone(), left_out: left_out.clone() };
-        let begun = tracing_subscriber::fmt()
-            .with_writer(move || Line { to: line.to.clone(), left_out: line.left_out.clone() })
+impl BackgroundLog {
+    /// Sets up the log of the process, unless another was set up before. Where no thread can be started, all lines are
+    /// dropped.
+    pub fn start() -> Self {
+        let (entries, queue) = sync_channel(MAX_QUEUED_LINES);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let (to_queue, dropped_by_sender) = (entries.clone(), dropped.clone());
+        let set_up = tracing_subscriber::fmt()
+            .with_writer(move || LineSender { entries: to_queue.clone(), dropped: dropped_by_sender.clone() })
             .with_ansi(false)
             .with_max_level(level())
             .try_init();
-        if begun.is_err() {
-            return Log(None);
+        if set_up.is_err() {
+            return BackgroundLog { entries: None };
         }
-        // Where no thread can be had, lines are left out and the planner serves on.
-        let _ = thread::Builder::new().name("log".into()).spawn(move || write(&lines, &left_out));
-        Log(Some(to))
+        let _ = thread::Builder::new().name("log".into()).spawn(move || write_entries(&queue, &dropped));
+        BackgroundLog { entries: Some(entries) }
     }
 
-    /// Waits for the last lines, but not for a reader that takes none.
-    pub fn end(self) {
+    /// Waits for the last lines to be written, but not for a reader that takes none.
+    pub fn finish(self) {
         let (done, written) = sync_channel(1);
-        if self.0.is_some_and(|to| to.try_send(Entry::Written(done)).is_ok()) {
-            let _ = written.recv_timeout(LAST_LINES);
+        if self.entries.is_some_and(|entries| entries.try_send(Entry::Flush(done)).is_ok()) {
+            let _ = written.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
 fn level() -> Level {
-    let told = std::env::var(LEVEL).ok();
-    told.and_then(|name| name.parse().ok()).unwrap_or(Level::INFO)
+    let name = std::env::var(LEVEL_VARIABLE).ok();
+    name.and_then(|name| name.parse().ok()).unwrap_or(DEFAULT_LEVEL)
 }
 
-fn write(lines: &Receiver<Entry>, left_out: &AtomicU64) {
-    let mut to = std::io::stderr();
-    for entry in lines {
-        // A reader that is gone is no reason to end, nor to say so: there is nowhere else to say it.
+/// Errors are ignored: where the reader is gone there is nowhere else to report them.
+fn write_entries(queue: &Receiver<Entry>, dropped: &AtomicU64) {
+    let mut output = std::io::stderr();
+    for entry in queue {
         match entry {
-            Entry::Line(text) => drop(to.write_all(&text)),
-            Entry::Written(done) => drop(done.try_send(())),
+            Entry::Line(line) => drop(output.write_all(&line)),
+            Entry::Flush(done) => drop(done.try_send(())),
         }
-        match left_out.swap(0, Ordering::Relaxed) {
-            0 => {}
-            n => drop(writeln!(to, "{n} lines of the log were left out: they were not taken in time")),
+        let dropped = dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            drop(writeln!(output, "{dropped} lines of the log were dropped: the reader is too slow"));
         }
     }
 }
--- /dev/null
+++ b/crates/platform-server/src/shared.rs
@@ -0,0 +1,158 @@
+//! What the tasks of one planner share, and the session manager's effects on them.
+
+use crate::health_check::HealthChecks;
+use crate::log_event::log_event;
+use grebespool::host::HealthCheckResult;
+use grebespool_platform_protocol::{
+    ConnectionId, Effects, EndpointWatch, Event, PlannerConfig, ReceivedAt, SessionManager,
+};
+use grebespool_write_queue::Outgoing;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::sync::Notify;
+use tokio::time::Instant;
+use tracing::Level;
+
+/// Descriptors that are reserved for the runtime, the log, discovery, and a few to spare, beside the health checks.
+const OTHER_DESCRIPTORS: usize = 24;
+/// Descriptors that peers which have not joined cannot take.
+const RESERVED_DESCRIPTORS: usize = OTHER_DESCRIPTORS + HealthChecks::MAX_CONCURRENT;
+/// Bytes read from a socket at a time.
+const READ_BUFFER_LENGTH: usize = 16 << 10;
+/// A connection with more unwritten bytes than this is cut when it is closed: its reader would not take the rest.
+const MAX_UNWRITTEN_AT_CLOSE: usize = 1 << 10;
+
+/// The write queues of all connections.
+type WriteQueues = Rc<RefCell<BTreeMap<ConnectionId, Rc<Outgoing>>>>;
+
+/// What the tasks of one planner share.
+///
+/// All of it is used on one thread, and no borrow lives over an await. The effects of the session manager borrow the
+/// write queues, the watch and the health checks, so none of these may be borrowed while it is called.
+pub(crate) struct Shared {
+    /// When the planner started; its clock counts from here.
+    pub(crate) started: Instant,
+    pub(crate) manager: RefCell<SessionManager<TaskEffects>>,
+    pub(crate) write_queues: WriteQueues,
+    /// The session manager was called, so its next deadline may be earlier.
+    pub(crate) manager_called: Notify,
+    pub(crate) discovery: Rc<DiscoveryState>,
+    pub(crate) health_checks: Rc<HealthChecks>,
+    /// One buffer for all reads: hundreds of idle connections hold none of their own.
+    pub(crate) read_buffer: RefCell<Vec<u8>>,
+}
+
+/// What the task that follows discovery is to do.
+pub(crate) struct DiscoveryState {
+    pub(crate) watch: RefCell<EndpointWatch>,
+    /// A watch was requested.
+    pub(crate) requested: Notify,
+    /// Discovery has another address.
+    pub(crate) address_changed: Notify,
+}
+
+impl Shared {
+    pub(crate) fn new(config: PlannerConfig) -> Self {
+        let started = Instant::now();
+        let write_queues = WriteQueues::default();
+        let discovery = Rc::new(DiscoveryState {
+            watch: RefCell::new(EndpointWatch::new(config.discovery)),
+            requested: Notify::new(),
+            address_changed: Notify::new(),
+        });
+        let health_checks = Rc::new(HealthChecks::default());
+        let effects = TaskEffects {
+            started,
+            write_queues: write_queues.clone(),
+            discovery: discovery.clone(),
+            health_checks: health_checks.clone(),
+        };
+        let mut manager = SessionManager::new(effects, config, RESERVED_DESCRIPTORS, unix_ms());
+        if tracing::enabled!(Level::DEBUG) {
+            manager.log_weights();
+        }
+        Shared {
+            started,
+            manager: RefCell::new(manager),
+            write_queues,
+            manager_called: Notify::new(),
+            discovery,
+            health_checks,
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_LENGTH]),
+        }
+    }
+
+    /// Time since the planner's start.
+    pub(crate) fn now(&self) -> Duration {
+        self.started.elapsed()
+    }
+
+    /// This moment by both clocks.
+    pub(crate) fn received_at(&self) -> ReceivedAt {
+        ReceivedAt { now: self.now(), unix_ms: unix_ms() }
+    }
+
+    /// Calls the session manager at this moment, and has its timer check the next deadline.
+    pub(crate) fn call<T>(&self, call: impl FnOnce(&mut SessionManager<TaskEffects>, Duration) -> T) -> T {
+        let result = call(&mut self.manager.borrow_mut(), self.now());
+        self.manager_called.notify_one();
+        result
+    }
+
+    pub(crate) fn health_check_finished(
+        &self,
+        server: String,
+        address: SocketAddr,
+        result: HealthCheckResult,
+    ) {
+        self.health_checks.finished(&server, address);
+        self.call(|manager, _| manager.health_check_finished(&server, address, result));
+    }
+}
+
+/// The machines' clock, in Unix milliseconds.
+fn unix_ms() -> f64 {
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1000.0)
+}
+
+/// Hands what the session manager asks for to the tasks.
+pub(crate) struct TaskEffects {
+    started: Instant,
+    write_queues: WriteQueues,
+    discovery: Rc<DiscoveryState>,
+    health_checks: Rc<HealthChecks>,
+}
+
+impl Effects for TaskEffects {
+    fn write(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        if let Some(queue) = self.write_queues.borrow().get(&connection) {
+            queue.put(self.started.elapsed(), bytes);
+        }
+    }
+
+    fn close(&mut self, connection: ConnectionId) {
+        if let Some(queue) = self.write_queues.borrow().get(&connection) {
+            if queue.waiting() > MAX_UNWRITTEN_AT_CLOSE { queue.cut() } else { queue.close() }
+        }
+    }
+
+    fn start_health_check(&mut self, server: &str, address: SocketAddr) {
+        self.health_checks.request(server, address);
+    }
+
+    fn watch_endpoints(&mut self) {
+        self.discovery.watch.borrow_mut().request();
+        self.discovery.requested.notify_one();
+    }
+
+    fn request_full_list(&mut self) {
+        self.discovery.watch.borrow_mut().request_full_list();
+    }
+
+    fn log(&mut self, event: &Event) {
+        log_event(event);
+    }
+}
--- /dev/null
+++ b/crates/platform-server/src/tasks.rs
@@ -0,0 +1,122 @@
+//! The tasks of one planner: their start, their restart after a failure, and the small ones themselves.
+
+use crate::config_file::read_config;
+use crate::connection::accept_connections;
+use crate::discovery::follow_endpoints;
+use crate::health_check::run_health_checks;
+use crate::shared::Shared;
+use grebespool_platform_protocol::{PlannerConfig, Status};
+use std::path::{Path, PathBuf};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
+use tokio::task::JoinSet;
+use tokio::time::{sleep, sleep_until};
+use tracing::{error, info, warn};
+
+/// The pause before a failed task is restarted.
+const RESTART_DELAY: Duration = Duration::from_secs(1);
+/// The time between two status lines.
+const STATUS_INTERVAL: Duration = Duration::from_secs(10);
+/// How often a configuration file that cannot be used is read after one signal: it may not be complete yet.
+const RELOAD_ATTEMPTS: u32 = 20;
+/// The pause between two of these attempts.
+const RELOAD_DELAY: Duration = Duration::from_millis(100);
+
+/// Serves until it is dropped.
+pub(crate) async fn serve(listener: TcpListener, config: PlannerConfig, file: PathBuf, hangups: Signal) {
+    let shared = Rc::new(Shared::new(config));
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(restart_on_failure(shared.clone(), "timer", run_timer));
+    tasks.spawn_local(restart_on_failure(shared.clone(), "discovery", follow_endpoints));
+    tasks.spawn_local(restart_on_failure(shared.clone(), "health checks", run_health_checks));
+    tasks.spawn_local(reload_on_hangup(shared.clone(), file, hangups));
+    tasks.spawn_local(log_status(shared.clone()));
+    // A task like the others, so that they have their turns before it: what is awaited here goes before all of them.
+    let mut accepting = JoinSet::new();
+    accepting.spawn_local(accept_connections(shared, listener, tasks));
+    if let Some(Err(failure)) = accepting.join_next().await
+        && let Ok(panic) = failure.try_into_panic()
+    {
+        std::panic::resume_unwind(panic);
+    }
+}
+
+/// Runs a task, and again after it has failed, so that a fault in one task does not end the service. One that fails
+/// each time logs a line each second.
+async fn restart_on_failure<F: Future<Output = ()> + 'static>(
+    shared: Rc<Shared>,
+    name: &'static str,
+    task: fn(Rc<Shared>) -> F,
+) {
+    loop {
+        let mut running = JoinSet::new();
+        running.spawn_local(task(shared.clone()));
+        if let Some(Err(failure)) = running.join_next().await {
+            error!(task = name, %failure, "a task fails and is restarted");
+        }
+        sleep(RESTART_DELAY).await;
+    }
+}
+
+/// Calls the session manager at its deadlines.
+async fn run_timer(shared: Rc<Shared>) {
+    loop {
+        let deadline = shared.manager.borrow().next_deadline();
+        tokio::select! {
+            () = sleep_until(shared.started + deadline) => {
+                let now = shared.now();
+                shared.manager.borrow_mut().timer_fired(now);
+            }
+            () = shared.manager_called.notified() => {}
+        }
+    }
+}
+
+async fn log_status(shared: Rc<Shared>) {
+    loop {
+        sleep(STATUS_INTERVAL).await;
+        let Status {
+            joined_proxies,
+            unknown_peers,
+            listed_servers,
+            ready_servers,
+            server_indices,
+            list_version,
+        } = shared.manager.borrow().status();
+        info!(
+            joined_proxies,
+            unknown_peers, listed_servers, ready_servers, server_indices, list_version, "serves"
+        );
+    }
+}
+
+/// Reads the file again after each signal. One that cannot be used, or not yet, changes nothing.
+async fn reload_on_hangup(shared: Rc<Shared>, file: PathBuf, mut hangups: Signal) {
+    while hangups.recv().await.is_some() {
+        reload(&shared, &file).await;
+    }
+}
+
+async fn reload(shared: &Shared, file: &Path) {
+    for attempt in 1..=RELOAD_ATTEMPTS {
+        match read_config(file) {
+            Ok(config) => return apply_config(shared, &config),
+            Err(error) => {
+                if attempt == 1 || attempt == RELOAD_ATTEMPTS {
+                    warn!(%error, attempt, "cannot reload the configuration; keeps the one in force");
+                }
+                sleep(RELOAD_DELAY).await;
+            }
+        }
+    }
+}
+
+/// Only discovery's address takes effect without a restart.
+fn apply_config(shared: &Shared, config: &PlannerConfig) {
+    info!(discovery = %config.discovery, "reloads the configuration");
+    if shared.discovery.watch.borrow_mut().set_address(config.discovery) {
+        shared.discovery.address_changed.notify_one();
+    }
+}
--- a/crates/scale-bench/src/station.rs
+++ b/crates/scale-bench/src/station.rs
@@ -2,7 +2,7 @@
 //! of servers and, where asked, proxies whose bytes go nowhere.
 
 use crate::resources::timed;
-use grebespool_platform_protocol::{Conn, Outlet, Station, Terms};
+use grebespool_platform_protocol::{ConnectionId, Effects, Event, PlannerConfig, ReceivedAt, SessionManager};
 use grebespool_test_cluster::{frame, server, settings};
 use serde_json::{Value, json};
 use std::cell::Cell;
@@ -57,20 +57,18 @@
     bytes: Rc<Cell<u64>>,
 }
 
-impl Outlet for Discarded {
-    fn write(&mut self, _: Conn, bytes: &[u8]) {
+impl Effects for Discarded {
+    fn write(&mut self, _: ConnectionId, bytes: &[u8]) {
         self.bytes.set(self.bytes.get() + bytes.len() as u64);
     }
-    fn close(&mut self, _: Conn) {}
-    fn probe(&mut self, _: &str, _: SocketAddr) {}
-    fn watch(&mut self) {}
-    fn ask_whole(&mut self) {}
-    fn say(&mut self, _: &str) {}
-    fn note(&mut self, _: &str) {}
-    fn debug(&mut self, _: &str) {}
+    fn close(&mut self, _: ConnectionId) {}
+    fn start_health_check(&mut self, _: &str, _: SocketAddr) {}
+    fn watch_endpoints(&mut self) {}
+    fn request_full_list(&mut self) {}
+    fn log(&mut self, _: &Event) {}
 }
 
-fn terms(size: StationSize) -> Result<Terms, Unstartable> {
+fn config(size: StationSize) -> Result<PlannerConfig, Unstartable> {
     let mut settings = settings();
     let class = settings["classes"][0].clone();
     let classes = (0..size.routes).map(|k| {
@@ -86,7 +84,8 @@
         "name": "p0", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:8", "seed": "8c1f", "settings": settings,
         "limits": {"sockets": size.proxies + 1024}, "known": {"version": 1, "full": true, "servers": servers},
     });
-    Terms::read(file.to_string().as_bytes()).map_err(|bad| Unstartable { size, cause: bad.to_string() })
+    PlannerConfig::parse(file.to_string().as_bytes())
+        .map_err(|error| Unstartable { size, cause: error.to_string() })
 }
 
 fn zones(count: usize) -> Vec<String> {
@@ -100,17 +99,17 @@
 }
 
 /// Lets the planner's clock run, calling it whenever it is due. Gives the processor time.
-fn run(station: &mut Station<Discarded>, now: &mut Duration, span: Duration) -> Duration {
+fn run(manager: &mut SessionManager<Discarded>, now: &mut Duration, span: Duration) -> Duration {
     let end = *now + span;
     let mut took = Duration::ZERO;
     loop {
-        let due = station.due().max(*now);
+        let due = manager.next_deadline().max(*now);
         if due > end {
             *now = end;
             return took;
         }
         *now = due;
-        took += timed(|| station.woken(due)).1;
+        took += timed(|| manager.timer_fired(due)).1;
         *now += Duration::from_millis(1);
     }
 }
@@ -124,21 +123,21 @@
     const IDLE: Duration = Duration::from_secs(20);
     const CHANGES: usize = 8;
     let before = allocated();
-    let terms = terms(size)?;
+    let config = config(size)?;
     let bytes = Rc::new(Cell::new(0));
-    let mut station = Station::start(Discarded { bytes: bytes.clone() }, terms, KEPT_FREE, START_MS);
+    let mut manager = SessionManager::new(Discarded { bytes: bytes.clone() }, config, KEPT_FREE, START_MS);
     let mut now = Duration::ZERO;
-    run(&mut station, &mut now, Duration::from_secs(3));
+    run(&mut manager, &mut now, Duration::from_secs(3));
     for proxy in 0..size.proxies {
-        let conn = proxy as Conn + 1;
-        station.opened(now, conn);
+        let conn = proxy as ConnectionId + 1;
+        manager.connection_opened(now, conn);
         let join = json!({"msg": "SUBSCRIBE", "node": proxy, "locality": format!("zone-{}", proxy % size.zones),
                           "w": 1.0, "cold": true});
-        station.came(now, conn, &frame(&join));
+        manager.bytes_received(now, conn, &frame(&join));
     }
-    run(&mut station, &mut now, Duration::from_secs(3));
+    run(&mut manager, &mut now, Duration::from_secs(3));
     let held = allocated().saturating_sub(before);
-    let idle = run(&mut station, &mut now, IDLE).as_secs_f64() / IDLE.as_secs_f64();
+    let idle = run(&mut manager, &mut now, IDLE).as_secs_f64() / IDLE.as_secs_f64();
     let mut changing = Duration::ZERO;
     let before = bytes.get();
     for k in 0..CHANGES {
@@ -146,10 +145,11 @@
             listed(k % size.servers.max(1), if k % 2 == 0 { "DRAINING" } else { "SERVING" }, size.zones);
         let version = k as u64 + 2;
         let body = json!({"version": version, "full": false, "servers": [entry]}).to_string();
-        let unix = START_MS + now.as_secs_f64() * 1000.0;
-        let (taken, took) = timed(|| station.list(now, unix, Some(version - 1), body.as_bytes()));
-        taken.map_err(|cause| Unstartable { size, cause })?;
-        changing += took + run(&mut station, &mut now, Duration::from_secs(1));
+        let received = ReceivedAt { now, unix_ms: START_MS + now.as_secs_f64() * 1000.0 };
+        let (taken, took) =
+            timed(|| manager.endpoint_list_received(received, Some(version - 1), body.as_bytes()));
+        taken.map_err(|error| Unstartable { size, cause: error.to_string() })?;
+        changing += took + run(&mut manager, &mut now, Duration::from_secs(1));
     }
     let changes = CHANGES as u32;
     let per_change = (changing / changes).saturating_sub(Duration::from_secs_f64(idle));
