--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -3,7 +3,7 @@
 use crate::connections::Connections;
 use crate::wire::names::config as names;
 use grebespool::host::{ControlChannelLimits, Observability, ProxyCapabilities, Route, Timeouts};
-use grebespool_platform_settings::{Malformed, Stated};
+use grebespool_platform_settings::{PlatformSettings, SettingsError};
 use serde_json::Value;
 use std::net::{AddrParseError, SocketAddr};
 use std::num::ParseIntError;
@@ -46,7 +46,7 @@
     Seed(ParseIntError),
     /// A setting is missing or wrong.
     #[error("settings: {0}")]
-    Setting(Malformed),
+    Setting(SettingsError),
     /// The deployment has slices.
     #[error("settings.familyInfo.slices: sites with slices are not planned for yet")]
     Slices,
@@ -103,10 +103,10 @@
         let seed = seed(&file)?;
         let settings = settings(&file)?;
         let route_entries = array(settings.get(names::ROUTES), "settings.classes")?;
-        let stated = Stated::json(settings);
-        let routes = stated.routes().map_err(ConfigError::Setting)?;
-        let observability = observability(&stated)?;
-        let proxy_capabilities = proxy_capabilities(&stated, &routes)?;
+        let deployment = PlatformSettings::from_json(settings);
+        let routes = deployment.routes().map_err(ConfigError::Setting)?;
+        let observability = observability(&deployment)?;
+        let proxy_capabilities = proxy_capabilities(&deployment, &routes)?;
         Ok(PlannerConfig {
             name: text_field(&file, names::NAME).unwrap_or("planner").into(),
             listen: address(&file, names::LISTEN)?,
@@ -119,8 +119,8 @@
             zones: name_list(settings.get(names::ZONES), "settings.zones")?,
             proxy_capabilities,
             metric_names: metric_names(settings)?,
-            timeouts: stated.graces().map_err(ConfigError::Setting)?,
-            channel: stated.pace().map_err(ConfigError::Setting)?,
+            timeouts: deployment.timeouts().map_err(ConfigError::Setting)?,
+            channel: deployment.control_channel_limits().map_err(ConfigError::Setting)?,
             observability,
         })
     }
@@ -183,14 +183,17 @@
 }
 
 /// Where the simulator pushes the list, the platform tells it only to who asks and goes on asking.
-fn observability(stated: &Stated) -> Result<Observability, ConfigError> {
-    let mut observability = stated.sight().map_err(ConfigError::Setting)?;
+fn observability(deployment: &PlatformSettings) -> Result<Observability, ConfigError> {
+    let mut observability = deployment.observability().map_err(ConfigError::Setting)?;
     observability.endpoint_poll_interval.get_or_insert(PlannerConfig::DEFAULT_LIST_INTERVAL);
     Ok(observability)
 }
 
-fn proxy_capabilities(stated: &Stated, routes: &[Route]) -> Result<ProxyCapabilities, ConfigError> {
-    let proxies = stated.plane().map_err(ConfigError::Setting)?;
+fn proxy_capabilities(
+    deployment: &PlatformSettings,
+    routes: &[Route],
+) -> Result<ProxyCapabilities, ConfigError> {
+    let proxies = deployment.proxy_capabilities().map_err(ConfigError::Setting)?;
     if routes.is_empty() {
         return Err(ConfigError::Empty("settings.classes"));
     }
--- a/crates/platform-protocol/src/connections.rs
+++ b/crates/platform-protocol/src/connections.rs
@@ -32,13 +32,13 @@
     pub last_received_at: Duration,
     /// Messages in a row that could not be parsed.
     pub unreadable_messages: u32,
-    /// Marks that were sent on this stream and not acknowledged, oldest first.
-    pub pending_marks: VecDeque<u16>,
+    /// Ack tokens that were sent on this stream and not returned, oldest first.
+    pub pending_acks: VecDeque<u16>,
 }
 
 impl Connection {
-    /// Marks that a proxy may leave unacknowledged before the oldest is forgotten.
-    const MAX_PENDING_MARKS: usize = 256;
+    /// Ack tokens that a proxy may leave unacknowledged before the oldest is forgotten.
+    const MAX_PENDING_ACKS: usize = 256;
 
     fn new(now: Duration) -> Self {
         Connection {
@@ -47,7 +47,7 @@
             waiting_since: now,
             last_received_at: now,
             unreadable_messages: 0,
-            pending_marks: VecDeque::new(),
+            pending_acks: VecDeque::new(),
         }
     }
 
@@ -74,20 +74,20 @@
         }
     }
 
-    /// A mark was sent.
-    pub(crate) fn mark_sent(&mut self, mark: u16) {
-        self.pending_marks.push_back(mark);
-        if self.pending_marks.len() > Self::MAX_PENDING_MARKS {
-            self.pending_marks.pop_front();
+    /// An ack token was sent.
+    pub(crate) fn ack_requested(&mut self, token: u16) {
+        self.pending_acks.push_back(token);
+        if self.pending_acks.len() > Self::MAX_PENDING_ACKS {
+            self.pending_acks.pop_front();
         }
     }
 
-    /// Forgets this mark and all older ones. Whether it was pending.
-    pub(crate) fn acknowledge(&mut self, mark: u32) -> bool {
-        let Some(position) = self.pending_marks.iter().position(|sent| u32::from(*sent) == mark) else {
+    /// Forgets this ack token and all older ones. Whether it was pending.
+    pub(crate) fn acknowledge(&mut self, token: u32) -> bool {
+        let Some(position) = self.pending_acks.iter().position(|sent| u32::from(*sent) == token) else {
             return false;
         };
-        self.pending_marks.drain(..=position);
+        self.pending_acks.drain(..=position);
         true
     }
 
--- a/crates/platform-protocol/src/event.rs
+++ b/crates/platform-protocol/src/event.rs
@@ -103,16 +103,16 @@
     pub servers: NameList,
 }
 
-/// The weight of one server.
+/// The weight of one server in a table, for the log.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerWeight {
+pub struct LoggedWeight {
     /// The id of the server.
     pub server: String,
     /// Its weight; 0 where it was removed.
     pub weight: f32,
 }
 
-impl fmt::Display for ServerWeight {
+impl fmt::Display for LoggedWeight {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} {:.3}", self.server, self.weight)
     }
@@ -131,7 +131,7 @@
     /// The sum of all its weights.
     pub sum: f32,
     /// Weights that changed.
-    pub changed: Vec<ServerWeight>,
+    pub changed: Vec<LoggedWeight>,
 }
 
 /// Something to be logged.
--- a/crates/platform-protocol/src/event_log.rs
+++ b/crates/platform-protocol/src/event_log.rs
@@ -3,6 +3,7 @@
 use crate::event::{EndpointGroup, Event, NameList, StreamChange, TableChange};
 use crate::server_registry::EndpointChange;
 use grebespool::host::{EndpointState, ProxyId, ServerIndex};
+use grebespool_assignments::ServerWeight;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// States of changed endpoints, in the order in which they are reported.
@@ -37,8 +38,8 @@
     }
 
     /// Weights of one table were written.
-    pub(crate) fn weights_written(&mut self, weights: &[(ServerIndex, f32)]) {
-        for (server, weight) in weights {
+    pub(crate) fn weights_written(&mut self, weights: &[ServerWeight]) {
+        for ServerWeight { server, weight } in weights {
             let least = self.least_weights.entry(*server).or_insert(f32::MAX);
             *least = least.min(*weight);
         }
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -20,7 +20,7 @@
 pub use connections::ConnectionId;
 pub use endpoint_watch::{EndpointWatch, ListRequest};
 pub use event::{
-    EndpointGroup, Event, NameList, ServerWeight, StreamChange, TableChange, TableWeights, Warning,
+    EndpointGroup, Event, LoggedWeight, NameList, StreamChange, TableChange, TableWeights, Warning,
     WarningKind,
 };
 pub use server_registry::ReceivedAt;
--- a/crates/platform-protocol/src/session_manager/endpoints.rs
+++ b/crates/platform-protocol/src/session_manager/endpoints.rs
@@ -62,10 +62,10 @@
 
     /// The changed server under its index.
     fn endpoint(&mut self, now: Duration, change: &EndpointChange) -> Endpoint {
-        let desk = &self.desk;
-        let server = self.servers.enter(now, &change.id, |server| desk.holds(server));
+        let assignments = &self.assignments;
+        let server = self.server_indices.add(now, &change.id, |server| assignments.contains_server(server));
         if change.state == EndpointState::Removed {
-            self.servers.gone(now, server);
+            self.server_indices.remove(now, server);
         }
         let EndpointChange { zone, kind, state, age, .. } = *change;
         Endpoint { server, zone, kind, state, age }
@@ -84,7 +84,7 @@
         if self.registry.address(server) != Some(address) {
             return;
         }
-        if let Some(server) = self.servers.find(&server.to_string()) {
+        if let Some(server) = self.server_indices.index(&server.to_string()) {
             self.policy.health_check_finished(server, result);
             self.flush();
         }
--- a/crates/platform-protocol/src/session_manager/messages.rs
+++ b/crates/platform-protocol/src/session_manager/messages.rs
@@ -18,8 +18,8 @@
             (_, Peer::Unknown) => self.close(now, id, &CloseReason::ReportBeforeJoin),
             (Message::ServerReport(report), Peer::Collector(_)) => self.server_reported(now, report),
             (Message::Usage(usage), peer) => self.usage_reported(now, peer, usage),
-            (Message::Ack { proxy, mark }, Peer::Proxy(sender)) if proxy == u32::from(sender) => {
-                self.mark_acknowledged(now, id, mark);
+            (Message::Ack { proxy, token }, Peer::Proxy(sender)) if proxy == u32::from(sender) => {
+                self.acknowledged(now, id, token);
             }
             (message, _) => self.drop_message(now, &DropReason::Unexpected(message)),
         }
@@ -63,7 +63,7 @@
         self.identify(id, Peer::Proxy(proxy));
         self.streams.insert(proxy, id);
         self.event_log.stream_changed(proxy, StreamChange::Joined);
-        self.desk.joined(proxy);
+        self.assignments.add_proxy(proxy);
         self.policy.proxy_joined(now, proxy, zone, request.without_table, request.requests_per_second);
         self.flush();
     }
@@ -75,7 +75,7 @@
     }
 
     fn server_reported(&mut self, now: Duration, report: ServerReport) {
-        let (zone, server) = (self.registry.zone(&report.zone), self.servers.find(&report.server));
+        let (zone, server) = (self.registry.zone(&report.zone), self.server_indices.index(&report.server));
         let (Some(client_zone), Some(server)) = (zone, server) else {
             let ServerReport { zone, server, .. } = report;
             return self.drop_message(now, &DropReason::UnknownServer { zone, server });
@@ -116,12 +116,12 @@
         }
     }
 
-    fn mark_acknowledged(&mut self, now: Duration, id: ConnectionId, mark: u32) {
+    fn acknowledged(&mut self, now: Duration, id: ConnectionId, token: u32) {
         let Some(connection) = self.connections.get_mut(id) else { return };
-        if !connection.acknowledge(mark) {
-            return self.drop_message(now, &DropReason::MarkNotPending(mark));
+        if !connection.acknowledge(token) {
+            return self.drop_message(now, &DropReason::AckNotPending(token));
         }
-        self.policy.acknowledged(now, mark as u16);
+        self.policy.acknowledged(now, token as u16);
         self.flush();
     }
 }
--- a/crates/platform-protocol/src/session_manager/mod.rs
+++ b/crates/platform-protocol/src/session_manager/mod.rs
@@ -20,7 +20,7 @@
 use crate::wire::EndpointList;
 use grebespool::host::ProxyId;
 use grebespool::policy::Policy;
-use grebespool_assignments::{Desk, Servers};
+use grebespool_assignments::{Assignments, ServerIndices};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -64,9 +64,10 @@
 /// Serves the proxies and collectors of one planner.
 pub struct SessionManager<E> {
     effects: E,
-    policy: Policy<Desk>,
-    desk: Desk,
-    servers: Servers<String>,
+    policy: Policy<Assignments>,
+    /// What the policy orders, which it writes as its host.
+    assignments: Assignments,
+    server_indices: ServerIndices<String>,
     registry: ServerRegistry,
     connections: Connections,
     /// The stream of each joined proxy; of several, the newest.
@@ -96,11 +97,11 @@
     /// clock at this moment, in Unix milliseconds.
     pub fn new(effects: E, config: PlannerConfig, reserved_descriptors: usize, unix_ms: f64) -> Self {
         let unknown_limit = config.unknown_peer_limit(reserved_descriptors);
-        let desk = Desk::default();
+        let assignments = Assignments::default();
         let mut manager = SessionManager {
             effects,
             policy: Policy::new(
-                desk.clone(),
+                assignments.clone(),
                 config.seed,
                 config.routes,
                 config.proxy_capabilities,
@@ -108,8 +109,8 @@
                 config.channel,
                 config.observability,
             ),
-            desk,
-            servers: Servers::new(Self::INDEX_RESERVATION),
+            assignments,
+            server_indices: ServerIndices::new(Self::INDEX_RESERVATION),
             registry: ServerRegistry::new(config.zones),
             connections: Connections::new(unknown_limit),
             streams: BTreeMap::new(),
@@ -143,7 +144,7 @@
 
     /// When [`SessionManager::timer_fired`] is to be called next.
     pub fn next_deadline(&self) -> Duration {
-        self.desk.due().map_or(self.next_sweep_at, |due| due.min(self.next_sweep_at))
+        self.assignments.next_timer().map_or(self.next_sweep_at, |timer| timer.min(self.next_sweep_at))
     }
 
     /// The version of the endpoint list that is known.
@@ -158,7 +159,7 @@
             unknown_peers: self.connections.unknown_count(),
             listed_servers: self.registry.listed_count(),
             ready_servers: self.registry.ready_count(),
-            server_indices: self.servers.len(),
+            server_indices: self.server_indices.len(),
             list_version: self.registry.version(),
         }
     }
@@ -170,14 +171,14 @@
             self.close_overdue(now);
             self.log_changes();
         }
-        for timer in self.desk.wakes(now) {
+        for timer in self.assignments.take_due_timers(now) {
             self.policy.timer_fired(now, timer);
             self.flush();
         }
     }
 
     fn log_changes(&mut self) {
-        let id = |server| self.servers.id(server).as_str();
+        let id = |server| self.server_indices.id(server).as_str();
         let mut events = self.event_log.drain(id);
         if let Some(weight_log) = &mut self.weight_log {
             events.extend(weight_log.drain(id));
--- a/crates/platform-protocol/src/session_manager/peers.rs
+++ b/crates/platform-protocol/src/session_manager/peers.rs
@@ -105,7 +105,7 @@
         if let Some(weight_log) = &mut self.weight_log {
             weight_log.proxy_left(proxy);
         }
-        self.desk.left(proxy);
+        self.assignments.remove_proxy(proxy);
         self.policy.proxy_left(proxy);
         self.flush();
     }
--- a/crates/platform-protocol/src/session_manager/publishing.rs
+++ b/crates/platform-protocol/src/session_manager/publishing.rs
@@ -7,7 +7,7 @@
 use crate::weight_log::WeightLog;
 use crate::wire::UpdateEncoder;
 use grebespool::host::{HealthCheckResult, ProxyId, ServerIndex, TableId};
-use grebespool_assignments::Told;
+use grebespool_assignments::ProxyUpdate;
 use std::collections::BTreeMap;
 
 impl<E: Effects> SessionManager<E> {
@@ -15,15 +15,15 @@
     pub(super) fn flush(&mut self) {
         self.write_updates();
         self.start_health_checks();
-        if self.desk.asks() {
+        if self.assignments.take_poll_request() {
             self.list_requested = true;
             self.effects.watch_endpoints();
         }
     }
 
     fn write_updates(&mut self) {
-        let SessionManager { effects, desk, servers, connections, streams, .. } = self;
-        let server_id = |server: ServerIndex| servers.id(server).as_str();
+        let SessionManager { effects, assignments, server_indices, connections, streams, .. } = self;
+        let server_id = |server: ServerIndex| server_indices.id(server).as_str();
         let mut writer = UpdateWriter {
             effects,
             connections,
@@ -33,12 +33,12 @@
             encoder: UpdateEncoder::new(&self.route_names, server_id),
             encoded: BTreeMap::new(),
         };
-        desk.settle(|proxy, update| writer.write(proxy, update));
+        assignments.publish(|proxy, update| writer.write(proxy, update));
     }
 
     fn start_health_checks(&mut self) {
-        for server in self.desk.probes() {
-            let id = self.servers.id(server);
+        for server in self.assignments.take_health_checks() {
+            let id = self.server_indices.id(server);
             match self.registry.address(id) {
                 Some(address) => self.effects.start_health_check(id, address),
                 None => self.policy.health_check_finished(server, HealthCheckResult::Failed),
@@ -60,9 +60,9 @@
 }
 
 impl<'a, E: Effects, F: Fn(ServerIndex) -> &'a str> UpdateWriter<'a, E, F> {
-    fn write(&mut self, proxy: ProxyId, update: &Told) {
+    fn write(&mut self, proxy: ProxyId, update: &ProxyUpdate) {
         let Some(&id) = self.streams.get(&proxy) else { return };
-        let is_full = update.bound.is_some();
+        let is_full = update.bound_routes.is_some();
         if is_full {
             self.log_bound(proxy, update.table);
         }
@@ -71,8 +71,8 @@
             self.encoded.insert((update.table, is_full), self.encoder.encode(update));
         }
         self.effects.write(id, &self.encoded[&(update.table, is_full)]);
-        if let (Some(mark), Some(connection)) = (update.mark, self.connections.get_mut(id)) {
-            connection.mark_sent(mark);
+        if let (Some(token), Some(connection)) = (update.ack_token, self.connections.get_mut(id)) {
+            connection.ack_requested(token);
         }
     }
 
@@ -83,12 +83,12 @@
         }
     }
 
-    fn log_weights(&mut self, update: &Told, is_full: bool) {
+    fn log_weights(&mut self, update: &ProxyUpdate, is_full: bool) {
         if !is_full {
-            self.event_log.weights_written(update.lines);
+            self.event_log.weights_written(update.weights);
         }
         if let Some(weight_log) = &mut self.weight_log {
-            weight_log.weights_written(update.table, update.lines);
+            weight_log.weights_written(update.table, update.weights);
         }
     }
 }
--- a/crates/platform-protocol/src/session_manager/reasons.rs
+++ b/crates/platform-protocol/src/session_manager/reasons.rs
@@ -37,8 +37,8 @@
     UnknownServer { zone: String, server: String },
     #[error("usage of route {route:?} at proxy {proxy}, one of which is unknown or another sender's")]
     UnknownUsage { route: String, proxy: u32 },
-    #[error("mark {0} is not pending on this stream")]
-    MarkNotPending(u32),
+    #[error("acknowledgement {0} is not pending on this stream")]
+    AckNotPending(u32),
     #[error("unexpected on this connection: {0:?}")]
     Unexpected(Message),
 }
--- a/crates/platform-protocol/src/weight_log.rs
+++ b/crates/platform-protocol/src/weight_log.rs
@@ -4,8 +4,9 @@
 //! A table is reported at most once a drain, with its newest weights, and only so many tables at a time; the rest wait
 //! for the next. Memory is bounded by the tables themselves.
 
-use crate::event::{Event, ServerWeight, TableWeights};
+use crate::event::{Event, LoggedWeight, TableWeights};
 use grebespool::host::{ProxyId, ServerIndex, TableId};
+use grebespool_assignments::ServerWeight;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tables that are reported at a time.
@@ -54,9 +55,9 @@
     }
 
     /// These weights of a table were written; a weight of zero removes the server.
-    pub(crate) fn weights_written(&mut self, table: TableId, weights: &[(ServerIndex, f32)]) {
+    pub(crate) fn weights_written(&mut self, table: TableId, weights: &[ServerWeight]) {
         let logged = self.tables.entry(table).or_default();
-        for (server, weight) in weights {
+        for ServerWeight { server, weight } in weights {
             logged.set_weight(*server, *weight);
         }
     }
@@ -94,14 +95,14 @@
     fn drain<'a>(&mut self, table: TableId, id: impl Fn(ServerIndex) -> &'a str) -> Vec<Event> {
         self.due = false;
         let sum = self.weights.values().sum();
-        let event = |changed: &[ServerWeight]| {
+        let event = |changed: &[LoggedWeight]| {
             let changed = changed.to_vec();
             Event::TableWeights(TableWeights { table, proxies: self.proxies, sum, changed })
         };
         let weight = |server: ServerIndex| self.weights.get(&server).copied().unwrap_or(0.0);
-        let changed: Vec<ServerWeight> = std::mem::take(&mut self.changed)
+        let changed: Vec<LoggedWeight> = std::mem::take(&mut self.changed)
             .into_iter()
-            .map(|server| ServerWeight { server: id(server).into(), weight: weight(server) })
+            .map(|server| LoggedWeight { server: id(server).into(), weight: weight(server) })
             .collect();
         if changed.is_empty() {
             return vec![event(&[])];
--- a/crates/platform-protocol/src/wire/message.rs
+++ b/crates/platform-protocol/src/wire/message.rs
@@ -84,12 +84,12 @@
     Join(JoinRequest),
     /// Attempts at a server.
     ServerReport(ServerReport),
-    /// A proxy has applied everything up to a mark.
+    /// A proxy has applied everything up to an ack token.
     Ack {
         /// The number of the proxy.
         proxy: u32,
-        /// The number of the mark.
-        mark: u32,
+        /// The token.
+        token: u32,
     },
     /// Requests at a proxy.
     Usage(UsageReport),
@@ -137,7 +137,7 @@
     object.number(field::APPLY_TIME, MAX_MILLISECONDS)?;
     Ok(Message::Ack {
         proxy: object.integer(field::PROXY, u32::MAX)?,
-        mark: object.integer(field::ACKNOWLEDGED_MARK, u32::MAX)?,
+        token: object.integer(field::ACKNOWLEDGED_TOKEN, u32::MAX)?,
     })
 }
 
--- a/crates/platform-protocol/src/wire/names.rs
+++ b/crates/platform-protocol/src/wire/names.rs
@@ -12,7 +12,7 @@
     pub(crate) const SOURCE: &str = "SOURCE";
     /// A proxy joins.
     pub(crate) const SUBSCRIBE: &str = "SUBSCRIBE";
-    /// A proxy acknowledges a mark.
+    /// A proxy acknowledges an ack token.
     pub(crate) const ACK: &str = "ACK";
     /// Requests that came to a proxy.
     pub(crate) const RATE: &str = "RATE";
@@ -36,9 +36,9 @@
     pub(crate) const REQUESTS_PER_SECOND: &str = "w";
     /// Whether a joining proxy holds no table.
     pub(crate) const WITHOUT_TABLE: &str = "cold";
-    /// The number of an acknowledged mark.
-    pub(crate) const ACKNOWLEDGED_MARK: &str = "nonce";
-    /// How long the proxy took to apply what came before the mark, in milliseconds.
+    /// The ack token that is acknowledged.
+    pub(crate) const ACKNOWLEDGED_TOKEN: &str = "nonce";
+    /// How long the proxy took to apply what came before the ack token, in milliseconds.
     pub(crate) const APPLY_TIME: &str = "latency";
     /// The route of requests.
     pub(crate) const ROUTE: &str = "route";
@@ -66,8 +66,8 @@
     pub(crate) const RETRY: &str = "retry";
     /// A further part of the same message follows.
     pub(crate) const MORE: &str = "more";
-    /// The mark that the proxy is to acknowledge.
-    pub(crate) const MARK: &str = "ticket";
+    /// The ack token that the proxy is to return.
+    pub(crate) const ACK_TOKEN: &str = "ticket";
 }
 
 /// Fields of discovery's endpoint list, and values of an endpoint's state.
--- a/crates/platform-protocol/src/wire/outgoing.rs
+++ b/crates/platform-protocol/src/wire/outgoing.rs
@@ -3,7 +3,7 @@
 use super::frame::encode_frame;
 use super::names::{field, kind};
 use grebespool::host::{RetryPolicy, RouteSet, ServerIndex};
-use grebespool_assignments::{Level, Told};
+use grebespool_assignments::{AdmissionRule, ProxyUpdate, ServerWeight};
 use serde_json::{Map, Value, json};
 
 /// The answer to a ping.
@@ -16,7 +16,7 @@
     encode_frame(&json!({ field::KIND: kind::NACK, field::REASON: reason }))
 }
 
-/// Encodes table updates, in the platform's names of routes and servers.
+/// Encodes updates for proxies, in the platform's names of routes and servers.
 pub(crate) struct UpdateEncoder<'a, F> {
     route_names: &'a [String],
     server_id: F,
@@ -31,46 +31,46 @@
     /// One message, as a frame for each of its parts.
     ///
     /// The first part holds the weights and the admission of the routes that these are for: a full table makes the proxy
-    /// forget earlier admission, so the others follow. The last part holds the mark.
-    pub(crate) fn encode(&self, update: &Told) -> Vec<u8> {
-        let mut admissions = self.merged_admissions(update.levels).into_iter().peekable();
+    /// forget earlier admission, so the others follow. The last part holds the ack token.
+    pub(crate) fn encode(&self, update: &ProxyUpdate) -> Vec<u8> {
+        let mut rules = self.merge_rules(update.admission).into_iter().peekable();
         let mut first = self.weights_part(update);
-        if let Some(admission) = admissions.next_if(|next| next.routes == update.bound.unwrap_or(ALL_ROUTES))
-        {
-            insert_admission(&mut first, &admission);
+        let routes = update.bound_routes.unwrap_or(ALL_ROUTES);
+        if let Some(rule) = rules.next_if(|rule| rule.routes == routes) {
+            insert_rule(&mut first, &rule);
         }
         let mut parts = vec![];
         if !first.is_empty() {
             parts.push(first);
         }
-        parts.extend(admissions.map(|admission| self.admission_part(&admission)));
-        if let (Some(mark), Some(last)) = (update.mark, parts.last_mut()) {
-            last.insert(field::MARK.into(), json!(mark));
+        parts.extend(rules.map(|rule| self.admission_part(&rule)));
+        if let (Some(token), Some(last)) = (update.ack_token, parts.last_mut()) {
+            last.insert(field::ACK_TOKEN.into(), json!(token));
         }
         encode_parts(parts)
     }
 
-    fn weights_part(&self, update: &Told) -> Map<String, Value> {
+    fn weights_part(&self, update: &ProxyUpdate) -> Map<String, Value> {
         let mut part = Map::new();
-        if update.bound.is_some() || !update.lines.is_empty() {
-            let weights = update.lines.iter().map(|(server, weight)| self.weight(*server, *weight));
+        if update.bound_routes.is_some() || !update.weights.is_empty() {
+            let weights = update.weights.iter().map(|weight| self.weight(weight));
             part.insert(field::WEIGHTS.into(), weights.collect());
         }
-        if let Some(routes) = update.bound {
+        if let Some(routes) = update.bound_routes {
             part.insert(field::FULL_TABLE.into(), json!(true));
             self.insert_routes(&mut part, routes);
         }
         part
     }
 
-    fn weight(&self, server: ServerIndex, weight: f32) -> Value {
-        json!([(self.server_id)(server), shortest_number(weight)])
+    fn weight(&self, weight: &ServerWeight) -> Value {
+        json!([(self.server_id)(weight.server), shortest_number(weight.weight)])
     }
 
-    fn admission_part(&self, admission: &Admission) -> Map<String, Value> {
+    fn admission_part(&self, rule: &AdmissionRule) -> Map<String, Value> {
         let mut part = Map::new();
-        self.insert_routes(&mut part, admission.routes);
-        insert_admission(&mut part, admission);
+        self.insert_routes(&mut part, rule.routes);
+        insert_rule(&mut part, rule);
         part
     }
 
@@ -83,22 +83,22 @@
         part.insert(field::ROUTES.into(), names.map(|(_, name)| json!(name)).collect());
     }
 
-    /// Routes of equal admission under one entry, by their sets.
-    fn merged_admissions(&self, levels: &[Level]) -> Vec<Admission> {
-        let mut merged: Vec<Admission> = vec![];
-        for (routes, admitted, tries) in levels {
-            let equal = merged.iter_mut().find(|other| other.admitted == *admitted && other.tries == *tries);
+    /// Routes with equal rules under one rule, in the order of their sets.
+    fn merge_rules(&self, rules: &[AdmissionRule]) -> Vec<AdmissionRule> {
+        let mut merged: Vec<AdmissionRule> = vec![];
+        for rule in rules {
+            let equal = merged
+                .iter_mut()
+                .find(|other| other.level == rule.level && other.retry_policy == rule.retry_policy);
             match equal {
-                Some(equal) => equal.routes |= routes,
-                None => merged.push(Admission { routes: *routes, admitted: *admitted, tries: *tries }),
+                Some(equal) => equal.routes |= rule.routes,
+                None => merged.push(*rule),
             }
         }
-        merged.sort_by_key(|admission| admission.routes);
+        merged.sort_by_key(|rule| rule.routes);
         let every_route = (0..self.route_names.len()).fold(0, |routes, position| routes | (1 << position));
-        for admission in &mut merged {
-            if admission.routes == every_route {
-                admission.routes = ALL_ROUTES;
-            }
+        for rule in merged.iter_mut().filter(|rule| rule.routes == every_route) {
+            rule.routes = ALL_ROUTES;
         }
         merged
     }
@@ -107,21 +107,14 @@
 /// On the wire, a part without routes is for all of them.
 const ALL_ROUTES: RouteSet = 0;
 
-/// How much of the requests of some routes is admitted, and when failed ones are tried again.
-struct Admission {
-    routes: RouteSet,
-    admitted: f32,
-    tries: RetryPolicy,
-}
-
-fn insert_admission(part: &mut Map<String, Value>, admission: &Admission) {
-    part.insert(field::ADMITTED.into(), shortest_number(admission.admitted));
-    part.insert(field::RETRY.into(), json!(retry_code(admission.tries)));
+fn insert_rule(part: &mut Map<String, Value>, rule: &AdmissionRule) {
+    part.insert(field::ADMITTED.into(), shortest_number(rule.level));
+    part.insert(field::RETRY.into(), json!(retry_code(rule.retry_policy)));
 }
 
 /// On the wire: do not renumber.
-fn retry_code(tries: RetryPolicy) -> u8 {
-    match tries {
+fn retry_code(retries: RetryPolicy) -> u8 {
+    match retries {
         RetryPolicy::Never => 0,
         RetryPolicy::IfNotExecuted => 1,
         RetryPolicy::AfterFailure => 2,
--- a/crates/platform-protocol/tests/fixtures.rs
+++ b/crates/platform-protocol/tests/fixtures.rs
@@ -62,7 +62,7 @@
 #[case::joining("joining", Message::Join(JoinRequest {
     proxy: 17, zone: "a".into(), requests_per_second: 21.5, without_table: true,
 }))]
-#[case::answer_to_a_mark("answer_to_a_mark", Message::Ack { proxy: 17, mark: 905 })]
+#[case::answer_to_a_mark("answer_to_a_mark", Message::Ack { proxy: 17, token: 905 })]
 #[case::usage("usage", Message::Usage(UsageReport { proxy: 17, route: "look up".into(), requests: 19 }))]
 fn recorded_message_is_read_as_expected(#[case] name: &str, #[case] expected: Message) {
     assert_eq!(message(name), expected);
--- a/crates/platform-server/src/connection.rs
+++ b/crates/platform-server/src/connection.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::Shared;
 use grebespool_platform_protocol::ConnectionId;
-use grebespool_write_queue::{Ended, Outgoing, Patience};
+use grebespool_write_queue::{WriteLimits, WriteOutcome, WriteQueue};
 use std::io::ErrorKind;
 use std::pin::pin;
 use std::rc::Rc;
@@ -13,10 +13,9 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, error, warn};
 
-/// A peer that takes none of its bytes for so long is cut off: by the platform's rules it has left.
-const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Bytes that may wait for one peer: some dozens of messages. The platform resets a connection at 128 KiB.
-const MAX_UNWRITTEN: usize = 96 << 10;
+/// A peer whose oldest byte waits for 20 s is cut off: by the platform's rules it has left. 96 KiB are some dozens of
+/// messages; the platform resets a connection at 128 KiB.
+const WRITE_LIMITS: WriteLimits = WriteLimits { max_wait: Duration::from_secs(20), max_bytes: 96 << 10 };
 /// Within this time the runtime has polled its sockets.
 const POLL_PAUSE: Duration = Duration::from_millis(1);
 /// How long what is left is written to a peer that sends no more.
@@ -65,7 +64,7 @@
         let _ = socket.set_nodelay(true);
         self.last_accepted += 1;
         let id = self.last_accepted;
-        let queue = Rc::new(Outgoing::new(Patience::new(WRITE_TIMEOUT, MAX_UNWRITTEN)));
+        let queue = Rc::new(WriteQueue::new(WRITE_LIMITS));
         self.shared.write_queues.borrow_mut().insert(id, queue.clone());
         self.shared.call(|manager, now| manager.connection_opened(now, id));
         self.tasks.spawn_local(serve_connection(self.shared.clone(), socket, id, queue));
@@ -95,10 +94,10 @@
     }
 }
 
-async fn serve_connection(shared: Rc<Shared>, socket: TcpStream, id: ConnectionId, queue: Rc<Outgoing>) {
+async fn serve_connection(shared: Rc<Shared>, socket: TcpStream, id: ConnectionId, queue: Rc<WriteQueue>) {
     let open = OpenConnection { shared: shared.clone(), id };
     let (reader, writer) = socket.into_split();
-    let mut writing = pin!(queue.write(writer, shared.started));
+    let mut writing = pin!(queue.run(writer, shared.started));
     tokio::select! {
         end = read_all(&shared, id, &reader) => {
             drop(open);
@@ -108,8 +107,8 @@
                 let _ = timeout(FINAL_WRITE_TIMEOUT, writing).await;
             }
         }
-        ended = &mut writing => {
-            if ended == Ended::Slow {
+        outcome = &mut writing => {
+            if outcome == WriteOutcome::ReaderTooSlow {
                 warn!(connection = id, "closes a connection that does not take its bytes");
             }
             drop(open);
--- a/crates/platform-server/src/shared.rs
+++ b/crates/platform-server/src/shared.rs
@@ -6,7 +6,7 @@
 use grebespool_platform_protocol::{
     ConnectionId, Effects, EndpointWatch, Event, PlannerConfig, ReceivedAt, SessionManager,
 };
-use grebespool_write_queue::Outgoing;
+use grebespool_write_queue::WriteQueue;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 const MAX_UNWRITTEN_AT_CLOSE: usize = 1 << 10;
 
 /// The write queues of all connections.
-type WriteQueues = Rc<RefCell<BTreeMap<ConnectionId, Rc<Outgoing>>>>;
+type WriteQueues = Rc<RefCell<BTreeMap<ConnectionId, Rc<WriteQueue>>>>;
 
 /// What the tasks of one planner share.
 ///
@@ -129,13 +129,13 @@
 impl Effects for TaskEffects {
     fn write(&mut self, connection: ConnectionId, bytes: &[u8]) {
         if let Some(queue) = self.write_queues.borrow().get(&connection) {
-            queue.put(self.started.elapsed(), bytes);
+            queue.push(self.started.elapsed(), bytes);
         }
     }
 
     fn close(&mut self, connection: ConnectionId) {
         if let Some(queue) = self.write_queues.borrow().get(&connection) {
-            if queue.waiting() > MAX_UNWRITTEN_AT_CLOSE { queue.cut() } else { queue.close() }
+            if queue.queued_bytes() > MAX_UNWRITTEN_AT_CLOSE { queue.abort() } else { queue.close() }
         }
     }
 
