--- a/src/policy/control_channel.rs
+++ b/src/policy/control_channel.rs
@@ -6,29 +6,30 @@
 use std::time::Duration;
 
 impl ControlChannel {
-    /// Shares of the channel and of the messages, by what a change is for.
+    /// The share of the queue and of the messages that a change may use: one that takes little weight from a server.
     pub(super) const ORDINARY_SHARE: f64 = 0.4;
-    /// Changes that take much weight from a server.
+    /// The same of a change that takes much weight from a server.
     pub(super) const PROTECTIVE_SHARE: f64 = 0.6;
-    /// Changes that take weight from a warming server, and admission.
+    /// The same of a change that takes weight from a warming server, and of admission.
     pub(super) const OVERLOAD_SHARE: f64 = 0.85;
-    /// Drains and bindings.
+    /// The same of drains and bindings.
     pub(super) const MANDATORY_SHARE: f64 = 0.95;
     /// The largest share of the queue that is used: some entries leave later than counted.
     pub(super) const MAX_QUEUE_SHARE: f64 = 0.7;
 
-    /// The part of its stated pace that the channel is taken to have, while acknowledgements come and while none does.
+    /// The part of its stated pace that the channel is taken to have while acknowledgements come.
     const ASSUMED_PACE: f64 = 0.125;
+    /// The same while none comes.
     const UNACKNOWLEDGED_PACE: f64 = 0.03;
     /// No acknowledgement comes once the last one is older than so many transits.
     const SILENT_TRANSITS: u32 = 2;
 
     /// Messages of the limit that are reserved for bindings.
     const RESERVED_MESSAGES: f64 = 2.0;
-    /// Messages that the ordinary shares leave out.
+    /// Messages of the limit that are no part of what the shares divide.
     const UNSHARED_MESSAGES: f64 = 1.0;
-    /// Past this part of the limit messages keep a distance, so that a drain finds one left.
-    const UNSPACED_PART: f64 = 4.0;
+    /// The limit over this is the number of messages past which they keep a distance, so that a drain finds one left.
+    const UNSPACED_DIVISOR: f64 = 4.0;
 
     /// Entries of a binding message beyond those of the table.
     const BINDING_ENTRIES: f64 = 2.0;
@@ -56,7 +57,7 @@
         let is_spaced = sent.back().is_none_or(|last| (now - *last).as_secs_f64() >= distance_s);
         let within_share = used < (max - Self::UNSHARED_MESSAGES) * share;
         let within_limit = used < max - Self::RESERVED_MESSAGES;
-        max == 0.0 || (within_share && within_limit && (is_spaced || used < max / Self::UNSPACED_PART))
+        max == 0.0 || (within_share && within_limit && (is_spaced || used < max / Self::UNSPACED_DIVISOR))
     }
 
     /// The table entries that all proxies can be sent at once, for each of them.
--- a/src/state.rs
+++ b/src/state.rs
@@ -3,100 +3,37 @@
 //! A policy owns all of its state and is called from one task, so nothing is shared or locked. Times are counted from the
 //! policy's start.
 
+mod load;
+mod pools;
+
+pub(crate) use load::{LoadHistory, LoadSample, drop_old, mean, median};
+pub(crate) use pools::{Pool, SubsetSize, WeightEntry};
+
 use crate::host::{
     ControlChannelLimits, EndpointState, Observability, ProxyCapabilities, ProxyId, RetryPolicy, Route,
-    ServerIndex, ServerKind, TableId, Timeouts, ZoneId,
+    ServerKind, Timeouts, ZoneId,
 };
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// What the proxies of a zone observed of a server over one report interval.
-pub(crate) struct LoadSample {
-    /// When the report came.
-    pub(crate) at: Duration,
-    /// The zone of the proxies.
-    pub(crate) client_zone: ZoneId,
-    /// The load as reported, whether or not it is believed, in the unit of the deployment's metrics.
-    pub(crate) reported_load: Option<f64>,
-    /// The same, where it is believed.
-    pub(crate) load: Option<f64>,
-    /// Utilization of the workers, 0 to 1, where it is reported and believed.
-    pub(crate) utilization: Option<f64>,
-    /// Attempts that ended.
-    pub(crate) attempts: f64,
-    /// Attempts that ended without an answer.
-    pub(crate) failures: f64,
-    /// Mean latency of the answered attempts, in seconds.
-    pub(crate) latency_s: Option<f64>,
-}
-
-impl LoadSample {
-    /// Attempts that were answered.
-    pub(crate) fn answered(&self) -> f64 {
-        (self.attempts - self.failures).max(0.0)
-    }
-}
-
-/// The last few samples of a server, oldest first.
-#[derive(Default)]
-pub(crate) struct LoadHistory {
-    pub(crate) samples: VecDeque<LoadSample>,
-}
-
-impl LoadHistory {
-    /// The samples from after a moment.
-    pub(crate) fn since(&self, from: Duration) -> impl Iterator<Item = &LoadSample> {
-        self.samples.iter().filter(move |sample| sample.at > from)
-    }
-
-    /// The mean of a figure over the samples from after a moment that have it.
-    pub(crate) fn mean(&self, from: Duration, of: impl Fn(&LoadSample) -> Option<f64>) -> Option<f64> {
-        mean(self.since(from).filter_map(of))
-    }
-
-    /// The sum of a figure over the samples from after a moment.
-    pub(crate) fn sum(&self, from: Duration, of: impl Fn(&LoadSample) -> f64) -> f64 {
-        self.since(from).map(of).sum()
-    }
-}
-
-/// Removes elements older than `kept` from the front of a list that is ordered by time.
-pub(crate) fn drop_old<T>(
-    list: &mut VecDeque<T>,
-    now: Duration,
-    kept: Duration,
-    at: impl Fn(&T) -> Duration,
-) {
-    while list.front().is_some_and(|oldest| now.saturating_sub(at(oldest)) > kept) {
-        list.pop_front();
-    }
-}
-
-/// The arithmetic mean; `None` of no values.
-pub(crate) fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
-    let (sum, count) = values.fold((0.0, 0usize), |(sum, count), value| (sum + value, count + 1));
-    (count > 0).then(|| sum / count as f64)
-}
-
-/// The median, the upper one of an even number of values; `None` of no values.
-pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
-    let mut values: Vec<f64> = values.collect();
-    values.sort_by(f64::total_cmp);
-    values.get(values.len() / 2).copied()
-}
-
 /// One server: what the endpoint list states, and what each rule remembers of it.
 pub(crate) struct ServerState {
+    /// The zone it is in.
     pub(crate) zone: ZoneId,
+    /// Its kind: servers of one kind have the same capacity.
     pub(crate) kind: ServerKind,
+    /// Its state on the list.
     pub(crate) endpoint_state: EndpointState,
     /// When its warm-up by age ends; zero for a server that has long been warm.
     pub(crate) warm_at: Duration,
     /// The list removed it where removals are not final: it stays in use until it fails.
     pub(crate) removal_doubted: bool,
+    /// What was reported of it lately.
     pub(crate) load: LoadHistory,
+    /// Whether it fails, hangs or crawls.
     pub(crate) outlier: OutlierDetector,
+    /// How much of its weight it has since a start or a return.
     pub(crate) slow_start: SlowStart,
 }
 
@@ -121,59 +58,6 @@
     }
 }
 
-/// A server in a pool: the weight it has earned there, apart from all exceptions, and the weight that was sent.
-pub(crate) struct WeightEntry {
-    pub(crate) server: ServerIndex,
-    /// The learned weight.
-    pub(crate) learned: f64,
-    /// When the mechanism last changed the learned weight; zero for never.
-    pub(crate) changed_at: Duration,
-    /// The weight last sent; 0 for none.
-    pub(crate) written: f32,
-    /// Not needed in this pool any more; dropped once a weight of 0 is sent.
-    pub(crate) retiring: bool,
-}
-
-/// One weight table, shared by many proxies of a zone.
-pub(crate) struct Pool {
-    pub(crate) table: TableId,
-    pub(crate) zone: ZoneId,
-    pub(crate) entries: Vec<WeightEntry>,
-    /// When messages were sent to its proxies, oldest first.
-    pub(crate) message_times: VecDeque<Duration>,
-}
-
-impl Pool {
-    /// A pool without servers.
-    pub(crate) fn new(table: TableId, zone: ZoneId) -> Pool {
-        Pool { table, zone, entries: vec![], message_times: VecDeque::new() }
-    }
-
-    /// Adds a server with a weight in multiples of the pool's mean.
-    pub(crate) fn add_server(&mut self, server: ServerIndex, weight: f64) {
-        let learned = weight * self.mean_weight();
-        let (changed_at, written, retiring) = (Duration::ZERO, 0.0, false);
-        self.entries.push(WeightEntry { server, learned, changed_at, written, retiring });
-    }
-
-    /// The mean of the learned weights; 1 for an empty pool.
-    pub(crate) fn mean_weight(&self) -> f64 {
-        mean(self.entries.iter().map(|entry| entry.learned)).unwrap_or(1.0)
-    }
-}
-
-/// How many near and far servers a pool is to hold.
-#[derive(Clone, Copy)]
-pub(crate) struct SubsetSize {
-    pub(crate) near: usize,
-    pub(crate) far: usize,
-}
-
-impl SubsetSize {
-    /// All servers, as long as one pool a zone holds them.
-    pub(crate) const UNLIMITED: SubsetSize = SubsetSize { near: usize::MAX, far: usize::MAX };
-}
-
 /// A direction between two zones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Link {
@@ -219,8 +103,9 @@
     pub(crate) allowed_steps: u32,
     /// Evidence from before this moment does not count.
     pub(crate) evidence_from: Duration,
-    /// Health checks passed and failed since, one after another.
+    /// Health checks passed since, one after another.
     pub(crate) checks_passed: u32,
+    /// Health checks failed since, one after another.
     pub(crate) checks_failed: u32,
     /// How long the next ejection lasts at the least.
     pub(crate) ejection_time: Duration,
@@ -240,7 +125,9 @@
 pub(crate) struct RequestCount {
     /// When the report came.
     pub(crate) at: Duration,
+    /// Requests received.
     pub(crate) requests: f64,
+    /// The proxy that received them.
     pub(crate) proxy: ProxyId,
 }
 
@@ -249,6 +136,7 @@
 pub(crate) struct AdmissionSetting {
     /// In the unit of the deployment's [`AdmissionMode`](crate::host::AdmissionMode).
     pub(crate) level: f32,
+    /// When proxies retry.
     pub(crate) retries: RetryPolicy,
 }
 
@@ -294,6 +182,7 @@
 
 /// An acknowledgement that was asked for.
 pub(crate) struct PendingAck {
+    /// Its number.
     pub(crate) number: u16,
     /// All entries sent before the commands that it covers.
     pub(crate) entries_before: f64,
@@ -301,6 +190,7 @@
 
 /// The load of the control channel, in table entries.
 pub(crate) struct ControlChannel {
+    /// Its capacity, as stated.
     pub(crate) limits: ControlChannelLimits,
     /// Entries taken to be queued in the channel.
     pub(crate) queued: f64,
@@ -312,6 +202,7 @@
     pub(crate) acknowledged_at: Duration,
     /// The number of the last acknowledgement asked for.
     pub(crate) last_ack: u16,
+    /// Those that have not come, oldest first.
     pub(crate) pending_acks: VecDeque<PendingAck>,
     /// [`Timer::UrgentPublish`](crate::host::Timer::UrgentPublish) is set and has not fired.
     pub(crate) urgent_timer_set: bool,
@@ -351,6 +242,7 @@
 
 /// A proxy that joined once.
 pub(crate) struct ProxyState {
+    /// Its zone.
     pub(crate) zone: ZoneId,
     /// Requests a second that it usually gets.
     pub(crate) request_rate: f64,
@@ -371,7 +263,7 @@
     pub(crate) observability: Observability,
     /// By [`ServerIndex`].
     pub(crate) servers: Vec<ServerState>,
-    /// When the endpoint list is polled next; `None` before the first list and where it is pushed.
+    /// When the endpoint list is polled next; `None` once a list has come, until a poll fails.
     pub(crate) next_poll_at: Option<Duration>,
     /// Ticks so far.
     pub(crate) ticks: u32,
