--- a/src/state.rs
+++ b/src/state.rs
@@ -261,7 +261,7 @@
     pub(crate) capabilities: ProxyCapabilities,
     pub(crate) timeouts: Timeouts,
     pub(crate) observability: Observability,
-    /// By [`ServerIndex`].
+    /// By [`ServerIndex`](crate::host::ServerIndex).
     pub(crate) servers: Vec<ServerState>,
     /// When the endpoint list is polled next; `None` once a list has come, until a poll fails.
     pub(crate) next_poll_at: Option<Duration>,
