--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -8,10 +8,13 @@
 use grebespool_cluster::{
     Answer, Audit, DutyOrder, Editions, Keys, Question, Shown, Store, audit, first_roster, fleet_id, seat_id,
 };
-use grebespool_config_consensus::{Acts, Change, Content, Edition, Limit, Rack, Route, Server, State, View};
+use grebespool_config_consensus::{
+    ActiveVersions, Change, ConfigVersion, Configuration, EffectiveConfiguration, Limit, Message, Rack,
+    Renewal, Route, Server, ServerState, StoredState,
+};
 use grebespool_leader_election::{
     AppliedOrders, EndpointPhase, EndpointRecord, HardState, KnownDrain, LearnedWeight, Membership,
-    MembershipVersion, Message, PoolRecord, ProxyBinding, Snapshot, Voter,
+    MembershipVersion, Message as ElectionMessage, PoolRecord, ProxyBinding, Snapshot, Voter,
 };
 use grebespool_singleton_tasks::{Cell, Counts, Record, Tally, Token};
 use redb::{Database, ReadableTable, TableDefinition};
@@ -101,38 +104,41 @@
     }
 }
 
-fn content() -> Content {
+fn content() -> Configuration {
     let server = |capacity, state| Server { rack: "r1".into(), capacity, state };
-    Content {
-        routes: BTreeMap::from([("browse".into(), Route { importance: 1.5, most: 0.75 })]),
+    Configuration {
+        routes: BTreeMap::from([("browse".into(), Route { importance: 1.5, max_share: 0.75 })]),
         limits: BTreeMap::from([
-            ("power.most_withdrawn".into(), Limit::Most(0.25)),
-            ("power.reserve".into(), Limit::Least(0.1)),
+            ("power.most_withdrawn".into(), Limit::AtMost(0.25)),
+            ("power.reserve".into(), Limit::AtLeast(0.1)),
         ]),
-        racks: BTreeMap::from([("r1".into(), Rack { site: "north".into(), feed: "a".into(), cap: 4000.0 })]),
+        racks: BTreeMap::from([(
+            "r1".into(),
+            Rack { site: "north".into(), feed: "a".into(), power_cap: 4000.0 },
+        )]),
         servers: BTreeMap::from([
-            ("s1".into(), server(120.0, State::Ready)),
-            ("s2".into(), server(80.5, State::Draining)),
-            ("s3".into(), server(40.0, State::Gone)),
+            ("s1".into(), server(120.0, ServerState::Ready)),
+            ("s2".into(), server(80.5, ServerState::Draining)),
+            ("s3".into(), server(40.0, ServerState::Removed)),
         ]),
     }
 }
 
 fn changes() -> Vec<Change> {
     vec![
-        Change::Whole(Box::new(content())),
+        Change::Replace(Box::new(content())),
         Change::Route("search".into(), None),
-        Change::Limit("power.reserve".into(), Some(Limit::Least(0.2))),
+        Change::Limit("power.reserve".into(), Some(Limit::AtLeast(0.2))),
         Change::Rack("r2".into(), None),
         Change::Server("s2".into(), None),
-        Change::State("s1".into(), State::Draining),
+        Change::State("s1".into(), ServerState::Draining),
     ]
 }
 
-fn held_editions() -> grebespool_config_consensus::Kept {
-    let standing = Edition::default().next(&changes()[..1], &BTreeMap::new());
-    let next = Some(standing.next(&changes()[1..], &BTreeMap::new()));
-    grebespool_config_consensus::Kept { standing, next, seen: token() }
+fn held_editions() -> StoredState {
+    let committed = ConfigVersion::default().successor(&changes()[..1], &BTreeMap::new());
+    let pending = Some(committed.successor(&changes()[1..], &BTreeMap::new()));
+    StoredState { committed, pending, newest_token: token() }
 }
 
 fn kept() -> HardState {
@@ -325,7 +331,7 @@
     }
 }
 
-fn editions(acts: Acts, next: Option<(u64, String)>, convener: Option<String>) -> Answer {
+fn editions(acts: ActiveVersions, next: Option<(u64, String)>, convener: Option<String>) -> Answer {
     Answer::Editions(Box::new(Editions {
         name: "a".into(),
         acts,
@@ -333,7 +339,10 @@
         next,
         convener,
         waiting: 3,
-        view: View::both(held_editions().standing.content(), held_editions().next.unwrap().content()),
+        view: EffectiveConfiguration::intersect(
+            held_editions().committed.configuration(),
+            held_editions().pending.unwrap().configuration(),
+        ),
     }))
 }
 
@@ -344,9 +353,12 @@
         ("done", Answer::Done("it stands down".into())),
         ("refused", Answer::Refused("this member does not lead".into())),
         ("lines", Answer::Lines(vec!["one".into(), "two".into()])),
-        ("editions-both", editions(Acts::Both(41, 42), Some((42, "ba9876543210".into())), Some("b".into()))),
-        ("editions-alone", editions(Acts::Alone(41), None, None)),
-        ("editions-unleased", editions(Acts::Unleased, None, None)),
+        (
+            "editions-both",
+            editions(ActiveVersions::Joint(41, 42), Some((42, "ba9876543210".into())), Some("b".into())),
+        ),
+        ("editions-alone", editions(ActiveVersions::Single(41), None, None)),
+        ("editions-unleased", editions(ActiveVersions::Unleased, None, None)),
     ]
 }
 
@@ -371,24 +383,31 @@
     assert_json_fixture(include_str!("fixtures/answers.jsonl"), &answers());
 }
 
-fn election() -> Vec<(&'static str, Message)> {
+fn election() -> Vec<(&'static str, ElectionMessage)> {
     let (epoch, number, version) = (4, 300, MembershipVersion { term: 3, number: 1 });
     vec![
-        ("canvass", Message::PreVoteRequest { term: epoch, membership_version: version }),
-        ("favour", Message::PreVoteGranted { term: epoch }),
-        ("ask", Message::VoteRequest { term: epoch, membership_version: version, leadership_transfer: true }),
-        ("vote", Message::VoteGranted { term: epoch }),
-        ("beat", Message::Heartbeat { term: epoch, number, membership_version: version }),
-        ("heard", Message::HeartbeatAck { term: epoch, number, membership_version: version }),
-        ("newer", Message::NewerTerm { term: epoch }),
+        ("canvass", ElectionMessage::PreVoteRequest { term: epoch, membership_version: version }),
+        ("favour", ElectionMessage::PreVoteGranted { term: epoch }),
+        (
+            "ask",
+            ElectionMessage::VoteRequest {
+                term: epoch,
+                membership_version: version,
+                leadership_transfer: true,
+            },
+        ),
+        ("vote", ElectionMessage::VoteGranted { term: epoch }),
+        ("beat", ElectionMessage::Heartbeat { term: epoch, number, membership_version: version }),
+        ("heard", ElectionMessage::HeartbeatAck { term: epoch, number, membership_version: version }),
+        ("newer", ElectionMessage::NewerTerm { term: epoch }),
         (
             "seats",
-            Message::MembershipUpdate {
+            ElectionMessage::MembershipUpdate {
                 term: epoch,
                 membership: Membership { version: MembershipVersion { term: 3, number: 1 }, voters: seats() },
             },
         ),
-        ("turn", Message::TransferLeadership { term: epoch }),
+        ("turn", ElectionMessage::TransferLeadership { term: epoch }),
     ]
 }
 
@@ -408,12 +427,14 @@
     ]
 }
 
-fn of_editions() -> Vec<(&'static str, grebespool_config_consensus::Word)> {
-    use grebespool_config_consensus::Word;
-    let standing = held_editions().standing.name();
+fn of_editions() -> Vec<(&'static str, Message)> {
+    let committed = held_editions().committed.id();
     vec![
-        ("edition-call", Word::Call { token: token(), standing }),
-        ("edition-renew", Word::Renew { token: token(), count: 9, standing, next: None }),
+        ("edition-call", Message::Announce { token: token(), committed }),
+        (
+            "edition-renew",
+            Message::Renew { token: token(), renewal: Renewal { count: 9, committed, pending: None } },
+        ),
     ]
 }
 
@@ -443,7 +464,7 @@
     let (near, mut far) = duplex(1 << 16);
     let dialled = tokio::spawn(async move {
         let mut sealed = Sealed::dial(near, Own { fleet: 0x0102, id: 0x0304 }, &keys).await.unwrap();
-        sealed.say(&Packet::Word(Message::VoteGranted { term: 300 })).await.unwrap();
+        sealed.say(&Packet::Word(ElectionMessage::VoteGranted { term: 300 })).await.unwrap();
         sealed.hear().await.unwrap()
     });
     let mut dialler = [0; 46];
@@ -461,12 +482,12 @@
         frame.update(&0u64.to_be_bytes()).update(body);
         frame.finalize().as_bytes()[..16].to_vec()
     };
-    let body = postcard::to_stdvec(&Packet::Word(Message::VoteGranted { term: 300 })).unwrap();
+    let body = postcard::to_stdvec(&Packet::Word(ElectionMessage::VoteGranted { term: 300 })).unwrap();
     let mut frame = vec![0; 4 + body.len() + 16];
     far.read_exact(&mut frame).await.unwrap();
     let length = (body.len() as u32 + 16).to_be_bytes();
     assert_eq!(frame, [&length[..], &body, &code("dialler", &body)].concat());
     far.write_all(&[&length[..], &body, &code("listener", &body)].concat()).await.unwrap();
-    assert_eq!(dialled.await.unwrap(), Packet::Word(Message::VoteGranted { term: 300 }));
+    assert_eq!(dialled.await.unwrap(), Packet::Word(ElectionMessage::VoteGranted { term: 300 }));
     assert_eq!(VERSION, 2);
 }
