--- a/crates/config-consensus/src/coordinator/batch.rs
+++ b/crates/config-consensus/src/coordinator/batch.rs
@@ -8,7 +8,7 @@
 use crate::message::{MAX_INLINE_BYTES, Message, ProposalOutcome, VersionHeader};
 use crate::settings::ValidationRules;
 use crate::version::{ConfigVersion, DecidedProposals};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
@@ -29,7 +29,7 @@
     committed: &'a ConfigVersion,
     configuration: Configuration,
     changes: Vec<Change>,
-    decided: BTreeMap<Id, DecidedProposals>,
+    decided: BTreeMap<MemberId, DecidedProposals>,
     accepted: Vec<ProposalKey>,
     /// Proposals that wait for the version after this one.
     deferred: Vec<ReadyProposal>,
@@ -84,7 +84,7 @@
         }
     }
 
-    fn decided_by(&mut self, proposer: Id) -> &mut DecidedProposals {
+    fn decided_by(&mut self, proposer: MemberId) -> &mut DecidedProposals {
         self.decided.entry(proposer).or_insert_with(|| self.committed.decided(proposer))
     }
 
@@ -142,7 +142,7 @@
         &mut self,
         cx: &mut Context<impl Host>,
         changes: Vec<Change>,
-        decided: BTreeMap<Id, DecidedProposals>,
+        decided: BTreeMap<MemberId, DecidedProposals>,
         accepted: Vec<ProposalKey>,
     ) {
         let version = self.committed.successor(&changes, &decided);
--- a/crates/config-consensus/src/coordinator/leases.rs
+++ b/crates/config-consensus/src/coordinator/leases.rs
@@ -7,7 +7,7 @@
 use crate::settings::LeaseParameters;
 use crate::transfer::Download;
 use crate::version::VersionId;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(super) struct ReplicaLeases {
     parameters: LeaseParameters,
-    replicas: BTreeMap<Id, ReplicaLease>,
+    replicas: BTreeMap<MemberId, ReplicaLease>,
     /// Leases that a former coordinator granted have expired by then.
     former_expiry: Duration,
 }
@@ -39,23 +39,23 @@
     }
 
     /// A renewal was received.
-    pub(super) fn heard(&mut self, replica: Id, now: Duration) {
+    pub(super) fn heard(&mut self, replica: MemberId, now: Duration) {
         self.replicas.entry(replica).or_default().heard = Some(now);
     }
 
     /// A renewal is granted.
-    pub(super) fn grant(&mut self, replica: Id, now: Duration) {
+    pub(super) fn grant(&mut self, replica: MemberId, now: Duration) {
         self.replicas.entry(replica).or_default().granted = Some(now);
     }
 
     /// Whether a replica has not renewed for long.
-    pub(super) fn is_silent(&self, replica: Id, now: Duration) -> bool {
+    pub(super) fn is_silent(&self, replica: MemberId, now: Duration) -> bool {
         let heard = self.replicas.get(&replica).and_then(|lease| lease.heard);
         heard.is_none_or(|at| now >= at + self.parameters.renew_interval * SILENT_INTERVALS)
     }
 
     /// Whether no lease of a replica runs any more.
-    pub(super) fn is_expired(&self, replica: Id, now: Duration) -> bool {
+    pub(super) fn is_expired(&self, replica: MemberId, now: Duration) -> bool {
         let granted = self.replicas.get(&replica).and_then(|lease| lease.granted);
         let expiry = granted.map_or(Duration::ZERO, |at| at + self.parameters.expiry_bound());
         now >= expiry.max(self.former_expiry)
@@ -71,7 +71,7 @@
 
 impl Coordinator {
     /// A replica asks to renew its lease, and reports the versions that it has on disk.
-    pub(crate) fn renew(&mut self, cx: &mut Context<impl Host>, from: Id, renewal: Renewal) {
+    pub(crate) fn renew(&mut self, cx: &mut Context<impl Host>, from: MemberId, renewal: Renewal) {
         self.leases.heard(from, cx.now);
         match &mut self.phase {
             Phase::Recovering(recovery) => {
@@ -95,7 +95,12 @@
     }
 
     /// Whether a replica has another version under the committed number; logged once for each hash.
-    fn conflicts_with(&mut self, cx: &mut Context<impl Host>, replica: Id, reported: VersionId) -> bool {
+    fn conflicts_with(
+        &mut self,
+        cx: &mut Context<impl Host>,
+        replica: MemberId,
+        reported: VersionId,
+    ) -> bool {
         let committed = self.committed.id();
         let conflict = reported.number == committed.number && reported.hash != committed.hash;
         if conflict && self.conflicting.insert(replica, reported.hash) != Some(reported.hash) {
@@ -105,7 +110,7 @@
     }
 
     /// Grants the lease to a replica that has the committed and the pending version, and sends to another what it lacks.
-    fn answer_renewal(&mut self, cx: &mut Context<impl Host>, from: Id, renewal: Renewal) {
+    fn answer_renewal(&mut self, cx: &mut Context<impl Host>, from: MemberId, renewal: Renewal) {
         let (token, committed) = (self.token, self.committed.id());
         let preparing = if let Phase::Preparing(pending) = &self.phase { Some(pending) } else { None };
         let pending = preparing.map(|pending| pending.version.id());
--- a/crates/config-consensus/src/host.rs
+++ b/crates/config-consensus/src/host.rs
@@ -3,14 +3,14 @@
 use crate::message::{Message, ProposalId, ProposalOutcome};
 use crate::replica::ActiveVersions;
 use crate::version::{DecodeError, StoredState, VersionId};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use std::fmt;
 
 /// Carries out what a node asks for.
 pub trait Host {
     /// Sends a message to another member. Delivery is not assumed: unanswered messages are retransmitted.
-    fn send(&mut self, to: Id, message: Message);
+    fn send(&mut self, to: MemberId, message: Message);
     /// Starts to write this state to disk; [`crate::ConsensusNode::persisted`] reports its stamp once it is there.
     fn persist(&mut self, state: &StoredState, stamp: u64);
     /// Starts a step of the journal with this content. [`crate::ConsensusNode::journal_durable`] reports that a quorum has it,
@@ -39,7 +39,7 @@
     /// A replica has another content under a number than this coordinator has: it is granted no lease.
     ReplicaHistoryConflict {
         /// The replica.
-        replica: Id,
+        replica: MemberId,
         /// What the replica reported.
         reported: VersionId,
         /// What this coordinator has committed.
--- a/crates/config-consensus/src/message.rs
+++ b/crates/config-consensus/src/message.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::Change;
 use crate::version::{ContentHash, DecidedProposals, VersionId};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -26,7 +26,7 @@
     /// The changes that make the version from its parent, where they are small; otherwise the version is fetched.
     pub changes: Option<Vec<Change>>,
     /// Decisions on proposals that are part of the version, by proposer.
-    pub decided: BTreeMap<Id, DecidedProposals>,
+    pub decided: BTreeMap<MemberId, DecidedProposals>,
 }
 
 impl VersionHeader {
--- a/crates/config-consensus/src/replica/persistence.rs
+++ b/crates/config-consensus/src/replica/persistence.rs
@@ -4,13 +4,13 @@
 use crate::host::Host;
 use crate::message::Message;
 use crate::version::StoredState;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 
 /// A message that may leave once a write is on disk.
 #[derive(Debug)]
 struct Deferred {
     stamp: u64,
-    to: Id,
+    to: MemberId,
     message: Message,
 }
 
@@ -47,7 +47,7 @@
     }
 
     /// Sends a message once all that was handed to the disk so far is there.
-    pub(super) fn send_when_complete(&mut self, cx: &mut Context<impl Host>, to: Id, message: Message) {
+    pub(super) fn send_when_complete(&mut self, cx: &mut Context<impl Host>, to: MemberId, message: Message) {
         if self.is_complete() {
             cx.send(to, message);
         } else {
--- a/crates/config-consensus/src/version.rs
+++ b/crates/config-consensus/src/version.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::{Change, Configuration};
 use crate::message::{ProposalId, VersionHeader};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -67,7 +67,7 @@
     /// The configuration.
     pub configuration: Configuration,
     /// Decided proposals by proposer, so that no later coordinator applies a proposal twice.
-    pub decided: BTreeMap<Id, DecidedProposals>,
+    pub decided: BTreeMap<MemberId, DecidedProposals>,
 }
 
 impl VersionBody {
@@ -140,12 +140,16 @@
     }
 
     /// The decisions on a member's proposals up to this version.
-    pub fn decided(&self, proposer: Id) -> DecidedProposals {
+    pub fn decided(&self, proposer: MemberId) -> DecidedProposals {
         self.body.decided.get(&proposer).cloned().unwrap_or_default()
     }
 
     /// The version after this one, with these changes and decisions.
-    pub fn successor(&self, changes: &[Change], decided: &BTreeMap<Id, DecidedProposals>) -> ConfigVersion {
+    pub fn successor(
+        &self,
+        changes: &[Change],
+        decided: &BTreeMap<MemberId, DecidedProposals>,
+    ) -> ConfigVersion {
         let mut body = self.body.clone();
         body.number += 1;
         body.decided.extend(decided.iter().map(|(id, decisions)| (*id, decisions.clone())));
--- a/crates/config-consensus/tests/consensus/test_cluster/mod.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/mod.rs
@@ -9,7 +9,7 @@
 mod node;
 
 use grebespool_config_consensus::*;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Record, Token};
 use network::InFlight;
 use node::{Requests, TestHost, TestNode};
@@ -78,7 +78,7 @@
 
 pub struct TestCluster {
     pub now: Duration,
-    pub nodes: BTreeMap<Id, TestNode>,
+    pub nodes: BTreeMap<MemberId, TestNode>,
     pub rng: Pcg64Mcg,
     disabled: DisabledGuard,
     // The network.
@@ -89,10 +89,10 @@
     pub max_delay: Duration,
     /// Bytes per second from one member to another; messages wait for those before them.
     pub bandwidth: f64,
-    link_free_at: BTreeMap<(Id, Id), Duration>,
-    cut: BTreeSet<(Id, Id)>,
+    link_free_at: BTreeMap<(MemberId, MemberId), Duration>,
+    cut: BTreeSet<(MemberId, MemberId)>,
     // The journal.
-    pub owner: Option<(Id, Token)>,
+    pub owner: Option<(MemberId, Token)>,
     owned_until: Duration,
     /// The owner renews its ownership no more.
     owner_lapses: bool,
@@ -103,7 +103,7 @@
     /// The hash of every number that was ever committed somewhere.
     committed_hashes: BTreeMap<u64, ContentHash>,
     /// Members that a test gave another history.
-    pub conflicting: BTreeSet<Id>,
+    pub conflicting: BTreeSet<MemberId>,
     /// When each version was first applied alone.
     pub activated_at: BTreeMap<u64, Duration>,
     pub violations: Vec<String>,
@@ -155,8 +155,8 @@
         cluster
     }
 
-    pub fn start(&mut self, id: Id) {
-        let voters: Vec<Id> = self.nodes.keys().copied().collect();
+    pub fn start(&mut self, id: MemberId) {
+        let voters: Vec<MemberId> = self.nodes.keys().copied().collect();
         let Some(node) = self.nodes.get_mut(&id) else { return };
         node.start_count += 1;
         node.writes.clear();
@@ -167,7 +167,7 @@
         self.call(id, |node, now| node.set_voters(now, voters));
     }
 
-    pub fn crash(&mut self, id: Id) {
+    pub fn crash(&mut self, id: MemberId) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.consensus = None;
             node.writes.clear();
@@ -177,7 +177,7 @@
     }
 
     /// Restarts a member with an older copy of its disk.
-    pub fn restore_disk(&mut self, id: Id, disk: StoredState) {
+    pub fn restore_disk(&mut self, id: MemberId, disk: StoredState) {
         self.crash(id);
         self.nodes.get_mut(&id).unwrap().disk = disk;
         self.start(id);
@@ -186,7 +186,7 @@
     /// Calls a member, and carries out what it asks for.
     pub fn call<T>(
         &mut self,
-        id: Id,
+        id: MemberId,
         call: impl FnOnce(&mut ConsensusNode<TestHost>, Duration) -> T,
     ) -> Option<T> {
         let (now, owned) = (self.now, self.owned_by(id));
@@ -203,7 +203,7 @@
         Some(returned)
     }
 
-    fn carry_out(&mut self, id: Id, requests: Requests) {
+    fn carry_out(&mut self, id: MemberId, requests: Requests) {
         let node = self.nodes.get_mut(&id).unwrap();
         for (state, stamp) in requests.persist {
             node.start_write(self.now, state, stamp);
@@ -226,7 +226,7 @@
         }
     }
 
-    pub fn propose(&mut self, id: Id, changes: Vec<Change>, forced: bool) -> Option<ProposalId> {
+    pub fn propose(&mut self, id: MemberId, changes: Vec<Change>, forced: bool) -> Option<ProposalId> {
         self.call(id, |node, now| node.propose(now, changes, forced))?.ok()
     }
 
@@ -246,7 +246,7 @@
         }
     }
 
-    fn complete_writes(&mut self, id: Id) {
+    fn complete_writes(&mut self, id: MemberId) {
         let now = self.now;
         let node = self.nodes.get_mut(&id).unwrap();
         if let Some(stamp) = node.complete_writes(now) {
@@ -254,7 +254,7 @@
         }
     }
 
-    fn fire_timer(&mut self, id: Id) {
+    fn fire_timer(&mut self, id: MemberId) {
         let node = &self.nodes[&id];
         let due = node.consensus.as_ref().is_some_and(|c| c.next_timer() <= node.clock(self.now));
         if due && !node.suspended {
--- a/crates/config-consensus/tests/consensus/test_cluster/node.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/node.rs
@@ -2,7 +2,7 @@
 
 use super::MS;
 use grebespool_config_consensus::*;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 /// What a member asked for during a call.
 #[derive(Default)]
 pub struct Requests {
-    pub send: Vec<(Id, Message)>,
+    pub send: Vec<(MemberId, Message)>,
     pub persist: Vec<(StoredState, u64)>,
     pub write_journal: Option<(Token, Vec<u8>)>,
     pub finish_journal_step: Option<Token>,
@@ -27,7 +27,7 @@
 pub struct TestHost(pub Rc<RefCell<Requests>>);
 
 impl Host for TestHost {
-    fn send(&mut self, to: Id, message: Message) {
+    fn send(&mut self, to: MemberId, message: Message) {
         self.0.borrow_mut().send.push((to, message));
     }
     fn persist(&mut self, state: &StoredState, stamp: u64) {
