--- a/crates/cluster/src/accord.rs
+++ b/crates/cluster/src/accord.rs
@@ -10,7 +10,7 @@
     ActiveVersions, Change, ConsensusNode as Member, ConsensusSettings as Terms, CoordinatorRef, Event, Host,
     Message as Word, ProposalId as Ticket, ProposalOutcome, StoredState as Kept,
 };
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Duty, Token};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 /// What is asked for while a member's editions are called.
 #[derive(Default)]
 pub(crate) struct Asked {
-    said: Vec<(Id, Word)>,
+    said: Vec<(MemberId, Word)>,
     writing: Option<(Kept, u64)>,
     fix: Option<(Token, Vec<u8>)>,
     end: Option<Token>,
@@ -39,7 +39,7 @@
 pub(crate) struct Slate(Asked);
 
 impl Host for Slate {
-    fn send(&mut self, to: Id, word: Word) {
+    fn send(&mut self, to: MemberId, word: Word) {
         self.0.said.push((to, word));
     }
     fn persist(&mut self, kept: &Kept, stamp: u64) {
@@ -76,7 +76,7 @@
     /// # Errors
     ///
     /// The disk's.
-    pub fn open(store: &Store, own: Id, life: u32, terms: Terms) -> io::Result<Editions> {
+    pub fn open(store: &Store, own: MemberId, life: u32, terms: Terms) -> io::Result<Editions> {
         let damaged = |why: &str| {
             warn!(why, "what was held of editions is damaged; the convener is asked for all of it")
         };
@@ -130,7 +130,7 @@
         editions.called.notify_one();
     }
 
-    pub(crate) fn accord_heard(self: &Rc<Self>, from: Id, word: Word) {
+    pub(crate) fn accord_heard(self: &Rc<Self>, from: MemberId, word: Word) {
         self.agree(|m, now| m.message_received(now, from, word));
     }
 
@@ -139,8 +139,8 @@
         let member = editions.member.borrow();
         let shown = member.status(self.began.elapsed());
         let own = self.member.borrow();
-        let seats = &own.kept_state().roster.seats;
-        let named = |id: Id| seats.get(&id).map_or(format!("{id:016x}"), |s| s.name.clone());
+        let seats = &own.hard_state().membership.voters;
+        let named = |id: MemberId| seats.get(&id).map_or(format!("{id:016x}"), |s| s.name.clone());
         let name = |id: grebespool_config_consensus::VersionId| (id.number, id.hash.to_string());
         Answer::Editions(Box::new(operator::Editions {
             name: self.name.clone(),
--- a/crates/config-consensus/src/context.rs
+++ b/crates/config-consensus/src/context.rs
@@ -2,15 +2,15 @@
 
 use crate::host::Host;
 use crate::message::Message;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use std::collections::VecDeque;
 use std::time::Duration;
 
 /// What a node sends through, and to whom.
 pub(crate) struct Outgoing<H> {
     pub host: H,
-    pub own: Id,
-    pub voters: Vec<Id>,
+    pub own: MemberId,
+    pub voters: Vec<MemberId>,
     /// Messages of this node to itself, in their order.
     pub loopback: VecDeque<Message>,
 }
@@ -30,7 +30,7 @@
 
 impl<H: Host> Context<'_, H> {
     /// Sends a message to a member, this one included.
-    pub(crate) fn send(&mut self, to: Id, message: Message) {
+    pub(crate) fn send(&mut self, to: MemberId, message: Message) {
         if to == self.outgoing.own {
             self.outgoing.loopback.push_back(message);
         } else {
@@ -46,7 +46,7 @@
     }
 
     /// The members that take part.
-    pub(crate) fn voters(&self) -> &[Id] {
+    pub(crate) fn voters(&self) -> &[MemberId] {
         &self.outgoing.voters
     }
 
--- a/crates/config-consensus/src/replica/mod.rs
+++ b/crates/config-consensus/src/replica/mod.rs
@@ -10,7 +10,7 @@
 use crate::settings::LeaseParameters;
 use crate::transfer::Download;
 use crate::version::{ConfigVersion, ContentHash, StoredState, VersionId};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use persistence::Persistence;
 use serde::{Deserialize, Serialize};
@@ -53,7 +53,7 @@
     /// The ownership; a later coordinator's is higher.
     pub token: Token,
     /// The member.
-    pub member: Id,
+    pub member: MemberId,
 }
 
 /// A version that is being fetched.
--- a/crates/config-consensus/tests/consensus/test_cluster/faults.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/faults.rs
@@ -2,7 +2,7 @@
 
 use super::{MS, TestCluster};
 use grebespool_config_consensus::*;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use rand::Rng;
 use std::collections::BTreeSet;
 
@@ -31,7 +31,7 @@
 
     /// A fault, or the end of one.
     pub fn random_fault(&mut self) {
-        let ids: Vec<Id> = self.nodes.keys().copied().collect();
+        let ids: Vec<MemberId> = self.nodes.keys().copied().collect();
         let id = ids[self.rng.random_range(0..ids.len())];
         match self.rng.random_range(0..13) {
             0 => self.crash(id),
@@ -65,8 +65,8 @@
     }
 
     /// Cuts the network into two parts.
-    fn partition(&mut self, ids: &[Id]) {
-        let here: BTreeSet<Id> = ids.iter().copied().filter(|_| self.rng.random()).collect();
+    fn partition(&mut self, ids: &[MemberId]) {
+        let here: BTreeSet<MemberId> = ids.iter().copied().filter(|_| self.rng.random()).collect();
         for (a, b) in ids.iter().flat_map(|a| ids.iter().map(move |b| (*a, *b))) {
             if here.contains(&a) != here.contains(&b) {
                 self.cut.insert((a, b));
@@ -74,7 +74,7 @@
         }
     }
 
-    pub fn set_suspended(&mut self, id: Id, suspended: bool) {
+    pub fn set_suspended(&mut self, id: MemberId, suspended: bool) {
         self.nodes.get_mut(&id).unwrap().suspended = suspended;
     }
 
--- a/crates/config-consensus/tests/consensus/test_cluster/network.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/network.rs
@@ -2,7 +2,7 @@
 
 use super::{DisabledGuard, MS, TestCluster};
 use grebespool_config_consensus::*;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use rand::Rng;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 const MESSAGE_BYTES: usize = 200;
 
 pub enum InFlight {
-    Message { to: Id, from: Id, message: Message },
-    JournalWrite(Id, Token, Vec<u8>),
-    JournalFinish(Id, Token),
+    Message { to: MemberId, from: MemberId, message: Message },
+    JournalWrite(MemberId, Token, Vec<u8>),
+    JournalFinish(MemberId, Token),
 }
 
 impl TestCluster {
@@ -28,7 +28,7 @@
         self.in_flight.insert((at, self.sent), what);
     }
 
-    pub(super) fn send(&mut self, from: Id, to: Id, message: Message) {
+    pub(super) fn send(&mut self, from: MemberId, to: MemberId, message: Message) {
         if let Message::Renew { renewal, .. } = &message {
             self.nodes.get_mut(&from).unwrap().renewals = renewal.count;
         }
@@ -39,7 +39,7 @@
         }
     }
 
-    fn transmit(&mut self, from: Id, to: Id, message: Message) {
+    fn transmit(&mut self, from: MemberId, to: MemberId, message: Message) {
         let copies = if self.rng.random_bool(self.duplication) { 2 } else { 1 };
         for _ in 0..copies {
             if self.cut.contains(&(from, to)) || self.rng.random_bool(self.loss) {
@@ -74,7 +74,7 @@
         }
     }
 
-    fn deliver_message(&mut self, to: Id, from: Id, mut message: Message) {
+    fn deliver_message(&mut self, to: MemberId, from: MemberId, mut message: Message) {
         if self.nodes.get(&to).is_some_and(|node| node.suspended) {
             // It waits in the socket's buffer.
             return self.deliver_at(self.now + MS(20), InFlight::Message { to, from, message });
@@ -87,22 +87,22 @@
         self.call(to, |node, now| node.message_received(now, from, message));
     }
 
-    pub(super) fn is_up(&self, id: Id) -> bool {
+    pub(super) fn is_up(&self, id: MemberId) -> bool {
         self.nodes.get(&id).is_some_and(|node| node.consensus.is_some() && !node.suspended)
     }
 
-    fn is_connected(&self, a: Id, b: Id) -> bool {
+    fn is_connected(&self, a: MemberId, b: MemberId) -> bool {
         self.is_up(a) && self.is_up(b) && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
     }
 
     /// Whether a member reaches a quorum whose disks take writes.
-    pub(super) fn has_quorum(&self, id: Id) -> bool {
-        let writable = |other: &&Id| self.is_connected(id, **other) && !self.nodes[*other].disk_full;
+    pub(super) fn has_quorum(&self, id: MemberId) -> bool {
+        let writable = |other: &&MemberId| self.is_connected(id, **other) && !self.nodes[*other].disk_full;
         self.nodes.keys().filter(writable).count() * 2 > self.nodes.len()
     }
 
     /// Cuts the links from a member to others (`outgoing`), and from others to it (`incoming`).
-    pub fn cut_off(&mut self, id: Id, outgoing: bool, incoming: bool) {
+    pub fn cut_off(&mut self, id: MemberId, outgoing: bool, incoming: bool) {
         for other in self.nodes.keys().copied().filter(|other| *other != id) {
             self.cut.extend(outgoing.then_some((id, other)));
             self.cut.extend(incoming.then_some((other, id)));
