--- a/crates/cli/benches/replaying.rs
+++ b/crates/cli/benches/replaying.rs
@@ -52,9 +52,9 @@
     println!(
         "| {proxies} x {servers} | {calls_per_s:.0} | {:.1} | {:.0} | {:.0} | {:.4} | {} | {:.0} |",
         seconds as f64 / took,
-        played.service.asked() as f64 / took,
+        played.service.requests() as f64 / took,
         played.events as f64 / took,
-        played.service.whole,
+        played.service.overall,
         if played.kept() { "kept" } else { "BROKEN" },
         peak_kib() as f64 / 1024.0
     );
@@ -89,8 +89,8 @@
         "| {count} | {:.1} | {:.1} | {:.0} | {:.4} | {:.0} |",
         stored as f64 / count as f64,
         read,
-        outcome.service.asked() as f64 / (began.elapsed().as_secs_f64() - read),
-        outcome.service.whole,
+        outcome.service.requests() as f64 / (began.elapsed().as_secs_f64() - read),
+        outcome.service.overall,
         peak_kib() as f64 / 1024.0
     );
 }
--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -3,7 +3,7 @@
 use crate::rehearse::{BAD_DAY, Runs, host};
 use clap::Args;
 use grebespool_emulator::rehearse;
-use grebespool_server_model::Service;
+use grebespool_server_model::ServiceLevel;
 use grebespool_settings::Day;
 use grebespool_simulation::{PlannedBy, model};
 use std::path::PathBuf;
@@ -27,20 +27,20 @@
     planner: Runs,
 }
 
-type Figure = (&'static str, fn(&Service) -> f64);
+type Figure = (&'static str, fn(&ServiceLevel) -> f64);
 
 /// What is shown of both.
 const FIGURES: [Figure; 10] = [
-    ("service", |s| s.whole),
+    ("service", |s| s.overall),
     ("worst 10 s", |s| s.worst),
     ("p50 ms", |s| s.p50_ms),
     ("p99 ms", |s| s.p99_ms),
-    ("turned away", |s| s.throttled() as f64),
+    ("turned away", |s| s.rejected() as f64),
     ("late", |s| s.late() as f64),
     ("failed", |s| s.failed() as f64),
-    ("tries a call", |s| s.tries),
+    ("tries a call", |s| s.attempts_per_request),
     ("connections", |s| s.connections as f64),
-    ("lines ordered", |s| s.lines as f64),
+    ("lines ordered", |s| s.entries as f64),
 ];
 
 pub fn compare(a: &CompareArguments) -> Result<ExitCode, String> {
@@ -64,7 +64,7 @@
         kept &= played.kept();
         modelled.push(played.service);
     }
-    let spread = |all: &[Service], of: fn(&Service) -> f64| {
+    let spread = |all: &[ServiceLevel], of: fn(&ServiceLevel) -> f64| {
         let values = all.iter().map(of);
         let (least, most) = values.clone().fold((f64::MAX, f64::MIN), |(l, m), v| (l.min(v), m.max(v)));
         (values.sum::<f64>() / all.len() as f64, least, most)
@@ -84,8 +84,8 @@
             shown(m1)
         );
     }
-    let apart = |of: fn(&Service) -> f64| (spread(&sockets, of).0 - spread(&modelled, of).0).abs();
-    let (whole, worst) = (apart(|s| s.whole), apart(|s| s.worst));
+    let apart = |of: fn(&ServiceLevel) -> f64| (spread(&sockets, of).0 - spread(&modelled, of).0).abs();
+    let (whole, worst) = (apart(|s| s.overall), apart(|s| s.worst));
     println!(
         "\nservice {whole:.4} apart (at most {}), worst ten seconds {worst:.4} (at most {}); rules {}",
         a.tolerance,
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -129,18 +129,18 @@
 
 fn print(played: &Played) {
     let s = &played.service;
-    println!("\nservice {:.3}, worst ten seconds {:.3}", s.whole, s.worst);
+    println!("\nservice {:.3}, worst ten seconds {:.3}", s.overall, s.worst);
     for r in &s.routes {
         println!(
             "  {:<16} {:>6} calls  {:>6} answered  {:>6} in time  {:>5} throttled  p50 {:.0} ms  p99 {:.0} ms",
-            r.name, r.asked, r.answered, r.in_time, r.throttled, r.p50_ms, r.p99_ms
+            r.name, r.requests, r.answered, r.in_time, r.rejected, r.p50_ms, r.p99_ms
         );
     }
-    println!("orders: {} messages, {} lines; {} joins", s.messages, s.lines, s.joins);
+    println!("orders: {} messages, {} lines; {} joins", s.messages, s.entries, s.joins);
     println!(
         "work wasted {:.1}%, to other zones {:.1}%, {} connections\n",
-        100.0 * s.wasted,
-        100.0 * s.crossings,
+        100.0 * s.wasted_share,
+        100.0 * s.cross_zone_share,
         s.connections
     );
     for verdict in &played.verdicts {
--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -69,7 +69,7 @@
     let played = play(&day(&format!("{DEPLOY}, {trouble}")), cutting);
     let broken: Vec<_> = played.verdicts.iter().filter(|v| v.first.is_some()).collect();
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(played.service.whole > least, "service {:.3}", played.service.whole);
+    assert!(played.service.overall > least, "service {:.3}", played.service.overall);
     let (epochs, older) = epochs(&played.record);
     assert!(epochs.len() >= 2, "nobody took over: {epochs:?}");
     assert_eq!(older, 0, "orders of a former leader came after a newer one's");
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -5,7 +5,7 @@
 use grebespool_controller_server::ALIVE;
 use grebespool_controller_server::dial::{Peer, next, shake_hands};
 use grebespool_invariants::Passed;
-use grebespool_server_model::{Held, Sums};
+use grebespool_server_model::{Admission, Avoidance, ProxyTables, ReportAggregator, UpdateId};
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, Reason, Role, ServerId, Tries};
 use rand::{Rng, SeedableRng};
@@ -38,11 +38,11 @@
     kind: ProxyKind,
     pub addr: SocketAddr,
     pub link: Rc<Link>,
-    held: RefCell<Held>,
+    held: RefCell<ProxyTables>,
     rng: RefCell<Pcg64Mcg>,
     conns: RefCell<BTreeMap<ServerId, Conn>>,
     zones: Rc<RefCell<BTreeMap<ServerId, u16>>>,
-    sums: RefCell<Sums>,
+    sums: RefCell<ReportAggregator>,
     nonces: Cell<u64>,
     rate: f32,
 }
@@ -75,7 +75,11 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let lines = standing.iter().map(|s| (*s, 1.0)).collect();
         world.put(Passed::Began { proxy: number, lines });
-        let held = Held::new(kind.picks, (kind.avoids, kind.avoids_for.0), &standing);
+        let held = ProxyTables::new(
+            kind.picks,
+            Avoidance { after_failures: kind.avoids, duration: kind.avoids_for.0 },
+            &standing,
+        );
         let proxy = Rc::new(Proxy {
             addr: listener.local_addr()?,
             world,
@@ -121,7 +125,7 @@
             let _ = self.stream(&joined).await;
             if joined.get() {
                 self.world.put(Passed::Left { proxy: self.number });
-                self.held.borrow_mut().left();
+                self.held.borrow_mut().stream_closed();
             }
             let most = self.kind.redial.0;
             let wait = most.mul_f64(self.rng.borrow_mut().random_range(0.2..1.0));
@@ -134,9 +138,9 @@
         socket.set_nodelay(true)?;
         let dialled = timeout(Duration::from_secs(3), self.join(&mut socket, &self.name())).await??;
         let mut inbox = dialled.inbox;
-        let welcomed = self.held.borrow_mut().welcomed(dialled.start, dialled.stream, dialled.epoch);
+        let welcomed = self.held.borrow_mut().stream_accepted(dialled.start, dialled.stream, dialled.epoch);
         if welcomed.is_err() {
-            let text = format!("epoch {} has been seen", self.held.borrow().epoch());
+            let text = format!("epoch {} has been seen", self.held.borrow().term());
             let bye = Message::Bye { reason: Reason::PassedOver, text };
             return socket.write_all(&bye.frame()).await;
         }
@@ -154,7 +158,7 @@
                     Message::Alive => heard = Instant::now(),
                     Message::Orders(orders) => {
                         heard = Instant::now();
-                        let obeyed = self.held.borrow_mut().obey(&orders);
+                        let obeyed = self.held.borrow_mut().apply(&orders);
                         if let Ok(mark) = obeyed {
                             let (start, stream, seq) = (orders.start, orders.stream, orders.seq);
                             to.write_all(&Message::Applied { start, stream, seq, mark }.frame()).await?;
@@ -164,7 +168,7 @@
                     _ => return Ok(()),
                 },
                 _ = sums.tick() => {
-                    let told = self.sums.borrow_mut().tell();
+                    let told = self.sums.borrow_mut().take_report();
                     to.write_all(&told.frame()).await?;
                 },
             }
@@ -178,7 +182,8 @@
     ) -> io::Result<grebespool_controller_server::dial::Dialled> {
         let (bare, held, epoch) = {
             let held = self.held.borrow();
-            (held.bare(), held.last, held.epoch())
+            let UpdateId { start, seq } = held.last_applied();
+            (held.is_unconfigured(), (start, seq), held.term())
         };
         let zone = &self.world.deployment.zones[usize::from(self.zone)];
         let peer = Peer { role: Role::Proxy, name, zone, rate: self.rate, bare, held, epoch };
@@ -189,7 +194,7 @@
         let held = self.held.borrow();
         self.conns.borrow_mut().retain(|server, conn| {
             // What is in hand there is answered first.
-            held.names(*server) || !conn.asked.borrow().is_empty()
+            held.contains(*server) || !conn.asked.borrow().is_empty()
         });
     }
 
@@ -217,8 +222,8 @@
     }
 
     async fn carry_out(&self, call: Call) -> Outcome {
-        self.sums.borrow_mut().came(call.route);
-        let (share, tries) = self.held.borrow().level(call.route);
+        self.sums.borrow_mut().request_received(call.route);
+        let Admission { share, retries: tries } = self.held.borrow().admission(call.route);
         if self.rng.borrow_mut().random_range(0.0..1.0) >= share {
             return Outcome::Throttled;
         }
@@ -274,8 +279,8 @@
             Ok(Err(not_run)) => (if not_run { Tried::NotRun } else { Tried::Unknown }, false),
             Err(_) => (Tried::Unknown, false),
         };
-        self.sums.borrow_mut().met(server, good.then_some(took), report);
-        self.held.borrow_mut().met(self.world.now(), server, good);
+        self.sums.borrow_mut().attempt_finished(server, good.then_some(took), report);
+        self.held.borrow_mut().attempt_finished(self.world.now(), server, good);
         tried
     }
 
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -9,7 +9,7 @@
 use crate::visitor::visit;
 use crate::world::World;
 use grebespool_invariants::{Passed, Record, Verdict, check};
-use grebespool_server_model::{Ability, Service, facts};
+use grebespool_server_model::{ServerSpec, ServiceLevel, ServiceLevelRecorder, invariant_facts};
 use grebespool_settings::{Day, ListSource, Trouble, What};
 use grebespool_trace::Recorder;
 use grebespool_wire::{Entry, Key, Phase, ServerId};
@@ -28,7 +28,7 @@
 pub struct Played {
     pub record: Record,
     pub verdicts: [Verdict; 5],
-    pub service: Service,
+    pub service: ServiceLevel,
 }
 
 impl Played {
@@ -58,8 +58,8 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let tasks = LocalSet::new();
     let record = tasks.block_on(&runtime, play(day, host, progress, recorder))?;
-    let verdicts = check(&record, &facts(day));
-    let service = Service::of(&record, &day.deployment);
+    let verdicts = check(&record, &invariant_facts(day));
+    let service = ServiceLevelRecorder::of_record(&record, &day.deployment);
     Ok(Played { verdicts, service, record })
 }
 
@@ -97,11 +97,11 @@
     let mut servers = vec![];
     for kind in &day.servers {
         for _ in 0..kind.count {
-            let ability = Ability {
+            let ability = ServerSpec {
                 kind: kind.clone(),
                 warm_up: day.deployment.servers.warm_up.0,
-                fall_multiple: day.rules.fall_multiple,
-                fall: day.rules.fall.0,
+                overload_multiple: day.rules.fall_multiple,
+                overload_window: day.rules.fall.0,
             };
             servers.push(Server::new(world.clone(), ability, 1 + servers.len() as u32).await?);
         }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -3,7 +3,7 @@
 use crate::world::World;
 use grebespool_controller_server::dial::next;
 use grebespool_invariants::Passed;
-use grebespool_server_model::{Ability, Machine};
+use grebespool_server_model::{ServerModel, ServerSpec};
 use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, ProbeState, ServerId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
 
 /// One life.
 struct Life {
-    machine: RefCell<Machine>,
+    machine: RefCell<ServerModel>,
     waiting: RefCell<BTreeMap<u64, Waiting>>,
     next: Cell<u64>,
     changed: Notify,
@@ -45,7 +45,7 @@
 
 pub struct Server {
     world: Rc<World>,
-    ability: Ability,
+    ability: ServerSpec,
     pub zone: u16,
     pub addr: SocketAddr,
     number: Cell<u32>,
@@ -56,7 +56,7 @@
 }
 
 impl Server {
-    pub async fn new(world: Rc<World>, ability: Ability, number: u32) -> std::io::Result<Rc<Server>> {
+    pub async fn new(world: Rc<World>, ability: ServerSpec, number: u32) -> std::io::Result<Rc<Server>> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let (zone, addr) = (world.zone(&ability.kind.zone), listener.local_addr()?);
         let server = Rc::new(Server {
@@ -79,7 +79,7 @@
 
     pub fn slow(&self, factor: f64) {
         if let Some((life, _)) = &*self.life.borrow() {
-            life.machine.borrow_mut().slow = factor;
+            life.machine.borrow_mut().slowdown = factor;
         }
     }
 
@@ -88,7 +88,7 @@
         self.manner.frozen.set(still);
         let life = self.life.borrow().as_ref().map(|l| l.0.clone());
         let Some(life) = life else { return };
-        life.machine.borrow_mut().freeze(self.world.now(), still);
+        life.machine.borrow_mut().set_frozen(self.world.now(), still);
         let came = if still { vec![] } else { std::mem::take(&mut *life.came.borrow_mut()) };
         came.into_iter().for_each(|(call, to)| take(self, &life, call, &to));
         life.changed.notify_one();
@@ -124,8 +124,8 @@
 
     fn run(self: &Rc<Self>, listener: TcpListener, cold: bool) {
         let now = self.world.now();
-        let machine = Machine::new(self.ability.clone(), self.world.now_ms(), now, cold);
-        let capacity = machine.full();
+        let machine = ServerModel::new(self.ability.clone(), self.world.now_ms(), now, cold);
+        let capacity = machine.full_capacity();
         let life = Rc::new(Life {
             machine: RefCell::new(machine),
             waiting: RefCell::default(),
@@ -146,7 +146,7 @@
 async fn live(server: Rc<Server>, life: Rc<Life>, listener: TcpListener) {
     let mut streams = JoinSet::new();
     loop {
-        let due = life.machine.borrow().due();
+        let due = life.machine.borrow().next_completion();
         let done = async {
             match due {
                 Some(due) => tokio::time::sleep_until(server.world.began() + due).await,
@@ -158,12 +158,12 @@
                 // Past its limit a connection is closed at once.
                 if life.open.get() < server.ability.kind.connections {
                     let _ = socket.set_nodelay(true);
-                    life.machine.borrow_mut().toil(server.world.now(), server.ability.kind.handshake.0);
+                    life.machine.borrow_mut().add_overhead(server.world.now(), server.ability.kind.handshake.0);
                     streams.spawn_local(talk(server.clone(), life.clone(), socket));
                 }
             },
             () = done => {
-                let tickets = life.machine.borrow_mut().done(server.world.now());
+                let tickets = life.machine.borrow_mut().take_completed(server.world.now());
                 for ticket in tickets {
                     let waiting = life.waiting.borrow_mut().remove(&ticket);
                     if let Some(w) = waiting {
@@ -214,11 +214,11 @@
                 Message::Probe { number } => {
                     if server.manner.silent.get()
                         || server.manner.frozen.get()
-                        || life.machine.borrow().fallen
+                        || life.machine.borrow().crashed
                     {
                         continue;
                     }
-                    life.machine.borrow_mut().toil(now, Duration::from_millis(1));
+                    life.machine.borrow_mut().add_overhead(now, Duration::from_millis(1));
                     let state =
                         if server.manner.draining.get() { ProbeState::Draining } else { ProbeState::Ready };
                     // One that is another server by now does not answer for the former.
@@ -249,15 +249,15 @@
         return answer(server, life, call, Outcome::Throttled, answers);
     }
     if server.manner.erring.get() {
-        life.machine.borrow_mut().erred();
+        life.machine.borrow_mut().count_error();
         return answer(server, life, call, Outcome::Failed, answers);
     }
     let ticket = life.next.get();
     life.next.set(ticket + 1);
-    let had_fallen = life.machine.borrow().fallen;
+    let had_fallen = life.machine.borrow().crashed;
     let work = Duration::from_micros(call.work_us.into());
-    let taken = life.machine.borrow_mut().arrive(now, ticket, work, call.key);
-    if life.machine.borrow().fallen {
+    let taken = life.machine.borrow_mut().accept(now, ticket, work, call.key);
+    if life.machine.borrow().crashed {
         if !had_fallen {
             server.world.put(Passed::Fell { server: server.id() });
         }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -7,7 +7,7 @@
 use grebespool_controller_server::{Passage, Untouched};
 use grebespool_emulator::{PlannerHost, Played, ThreadHost, rehearse};
 use grebespool_invariants::{Passed, Record, Rule, check};
-use grebespool_server_model::facts;
+use grebespool_server_model::invariant_facts;
 use grebespool_settings::{Day, Deployment, ListSource};
 use grebespool_wire::{Call, Level, Order, Orders, Phase, ServerId, Tries};
 use rstest::rstest;
@@ -110,7 +110,7 @@
 fn each_fault_alone_keeps_the_rules(#[case] troubles: &str, #[case] least: f64) {
     let played = play(&day(troubles));
     assert_kept(&played);
-    assert!(played.service.whole >= least, "service {:.3}", played.service.whole);
+    assert!(played.service.overall >= least, "service {:.3}", played.service.overall);
 }
 
 #[rstest]
@@ -118,7 +118,7 @@
     let played = play(&Day::parse(BAD, "the bad day").unwrap_or_else(|bad| panic!("{bad}")));
     assert_kept(&played);
     assert!(played.verdicts[2].checked > 5 && played.verdicts[3].checked > 5, "too little happened");
-    assert!(played.service.whole > 0.8, "service {:.3}", played.service.whole);
+    assert!(played.service.overall > 0.8, "service {:.3}", played.service.overall);
 }
 
 #[rstest]
@@ -269,7 +269,7 @@
     let (ordered, delivered) =
         (count(|p| matches!(p, Passed::Ordered { .. })), count(|p| matches!(p, Passed::Delivered { .. })));
     assert!(delivered > 0 && delivered <= ordered, "{delivered} of {ordered}");
-    assert!(played.service.whole > 0.95, "service {:.3}", played.service.whole);
+    assert!(played.service.overall > 0.95, "service {:.3}", played.service.overall);
 }
 
 type Events = Vec<(Duration, Passed)>;
@@ -347,8 +347,11 @@
         let mut record = played.record.clone();
         plant(&mut record.passed, call);
         record.passed.sort_by_key(|p| p.0);
-        let broken: Vec<Rule> =
-            check(&record, &facts(&day)).into_iter().filter(|v| v.first.is_some()).map(|v| v.rule).collect();
+        let broken: Vec<Rule> = check(&record, &invariant_facts(&day))
+            .into_iter()
+            .filter(|v| v.first.is_some())
+            .map(|v| v.rule)
+            .collect();
         assert_eq!(broken, [rule]);
     }
 }
--- a/crates/replay/src/chart.rs
+++ b/crates/replay/src/chart.rs
@@ -2,7 +2,7 @@
 
 use crate::compare::gain;
 use crate::run::{Replayed, Replays};
-use grebespool_server_model::Service;
+use grebespool_server_model::ServiceLevel;
 use plotters::coord::Shift;
 use plotters::prelude::*;
 use std::io;
@@ -34,8 +34,8 @@
         .chain([(&replays.evenly, 1), (&replays.best, 1), (&replays.rationed, 1)])
         .collect();
     let outcomes = all.iter().flat_map(|r| &r.0.outcomes);
-    let steps = outcomes.map(|o| o.service.course.len()).max().unwrap_or(1);
-    let step = Service::STEP as f64;
+    let steps = outcomes.map(|o| o.service.over_time.len()).max().unwrap_or(1);
+    let step = ServiceLevel::STEP_S as f64;
     svg((900, 460), |area| {
         let mut chart = ChartBuilder::on(area)
             .caption("service through the day", ("sans-serif", 18))
@@ -46,7 +46,7 @@
         chart.configure_mesh().x_desc("seconds").y_desc("service").draw()?;
         for (i, (r, width)) in all.iter().enumerate() {
             let color = Palette99::pick(i).to_rgba();
-            let at = |s: usize| mean(r.outcomes.iter().filter_map(|o| o.service.course.get(s).copied()));
+            let at = |s: usize| mean(r.outcomes.iter().filter_map(|o| o.service.over_time.get(s).copied()));
             let style = color.stroke_width(*width);
             chart
                 .draw_series(LineSeries::new((0..steps).map(|s| (s as f64 * step, at(s))), style))?
--- a/crates/replay/src/compare.rs
+++ b/crates/replay/src/compare.rs
@@ -27,7 +27,7 @@
 /// By how much the second variant serves better than the first, seed by seed.
 pub fn gain(before: &Replayed, after: &Replayed) -> Gain {
     let services = before.outcomes.iter().zip(&after.outcomes);
-    gain_of(&services.map(|(a, b)| (a.service.whole, b.service.whole)).collect::<Vec<_>>())
+    gain_of(&services.map(|(a, b)| (a.service.overall, b.service.overall)).collect::<Vec<_>>())
 }
 
 /// `pairs`: what each seed gave, the one to compare with first.
--- a/crates/replay/src/report.rs
+++ b/crates/replay/src/report.rs
@@ -105,7 +105,7 @@
 }
 
 pub(crate) fn service(r: &Replayed) -> f64 {
-    of(r, |o| o.service.whole)
+    of(r, |o| o.service.overall)
 }
 
 pub(crate) fn rules(r: &Replayed) -> String {
@@ -181,15 +181,15 @@
             format!("{:.0}", of(r, |o| o.service.p50_ms)),
             format!("{:.0}", of(r, |o| o.service.p99_ms)),
             format!("{:.0}", of(r, |o| o.service.p999_ms)),
-            format!("{:.0}", of(r, |o| o.service.throttled() as f64)),
+            format!("{:.0}", of(r, |o| o.service.rejected() as f64)),
             format!("{:.0}", of(r, |o| o.service.late() as f64)),
             format!("{:.0}", of(r, |o| o.service.failed() as f64)),
-            format!("{:.2}%", of(r, |o| 100.0 * o.service.wasted)),
-            format!("{:.3}", of(r, |o| o.service.tries)),
-            format!("{:.1}%", of(r, |o| 100.0 * o.service.crossings)),
+            format!("{:.2}%", of(r, |o| 100.0 * o.service.wasted_share)),
+            format!("{:.3}", of(r, |o| o.service.attempts_per_request)),
+            format!("{:.1}%", of(r, |o| 100.0 * o.service.cross_zone_share)),
             format!("{:.0}", of(r, |o| o.service.connections as f64)),
             format!("{:.0}", of(r, |o| o.service.messages as f64)),
-            format!("{:.0}", of(r, |o| o.service.lines as f64)),
+            format!("{:.0}", of(r, |o| o.service.entries as f64)),
             format!("{:.0}", of(r, |o| o.service.joins as f64)),
         ]);
         table.rows.push(row);
@@ -214,12 +214,12 @@
         let route = |i: usize| {
             of(r, |o| {
                 let route = &o.service.routes[i];
-                if route.asked > 0 { route.in_time as f64 / route.asked as f64 } else { 1.0 }
+                if route.requests > 0 { route.in_time as f64 / route.requests as f64 } else { 1.0 }
             })
         };
         let row = (0..first.routes.len()).map(|i| format!("{:.4}", route(i)));
         by_route.rows.push(std::iter::once(r.name.clone()).chain(row).collect());
-        let row = (0..first.zones.len()).map(|i| format!("{:.4}", of(r, |o| o.service.zones[i].service)));
+        let row = (0..first.zones.len()).map(|i| format!("{:.4}", of(r, |o| o.service.zones[i].level)));
         by_zone.rows.push(std::iter::once(r.name.clone()).chain(row).collect());
     }
     [by_route, by_zone]
@@ -276,19 +276,19 @@
                 text,
                 "{name},{},{:.6},{:.6},{:.3},{:.3},{:.3},{},{},{},{:.6},{:.6},{},{},{},{},{}",
                 o.seed,
-                s.whole,
+                s.overall,
                 s.worst,
                 s.p50_ms,
                 s.p99_ms,
                 s.p999_ms,
-                s.throttled(),
+                s.rejected(),
                 s.late(),
                 s.failed(),
-                s.wasted,
-                s.crossings,
+                s.wasted_share,
+                s.cross_zone_share,
                 s.connections,
                 s.messages,
-                s.lines,
+                s.entries,
                 s.joins,
                 o.broken.len()
             );
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::past::Recorded;
 use grebespool_invariants::Verdict;
-use grebespool_server_model::Service;
+use grebespool_server_model::ServiceLevel;
 use grebespool_settings::Day;
 use grebespool_simulation::{PlannedBy, Unplayable, model};
 use serde::{Deserialize, Serialize};
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
     pub seed: u64,
-    pub service: Service,
+    pub service: ServiceLevel,
     /// Rules that were broken, with the first breach.
     pub broken: Vec<(String, String)>,
     /// The model's events.
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -71,7 +71,7 @@
     let four = replay(&variants, &seeds, None, 4, &|_| {}).unwrap();
     assert_eq!(one, four);
     let seen = &one.variants;
-    assert!(seen[1].outcomes[0].service.whole < seen[0].outcomes[0].service.whole - 0.02);
+    assert!(seen[1].outcomes[0].service.overall < seen[0].outcomes[0].service.overall - 0.02);
     assert!(seen[0].outcomes.iter().all(|o| o.broken.is_empty()));
     assert!(seen[2].outcomes.iter().any(|o| o.broken.iter().any(|b| b.0.starts_with('3'))));
     assert!(!one.kept());
--- /dev/null
+++ b/crates/server-model/src/server.rs
@@ -0,0 +1,301 @@
+//! A server's work: cores, a queue, a warm-up, and the overload that crashes it. It reads no clock: the caller passes the time, which
+//! must not run backwards.
+
+use grebespool_settings::{Figure, ServerKind};
+use grebespool_wire::Report;
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+/// What a server can do, and when it crashes.
+#[derive(Debug, Clone)]
+pub struct ServerSpec {
+    /// Its cores, speed, queue and caches.
+    pub kind: ServerKind,
+    /// How long it takes to its full speed after a start.
+    pub warm_up: Duration,
+    /// While it warms up it crashes under more work than this multiple of its capacity.
+    pub overload_multiple: f64,
+    /// The time over which that work is summed up.
+    pub overload_window: Duration,
+}
+
+struct Job {
+    /// `None` for overhead that nobody waits for.
+    ticket: Option<u64>,
+    /// Seconds of a core of speed 1.
+    work_s: f64,
+    key: u64,
+}
+
+struct RunningJob {
+    ends_at: Duration,
+    ticket: Option<u64>,
+}
+
+struct ReceivedWork {
+    at: Duration,
+    work_s: f64,
+}
+
+/// Work received within the overload window, and what the server stands of it.
+struct RecentWork {
+    received_s: f64,
+    tolerated_s: f64,
+}
+
+/// One life of a server, from a start to its end.
+pub struct ServerModel {
+    spec: ServerSpec,
+    /// When it started; `None` for one that is warm from the beginning.
+    started: Option<Duration>,
+    start_id: u64,
+    /// It works so many times slower than its kind.
+    pub slowdown: f64,
+    /// It makes no progress since then.
+    frozen_since: Option<Duration>,
+    queue: VecDeque<Job>,
+    running: Vec<RunningJob>,
+    /// When each key was last worked on.
+    cached_keys: BTreeMap<u64, Duration>,
+    received: VecDeque<ReceivedWork>,
+    /// It has crashed and accepts nothing.
+    pub crashed: bool,
+    /// Seconds that cores were busy since the last report.
+    busy_s: f64,
+    reported_at: Duration,
+    /// Until when busy time is counted.
+    counted_until: Duration,
+    answered: u32,
+    errors: u32,
+    figures: Vec<f32>,
+    report_number: u32,
+}
+
+impl ServerModel {
+    /// How long a key stays in the cache.
+    const KEY_CACHED: Duration = Duration::from_secs(6);
+    /// The key of overhead, which is not cached.
+    const NO_KEY: u64 = u64::MAX;
+    /// A report covers no less than this, in seconds.
+    const MIN_REPORT_S: f64 = 0.001;
+    /// A warming server stands so many of its largest jobs beyond its capacity.
+    const TOLERATED_JOBS: f64 = 4.0;
+
+    /// A server that starts now; `warming` where it is not at its full speed.
+    pub fn new(spec: ServerSpec, start_id: u64, now: Duration, warming: bool) -> ServerModel {
+        ServerModel {
+            spec,
+            started: warming.then_some(now),
+            start_id,
+            slowdown: 1.0,
+            frozen_since: None,
+            queue: VecDeque::new(),
+            running: vec![],
+            cached_keys: BTreeMap::new(),
+            received: VecDeque::new(),
+            crashed: false,
+            busy_s: 0.0,
+            reported_at: now,
+            counted_until: now,
+            answered: 0,
+            errors: 0,
+            figures: vec![],
+            report_number: 0,
+        }
+    }
+
+    /// Work a second when it is warm, in seconds of a core of speed 1.
+    pub fn full_capacity(&self) -> f64 {
+        self.spec.kind.cores as f64 * self.spec.kind.speed
+    }
+
+    /// The part of its full speed that it has, 0 to 1.
+    fn warmth(&self, now: Duration) -> f64 {
+        let Some(started) = self.started else { return 1.0 };
+        let part = (now - started).as_secs_f64() / self.spec.warm_up.as_secs_f64();
+        self.spec.kind.cold + (1.0 - self.spec.kind.cold) * part.min(1.0)
+    }
+
+    /// Work a second at this moment, in seconds of a core of speed 1.
+    pub fn capacity(&self, now: Duration) -> f64 {
+        self.full_capacity() * self.warmth(now) / self.slowdown
+    }
+
+    fn core_capacity(&self, now: Duration) -> f64 {
+        self.capacity(now) / self.spec.kind.cores as f64
+    }
+
+    fn count_busy_time(&mut self, now: Duration) {
+        self.busy_s += self.running.len() as f64 * now.saturating_sub(self.counted_until).as_secs_f64();
+        self.counted_until = self.counted_until.max(now);
+    }
+
+    /// Takes in a request, unless its queue is full or it has crashed. Tells whether it did; the work counts towards an overload
+    /// either way. `ticket` comes back from [`Self::take_completed`].
+    pub fn accept(&mut self, now: Duration, ticket: u64, work: Duration, key: u64) -> bool {
+        self.count_busy_time(now);
+        self.count_received(now, work.as_secs_f64());
+        if self.crashed || !self.has_room() {
+            return false;
+        }
+        self.queue.push_back(Job { ticket: Some(ticket), work_s: work.as_secs_f64(), key });
+        self.start_jobs(now);
+        true
+    }
+
+    /// Adds work that nobody waits for: a connection's handshake, or a health check.
+    pub fn add_overhead(&mut self, now: Duration, work: Duration) {
+        self.count_busy_time(now);
+        self.queue.push_back(Job { ticket: None, work_s: work.as_secs_f64(), key: Self::NO_KEY });
+        self.start_jobs(now);
+    }
+
+    fn idle_cores(&self) -> usize {
+        self.spec.kind.cores.saturating_sub(self.running.len())
+    }
+
+    fn has_room(&self) -> bool {
+        self.queue.len() < self.spec.kind.room + self.idle_cores()
+    }
+
+    /// Crashes a warming server that received more work in a window than it stands.
+    fn count_received(&mut self, now: Duration, work_s: f64) {
+        self.received.push_back(ReceivedWork { at: now, work_s });
+        while self.received.front().is_some_and(|oldest| now - oldest.at > self.spec.overload_window) {
+            self.received.pop_front();
+        }
+        if self.is_warming(now) {
+            let recent = self.recent_work(now, 0.0);
+            self.crashed |= recent.received_s > recent.tolerated_s;
+        }
+    }
+
+    fn start_jobs(&mut self, now: Duration) {
+        while self.idle_cores() > 0
+            && self.frozen_since.is_none()
+            && let Some(job) = self.queue.pop_front()
+        {
+            let takes_s = job.work_s * (1.0 - self.cached_part(now, &job)) / self.core_capacity(now);
+            let ends_at = now + Duration::from_secs_f64(takes_s);
+            self.running.push(RunningJob { ends_at, ticket: job.ticket });
+        }
+    }
+
+    /// The part of a job's work that the cache saves; the key is cached from here on.
+    fn cached_part(&mut self, now: Duration, job: &Job) -> f64 {
+        let cached_at = self.cached_keys.get(&job.key);
+        let is_cached = cached_at.is_some_and(|at| now - *at < Self::KEY_CACHED);
+        if self.spec.kind.warm_keys > 0.0 && job.ticket.is_some() {
+            self.cached_keys.insert(job.key, now);
+        }
+        if is_cached { self.spec.kind.warm_keys } else { 0.0 }
+    }
+
+    /// When the next job is completed; `None` while it is frozen or has none.
+    pub fn next_completion(&self) -> Option<Duration> {
+        self.running.iter().map(|job| job.ends_at).min().filter(|_| self.frozen_since.is_none())
+    }
+
+    /// Freezes it, as a stopped process, or has it run on with what it had in flight.
+    pub fn set_frozen(&mut self, now: Duration, frozen: bool) {
+        match self.frozen_since {
+            None if frozen => {
+                self.count_busy_time(now);
+                self.frozen_since = Some(now);
+            }
+            Some(since) if !frozen => {
+                self.frozen_since = None;
+                self.counted_until = self.counted_until.max(now);
+                self.running.iter_mut().for_each(|job| job.ends_at += now.saturating_sub(since));
+                self.start_jobs(now);
+            }
+            _ => {}
+        }
+    }
+
+    /// How long a request that came now would take, by what is in flight.
+    pub fn estimate_latency(&self, now: Duration, work: Duration) -> Duration {
+        let core = self.core_capacity(now);
+        let queued_s: f64 = self.queue.iter().map(|job| job.work_s).sum();
+        let running_s = self.running.iter().map(|job| job.ends_at.saturating_sub(now).as_secs_f64());
+        let first_s = running_s.fold(f64::INFINITY, f64::min);
+        let until_idle_s = if self.idle_cores() > 0 { 0.0 } else { first_s };
+        let behind_s = queued_s / (core * self.spec.kind.cores as f64);
+        Duration::from_secs_f64(until_idle_s + behind_s + work.as_secs_f64() / core)
+    }
+
+    /// Whether a request that came now would be accepted, and the server not crash by it.
+    pub fn can_accept(&self, now: Duration, work: Duration) -> bool {
+        let recent = self.recent_work(now, work.as_secs_f64());
+        let stands = !self.is_warming(now) || recent.received_s <= recent.tolerated_s;
+        !self.crashed && self.frozen_since.is_none() && self.has_room() && stands
+    }
+
+    fn is_warming(&self, now: Duration) -> bool {
+        self.started.is_some_and(|started| now - started < self.spec.warm_up)
+    }
+
+    /// The work of the overload window, with `more_s` besides.
+    fn recent_work(&self, now: Duration, more_s: f64) -> RecentWork {
+        let window = self.spec.overload_window;
+        let recent_s = self.received.iter().filter(|work| now - work.at <= window).map(|work| work.work_s);
+        let largest_s = recent_s.clone().fold(more_s, f64::max);
+        let capacity_s = self.full_capacity() * self.warmth(now) * window.as_secs_f64();
+        RecentWork {
+            received_s: recent_s.sum::<f64>() + more_s,
+            tolerated_s: self.spec.overload_multiple * capacity_s + Self::TOLERATED_JOBS * largest_s,
+        }
+    }
+
+    /// The tickets of the requests that are completed by now, earliest first.
+    pub fn take_completed(&mut self, now: Duration) -> Vec<u64> {
+        let mut tickets = vec![];
+        while let Some(at) = self.next_completion().filter(|at| *at <= now) {
+            self.count_busy_time(at);
+            let position = self.running.iter().position(|job| job.ends_at == at);
+            let position = position.expect("the next completion is that of a running job");
+            tickets.extend(self.running.swap_remove(position).ticket);
+            self.answered += 1;
+            self.start_jobs(at);
+        }
+        tickets
+    }
+
+    /// Counts a request that it answered with an error.
+    pub fn count_error(&mut self) {
+        self.errors += 1;
+    }
+
+    /// The newest load report, a new one where the last is old enough. `lie` stands in for every figure of a server that reports
+    /// falsely.
+    pub fn report(&mut self, now: Duration, figures: &[Figure], lie: Option<f32>) -> Report {
+        self.count_busy_time(now);
+        let span_s = now.saturating_sub(self.reported_at).as_secs_f64();
+        if self.report_number == 0 || span_s >= self.spec.kind.refresh.0.as_secs_f64() {
+            let span_s = span_s.max(Self::MIN_REPORT_S);
+            self.figures = figures.iter().map(|figure| self.measure(*figure, span_s)).collect();
+            self.busy_s = 0.0;
+            self.reported_at = now;
+            self.answered = 0;
+            self.errors = 0;
+            self.report_number += 1;
+        }
+        let figures = match lie {
+            Some(figure) => vec![figure; self.figures.len()],
+            None => self.figures.clone(),
+        };
+        Report { start: self.start_id, number: self.report_number, figures }
+    }
+
+    fn measure(&self, figure: Figure, span_s: f64) -> f32 {
+        let per_s = |count: u32| (f64::from(count) / span_s) as f32;
+        match figure {
+            Figure::CpuShare => (self.busy_s / (span_s * self.spec.kind.cores as f64)).min(1.0) as f32,
+            Figure::Busy => (self.running.len() + self.queue.len()) as f32,
+            Figure::Pending => self.queue.len() as f32,
+            Figure::AnsweredPerS => per_s(self.answered),
+            Figure::ErrorsPerS => per_s(self.errors),
+            Figure::ServiceMs | Figure::Other => 0.0,
+        }
+    }
+}
--- /dev/null
+++ b/crates/server-model/src/service_level_recorder.rs
@@ -0,0 +1,267 @@
+//! Works the service level out as a day goes on, holding only the requests that are in flight.
+
+use crate::service_level::{RouteServiceLevel, ServiceLevel, ZoneServiceLevel};
+use grebespool_invariants::{Passed, Record};
+use grebespool_settings::{Deployment, Route};
+use grebespool_wire::{Outcome, ServerId};
+use hdrhistogram::Histogram;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Seconds of the worst period.
+const WORST_PERIOD_S: usize = 10;
+/// Significant digits of recorded latencies.
+const LATENCY_DIGITS: u8 = 3;
+const US_PER_MS: f64 = 1000.0;
+
+/// Priority weight of requests, and of those that were answered in time.
+#[derive(Debug, Clone, Copy, Default)]
+struct WeightTotals {
+    requested: f64,
+    in_time: f64,
+}
+
+impl WeightTotals {
+    fn level(self) -> f64 {
+        if self.requested > 0.0 { self.in_time / self.requested } else { 1.0 }
+    }
+
+    fn with(self, other: &WeightTotals) -> WeightTotals {
+        WeightTotals { requested: self.requested + other.requested, in_time: self.in_time + other.in_time }
+    }
+
+    fn level_of(parts: &[WeightTotals]) -> f64 {
+        parts.iter().fold(WeightTotals::default(), WeightTotals::with).level()
+    }
+}
+
+struct RouteRecord {
+    priority_weight: f64,
+    latency_objective: Duration,
+    level: RouteServiceLevel,
+    latencies: Histogram<u64>,
+}
+
+impl RouteRecord {
+    fn new(route: &Route) -> RouteRecord {
+        RouteRecord {
+            priority_weight: route.importance,
+            latency_objective: route.slo.0,
+            level: RouteServiceLevel {
+                name: route.name.clone(),
+                requests: 0,
+                answered: 0,
+                in_time: 0,
+                rejected: 0,
+                p50_ms: 0.0,
+                p99_ms: 0.0,
+            },
+            latencies: latencies(),
+        }
+    }
+
+    fn into_level(self) -> RouteServiceLevel {
+        RouteServiceLevel {
+            p50_ms: quantile_ms(&self.latencies, 0.5),
+            p99_ms: quantile_ms(&self.latencies, 0.99),
+            ..self.level
+        }
+    }
+}
+
+#[derive(Clone, Copy, Default)]
+struct ZoneRecord {
+    requests: u64,
+    totals: WeightTotals,
+}
+
+struct InFlight {
+    due: Duration,
+    route: usize,
+    zone: u16,
+    work_us: u32,
+}
+
+/// Records the events of a day.
+pub struct ServiceLevelRecorder {
+    routes: Vec<RouteRecord>,
+    zone_names: Vec<String>,
+    zones: Vec<ZoneRecord>,
+    in_flight: BTreeMap<u64, InFlight>,
+    latencies: Histogram<u64>,
+    seconds: Vec<WeightTotals>,
+    zone_by_server: BTreeMap<ServerId, u16>,
+    work_us: u64,
+    useful_work_us: u64,
+    attempts: u64,
+    cross_zone_attempts: u64,
+    connections: u64,
+    messages: u64,
+    entries: u64,
+    joins: u64,
+}
+
+fn latencies() -> Histogram<u64> {
+    Histogram::new(LATENCY_DIGITS).expect("a histogram takes up to five digits")
+}
+
+fn record_latency(latencies: &mut Histogram<u64>, latency_us: u64) {
+    latencies.record(latency_us).expect("a histogram that resizes itself takes any value");
+}
+
+fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> f64 {
+    latencies.value_at_quantile(quantile) as f64 / US_PER_MS
+}
+
+/// A part of a total; 0 of none.
+fn share(part: u64, total: u64) -> f64 {
+    if total > 0 { part as f64 / total as f64 } else { 0.0 }
+}
+
+impl ServiceLevelRecorder {
+    /// A day without events.
+    pub fn new(deployment: &Deployment) -> ServiceLevelRecorder {
+        ServiceLevelRecorder {
+            routes: deployment.routes.iter().map(RouteRecord::new).collect(),
+            zone_names: deployment.zones.clone(),
+            zones: vec![ZoneRecord::default(); deployment.zones.len()],
+            in_flight: BTreeMap::new(),
+            latencies: latencies(),
+            seconds: vec![],
+            zone_by_server: BTreeMap::new(),
+            work_us: 0,
+            useful_work_us: 0,
+            attempts: 0,
+            cross_zone_attempts: 0,
+            connections: 0,
+            messages: 0,
+            entries: 0,
+            joins: 0,
+        }
+    }
+
+    /// The service level of a whole record.
+    pub fn of_record(record: &Record, deployment: &Deployment) -> ServiceLevel {
+        let mut recorder = ServiceLevelRecorder::new(deployment);
+        record.passed.iter().for_each(|(at, event)| recorder.record(*at, event));
+        recorder.finish()
+    }
+
+    /// Records an event at a time since the day's beginning.
+    pub fn record(&mut self, at: Duration, event: &Passed) {
+        match event {
+            Passed::Asked { id, route, zone, work_us, .. } => {
+                let request =
+                    InFlight { due: at, route: usize::from(*route), zone: *zone, work_us: *work_us };
+                self.request_made(*id, request);
+            }
+            Passed::Done { id, outcome, .. } => self.request_finished(at, *id, *outcome),
+            Passed::ListTold(list) => {
+                for entry in &list.entries {
+                    self.server_listed(entry.server, &entry.zone);
+                }
+            }
+            Passed::Sent { server, call, .. } => {
+                self.attempts += 1;
+                let to = self.zone_by_server.get(server);
+                let from = self.in_flight.get(&call.id).map(|request| request.zone);
+                let crosses = to.zip(from).is_some_and(|(to, from)| *to != from);
+                self.cross_zone_attempts += u64::from(crosses);
+            }
+            Passed::Answered { call, outcome: Outcome::Answered, .. } => {
+                self.work_us += u64::from(call.work_us);
+            }
+            Passed::Connected { .. } => self.connections += 1,
+            Passed::Ordered { orders, .. } => {
+                self.messages += 1;
+                self.entries += orders.parts.len() as u64;
+            }
+            Passed::Joined { .. } => self.joins += 1,
+            _ => {}
+        }
+    }
+
+    fn server_listed(&mut self, server: ServerId, zone: &str) {
+        if let Some(position) = self.zone_names.iter().position(|name| name == zone) {
+            self.zone_by_server.insert(server, position as u16);
+        }
+    }
+
+    fn request_made(&mut self, id: u64, request: InFlight) {
+        let Some(route) = self.routes.get_mut(request.route) else { return };
+        route.level.requests += 1;
+        let second = request.due.as_secs() as usize;
+        if self.seconds.len() <= second {
+            self.seconds.resize(second + 1, WeightTotals::default());
+        }
+        self.seconds[second].requested += route.priority_weight;
+        if let Some(zone) = self.zones.get_mut(usize::from(request.zone)) {
+            zone.requests += 1;
+            zone.totals.requested += route.priority_weight;
+        }
+        self.in_flight.insert(id, request);
+    }
+
+    fn request_finished(&mut self, at: Duration, id: u64, outcome: Outcome) {
+        let Some(request) = self.in_flight.remove(&id) else { return };
+        match outcome {
+            Outcome::Answered | Outcome::Repeat => self.request_answered(at, &request),
+            Outcome::Throttled => self.routes[request.route].level.rejected += 1,
+            Outcome::Failed => {}
+        }
+    }
+
+    fn request_answered(&mut self, at: Duration, request: &InFlight) {
+        let route = &mut self.routes[request.route];
+        let latency = at.saturating_sub(request.due);
+        let latency_us = latency.as_micros() as u64;
+        route.level.answered += 1;
+        record_latency(&mut route.latencies, latency_us);
+        record_latency(&mut self.latencies, latency_us);
+        if latency > route.latency_objective {
+            return;
+        }
+        route.level.in_time += 1;
+        self.useful_work_us += u64::from(request.work_us);
+        self.seconds[request.due.as_secs() as usize].in_time += route.priority_weight;
+        if let Some(zone) = self.zones.get_mut(usize::from(request.zone)) {
+            zone.totals.in_time += route.priority_weight;
+        }
+    }
+
+    /// The service level of what was recorded; requests in flight count as failed.
+    pub fn finish(self) -> ServiceLevel {
+        let overall = WeightTotals::level_of(&self.seconds);
+        let periods = self.seconds.windows(WORST_PERIOD_S).map(WeightTotals::level_of);
+        let worst = periods.fold(overall, f64::min);
+        let steps = self.seconds.chunks(ServiceLevel::STEP_S as usize);
+        let over_time = steps.map(WeightTotals::level_of).collect();
+        let requests = self.routes.iter().map(|route| route.level.requests).sum();
+        let useful_share = match self.work_us {
+            0 => 1.0,
+            work_us => share(self.useful_work_us.min(work_us), work_us),
+        };
+        let zone_level = |(name, zone): (String, &ZoneRecord)| ZoneServiceLevel {
+            name,
+            requests: zone.requests,
+            level: zone.totals.level(),
+        };
+        ServiceLevel {
+            overall,
+            worst,
+            zones: self.zone_names.into_iter().zip(&self.zones).map(zone_level).collect(),
+            p50_ms: quantile_ms(&self.latencies, 0.5),
+            p99_ms: quantile_ms(&self.latencies, 0.99),
+            p999_ms: quantile_ms(&self.latencies, 0.999),
+            wasted_share: 1.0 - useful_share,
+            cross_zone_share: share(self.cross_zone_attempts, self.attempts),
+            attempts_per_request: share(self.attempts, requests),
+            connections: self.connections,
+            messages: self.messages,
+            entries: self.entries,
+            joins: self.joins,
+            over_time,
+            routes: self.routes.into_iter().map(RouteRecord::into_level).collect(),
+        }
+    }
+}
--- a/crates/simulation/src/best.rs
+++ b/crates/simulation/src/best.rs
@@ -36,13 +36,13 @@
             near && well && !tried.contains(&s.id)
         });
         let able = fit.filter_map(|s| {
-            let machine = s.machine.as_ref().filter(|m| m.would_bear(now, work))?;
+            let machine = s.machine.as_ref().filter(|m| m.can_accept(now, work))?;
             let handshake = if p.conns.contains_key(&s.id) {
                 Duration::ZERO
             } else {
                 s.ability.kind.handshake.0 + HOP * 2
             };
-            Some((machine.would_take(now, work + handshake), s.id))
+            Some((machine.estimate_latency(now, work + handshake), s.id))
         });
         able.min()
     }
@@ -52,8 +52,8 @@
         let ready = self.list.entries.values().filter(|e| e.phase == Phase::Ready);
         let ready: Vec<ServerId> = ready.map(|e| e.server).collect();
         for p in &mut self.proxies {
-            p.held.hold_evenly(&ready);
-            p.conns.retain(|server, in_hand| p.held.names(*server) || *in_hand > 0);
+            p.held.set_even_weights(&ready);
+            p.conns.retain(|server, in_hand| p.held.contains(*server) || *in_hand > 0);
         }
     }
 }
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -81,10 +81,10 @@
         a.call.time_limit_us = left.min(patience).as_micros() as u32;
         (a.attempt_from, a.tried) = (now, vec![]);
         let p = &mut self.proxies[a.proxy];
-        p.sums.came(a.call.route);
-        let (share, tries) = p.held.level(a.call.route);
-        a.tries = tries;
-        if p.rng.random_range(0.0..1.0) >= share {
+        p.sums.request_received(a.call.route);
+        let admission = p.held.admission(a.call.route);
+        a.tries = admission.retries;
+        if p.rng.random_range(0.0..1.0) >= admission.share {
             return self.end_attempt(id, Outcome::Throttled);
         }
         self.try_next(id);
@@ -152,7 +152,7 @@
         let Some(machine) = &mut self.servers[s].machine else {
             return self.agenda.borrow_mut().after(Duration::ZERO, Due::Lost { id, not_run: true });
         };
-        machine.toil(now, handshake);
+        machine.add_overhead(now, handshake);
         self.work_on(s);
         self.proxies[proxy].conns.entry(server).or_default();
         self.agenda.borrow_mut().put(Passed::Connected { proxy: proxy as u16, server });
@@ -205,8 +205,8 @@
 
     fn count(&mut self, proxy: usize, server: ServerId, took: Option<Duration>, report: Option<Report>) {
         let (now, p) = (self.now(), &mut self.proxies[proxy]);
-        p.sums.met(server, took, report);
-        p.held.met(now, server, took.is_some());
+        p.sums.attempt_finished(server, took, report);
+        p.held.attempt_finished(now, server, took.is_some());
     }
 
     /// Whether the proxy tries again, or the attempt has failed.
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -8,7 +8,9 @@
 use crate::troubles::InHand;
 use grebespool_controller::{Dealt, Engine, Start, StreamId, Unsupported};
 use grebespool_invariants::{Checker, List, Passed, Verdict};
-use grebespool_server_model::{Held, Service, Sums, Tally, facts};
+use grebespool_server_model::{
+    Avoidance, ProxyTables, ReportAggregator, ServiceLevel, ServiceLevelRecorder, invariant_facts,
+};
 use grebespool_settings::{Day, ListMode, What};
 use grebespool_wire::{Entry, Phase, ServerId};
 use rand::seq::SliceRandom;
@@ -23,7 +25,7 @@
 /// A day that was played under the simulated clock.
 pub struct Modelled {
     pub verdicts: [Verdict; 5],
-    pub service: Service,
+    pub service: ServiceLevel,
     /// Events of the model that were handled.
     pub events: u64,
 }
@@ -116,7 +118,8 @@
     seen: &mut dyn FnMut(Duration, &Passed),
 ) -> Result<Modelled, Unplayable> {
     let mut model = Model::new(day, by, recording);
-    let (mut checker, mut tally) = (Checker::new(&facts(day)), Tally::new(&day.deployment));
+    let (mut checker, mut tally) =
+        (Checker::new(&invariant_facts(day)), ServiceLevelRecorder::new(&day.deployment));
     model.open()?;
     let mut events = 0;
     let end = day.length.0 + longest(day);
@@ -124,7 +127,7 @@
         let passed = std::mem::take(&mut model.agenda.borrow_mut().passed);
         for (at, passed) in passed {
             seen(at, &passed);
-            tally.see(at, &passed);
+            tally.record(at, &passed);
             if by == PlannedBy::Planner {
                 checker.see(at, passed);
             }
@@ -137,7 +140,7 @@
         events += 1;
         model.handle(due)?;
     }
-    Ok(Modelled { verdicts: checker.verdicts(), service: tally.service(), events })
+    Ok(Modelled { verdicts: checker.verdicts(), service: tally.finish(), events })
 }
 
 fn longest(day: &Day) -> Duration {
@@ -165,14 +168,18 @@
                 near.shuffle(&mut rng);
                 near.truncate(kind.standing);
                 proxies.push(Proxy {
-                    held: Held::new(kind.picks, (kind.avoids, kind.avoids_for.0), &near),
+                    held: ProxyTables::new(
+                        kind.picks,
+                        Avoidance { after_failures: kind.avoids, duration: kind.avoids_for.0 },
+                        &near,
+                    ),
                     kind: kind.clone(),
                     zone,
                     rng: Pcg64Mcg::seed_from_u64(rng.random()),
                     stream: None,
                     joined: false,
                     conns: BTreeMap::new(),
-                    sums: Sums::default(),
+                    sums: ReportAggregator::default(),
                 });
             }
         }
@@ -230,7 +237,8 @@
         all.iter().for_each(|s| self.set_probe(*s));
         self.launch()?;
         for p in 0..self.proxies.len() {
-            let lines = self.servers.iter().filter(|s| self.proxies[p].held.names(s.id)).map(|s| (s.id, 1.0));
+            let lines =
+                self.servers.iter().filter(|s| self.proxies[p].held.contains(s.id)).map(|s| (s.id, 1.0));
             let lines = lines.collect();
             self.agenda.borrow_mut().put(Passed::Began { proxy: p as u16, lines });
             if self.by == PlannedBy::Planner {
--- a/crates/simulation/src/proxies.rs
+++ b/crates/simulation/src/proxies.rs
@@ -4,7 +4,7 @@
 use crate::play::{Model, PlannedBy};
 use grebespool_controller::{Arrival, StreamId};
 use grebespool_invariants::Passed;
-use grebespool_server_model::{Held, Sums};
+use grebespool_server_model::{ProxyTables, ReportAggregator};
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{Message, ServerId};
 use rand::Rng;
@@ -15,13 +15,13 @@
 pub struct Proxy {
     pub kind: ProxyKind,
     pub zone: u16,
-    pub held: Held,
+    pub held: ProxyTables,
     pub rng: Pcg64Mcg,
     pub stream: Option<StreamId>,
     pub joined: bool,
     /// Connections, and the calls in hand on each.
     pub conns: BTreeMap<ServerId, usize>,
-    pub sums: Sums,
+    pub sums: ReportAggregator,
 }
 
 impl Model<'_> {
@@ -51,7 +51,7 @@
     pub fn join(&mut self, stream: StreamId) {
         let Some(proxy) = self.agenda.borrow().streams.get(&stream).copied() else { return };
         let (now, p) = (self.planner_now(), &self.proxies[proxy]);
-        let (name, bare) = (format!("proxy-{proxy}"), p.held.bare());
+        let (name, bare) = (format!("proxy-{proxy}"), p.held.is_unconfigured());
         let zone = self.day.deployment.zones[usize::from(p.zone)].clone();
         let rate = self.rate as f32;
         let arrival = Arrival { name: &name, zone: &zone, rate, bare };
@@ -65,7 +65,7 @@
         let p = &mut self.proxies[proxy];
         let Some(stream) = p.stream.take() else { return };
         if std::mem::take(&mut p.joined) {
-            p.held.left();
+            p.held.stream_closed();
             self.agenda.borrow_mut().put(Passed::Left { proxy: proxy as u16 });
         }
         let mut agenda = self.agenda.borrow_mut();
@@ -88,13 +88,13 @@
             Message::Welcome { .. } => {
                 let p = &mut self.proxies[proxy];
                 // All planners of a modelled day share nothing, so none is older than another.
-                p.joined = p.held.welcomed(start, stream, 0).is_ok();
+                p.joined = p.held.stream_accepted(start, stream, 0).is_ok();
                 let mut agenda = self.agenda.borrow_mut();
                 agenda.put(Passed::Joined { proxy: number, start });
                 agenda.after(Duration::ZERO, Due::Sums(stream));
             }
             Message::Orders(orders) => {
-                let obeyed = self.proxies[proxy].held.obey(&orders);
+                let obeyed = self.proxies[proxy].held.apply(&orders);
                 let mut agenda = self.agenda.borrow_mut();
                 if let Ok(mark) = obeyed {
                     let (start, seq) = (orders.start, orders.seq);
@@ -106,7 +106,7 @@
                 agenda.put(Passed::Delivered { proxy: number, orders });
                 drop(agenda);
                 let p = &mut self.proxies[proxy];
-                p.conns.retain(|server, in_hand| p.held.names(*server) || *in_hand > 0);
+                p.conns.retain(|server, in_hand| p.held.contains(*server) || *in_hand > 0);
             }
             _ => self.end_stream(proxy, false),
         }
@@ -140,7 +140,7 @@
 
     pub fn sums(&mut self, stream: StreamId) {
         let Some(proxy) = self.agenda.borrow().streams.get(&stream).copied() else { return };
-        let message = self.proxies[proxy].sums.tell();
+        let message = self.proxies[proxy].sums.take_report();
         let mut agenda = self.agenda.borrow_mut();
         agenda.after(HOP, Due::ToPlanner { stream, message });
         agenda.after(self.day.deployment.reports.cycle.0, Due::Sums(stream));
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -4,18 +4,18 @@
 use crate::play::{Model, PlannedBy};
 use grebespool::host::HealthCheckResult;
 use grebespool_invariants::{List, Passed};
-use grebespool_server_model::{Ability, Machine};
+use grebespool_server_model::{ServerModel, ServerSpec};
 use grebespool_settings::{Day, ServerKind};
 use grebespool_wire::{Answer, Call, Entry, Outcome, Phase, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 pub struct Server {
-    pub ability: Ability,
+    pub ability: ServerSpec,
     pub zone: u16,
     pub id: ServerId,
     pub life: u32,
-    pub machine: Option<Machine>,
+    pub machine: Option<ServerModel>,
     pub silent: bool,
     pub erring: bool,
     pub lie: Option<f32>,
@@ -34,12 +34,12 @@
     work_at: Option<Duration>,
 }
 
-pub fn ability(day: &Day, kind: ServerKind) -> Ability {
-    Ability {
+pub fn ability(day: &Day, kind: ServerKind) -> ServerSpec {
+    ServerSpec {
         kind,
         warm_up: day.deployment.servers.warm_up.0,
-        fall_multiple: day.rules.fall_multiple,
-        fall: day.rules.fall.0,
+        overload_multiple: day.rules.fall_multiple,
+        overload_window: day.rules.fall.0,
     }
 }
 
@@ -49,8 +49,8 @@
 }
 
 impl Server {
-    pub fn new(ability: Ability, zone: u16, id: ServerId) -> Server {
-        let machine = Some(Machine::new(ability.clone(), 1, Duration::ZERO, false));
+    pub fn new(ability: ServerSpec, zone: u16, id: ServerId) -> Server {
+        let machine = Some(ServerModel::new(ability.clone(), 1, Duration::ZERO, false));
         Server {
             ability,
             zone,
@@ -168,7 +168,7 @@
         let s = &self.servers[server];
         let answers = match &s.machine {
             None => None,
-            Some(m) if m.fallen || s.silent || s.frozen => {
+            Some(m) if m.crashed || s.silent || s.frozen => {
                 Some((Duration::from_millis(500), HealthCheckResult::Failed))
             }
             Some(_) if s.draining => Some((HOP * 2, HealthCheckResult::Rejected)),
@@ -207,8 +207,8 @@
         s.started_ms = now_ms.saturating_sub(age.as_millis() as u64);
         s.work_at = None;
         let started = now.saturating_sub(age);
-        let machine = Machine::new(s.ability.clone(), now_ms, started, age < s.ability.warm_up);
-        let up = Passed::Up { server: s.id, capacity: machine.full(), cold: s.ability.kind.cold };
+        let machine = ServerModel::new(s.ability.clone(), now_ms, started, age < s.ability.warm_up);
+        let up = Passed::Up { server: s.id, capacity: machine.full_capacity(), cold: s.ability.kind.cold };
         s.machine = Some(machine);
         let id = s.id;
         self.by_id.insert(id, server);
@@ -233,13 +233,13 @@
             return self.answer(server, call, Outcome::Throttled);
         }
         if s.erring {
-            machine.erred();
+            machine.count_error();
             return self.answer(server, call, Outcome::Failed);
         }
-        let (had_fallen, ticket) = (machine.fallen, s.next);
+        let (had_fallen, ticket) = (machine.crashed, s.next);
         s.next += 1;
-        let taken = machine.arrive(now, ticket, Duration::from_micros(call.work_us.into()), call.key);
-        if machine.fallen {
+        let taken = machine.accept(now, ticket, Duration::from_micros(call.work_us.into()), call.key);
+        if machine.crashed {
             if !had_fallen {
                 let fell = Passed::Fell { server: s.id };
                 self.agenda.borrow_mut().put(fell);
@@ -258,7 +258,7 @@
         let now = self.now();
         let s = &mut self.servers[server];
         s.frozen = still;
-        s.machine.iter_mut().for_each(|m| m.freeze(now, still));
+        s.machine.iter_mut().for_each(|m| m.set_frozen(now, still));
         s.work_at = None;
         let (life, came) = (s.life, if still { vec![] } else { std::mem::take(&mut s.came) });
         self.set_probe(server);
@@ -270,7 +270,7 @@
 
     pub fn work_on(&mut self, server: usize) {
         let s = &mut self.servers[server];
-        if let Some(due) = s.machine.as_ref().and_then(Machine::due)
+        if let Some(due) = s.machine.as_ref().and_then(ServerModel::next_completion)
             && s.work_at.is_none_or(|at| due < at)
         {
             s.work_at = Some(due);
@@ -282,7 +282,7 @@
         let now = self.now();
         let s = &mut self.servers[server];
         let Some(machine) = s.machine.as_mut().filter(|_| s.life == life && !s.frozen) else { return };
-        let tickets = machine.done(now);
+        let tickets = machine.take_completed(now);
         s.work_at = s.work_at.filter(|at| *at > now);
         for ticket in tickets {
             if let Some((_, call)) = self.servers[server].waiting.remove(&ticket) {
--- a/crates/simulation/src/troubles.rs
+++ b/crates/simulation/src/troubles.rs
@@ -156,7 +156,7 @@
                 What::Lying { figure, .. } => server.lie = on.then_some(*figure as f32),
                 What::Slow { factor, .. } => {
                     let slow = if on { *factor } else { 1.0 };
-                    server.machine.iter_mut().for_each(|m| m.slow = slow);
+                    server.machine.iter_mut().for_each(|m| m.slowdown = slow);
                 }
                 _ => {}
             }
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -57,7 +57,7 @@
     let broken: Vec<_> = first.modelled.verdicts.iter().filter(|v| v.first.is_some()).collect();
     assert!(broken.is_empty(), "{broken:#?}");
     assert!(first.modelled.verdicts.iter().all(|v| v.checked > 0));
-    assert!(first.modelled.service.whole > 0.8, "service {:.3}", first.modelled.service.whole);
+    assert!(first.modelled.service.overall > 0.8, "service {:.3}", first.modelled.service.overall);
     let four: Vec<Played> = std::thread::scope(|scope| {
         let runs: Vec<_> = (0..4).map(|_| scope.spawn(|| play(&day))).collect();
         runs.into_iter().map(|r| r.join().unwrap()).collect()
@@ -101,7 +101,7 @@
     let crowded = play_by(&day, PlannedBy::Planner, Some(past()));
     assert!(repeats(&calm) < 20, "{} repeats on a calm day", repeats(&calm));
     assert!(repeats(&crowded) > 100, "{} repeats on a crowded day", repeats(&crowded));
-    assert!(crowded.modelled.service.whole < calm.modelled.service.whole);
+    assert!(crowded.modelled.service.overall < calm.modelled.service.overall);
 }
 
 fn ready(day: &Day, by_zone: &[(&str, usize)]) -> Vec<PastEntry> {
@@ -211,7 +211,7 @@
 
 #[rstest]
 fn a_planner_serves_better_than_even_weights_and_no_better_than_perfect_knowledge() {
-    let service = |by| play_by(&bad_day(11), by, None).modelled.service.whole;
+    let service = |by| play_by(&bad_day(11), by, None).modelled.service.overall;
     let (even, planner, best) =
         (service(PlannedBy::Evenly), service(PlannedBy::Planner), service(PlannedBy::Nobody));
     assert!(even + 0.01 < planner && planner < best, "{even:.4} {planner:.4} {best:.4}");
@@ -298,7 +298,7 @@
             }];
             let played = play(&day).modelled;
             assert!(played.kept(), "{:?}", played.verdicts);
-            played.service.whole
+            played.service.overall
         };
         (0..6).map(of).sum::<f64>() / 6.0
     };
