--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -5,11 +5,12 @@
     Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
     run as run_member,
 };
+use grebespool_config_consensus::{ConsensusSettings, LeaseParameters, ValidationRules};
 use grebespool_controller::{SiteOrder, Start};
 use grebespool_controller_server::{
     Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
 };
-use grebespool_leader_election::{Memory, Terms};
+use grebespool_leader_election::{LeaseParameters as ElectionParameters, Snapshot};
 use grebespool_settings::{Members, Planned};
 use grebespool_singleton_tasks::{Counts, NO_ROUTE, Terms as DutyTerms};
 use grebespool_wire::{CameLine, Entry, Key, MetLine, Orders};
@@ -139,7 +140,7 @@
     epoch: u64,
     number: u64,
     every: Duration,
-    memory: Option<Box<Memory>>,
+    memory: Option<Box<Snapshot>>,
     recording: Recording,
     /// The zones' names, and each joined proxy's zone by its place among them.
     zones: Vec<String>,
@@ -177,7 +178,7 @@
         let member = self.member.clone();
         spawn_local(async move { member.passed_over(epoch) });
     }
-    fn recall(&mut self) -> Option<Memory> {
+    fn recall(&mut self) -> Option<Snapshot> {
         self.memory.take().map(|m| *m)
     }
     fn remembers_every(&self) -> Option<Duration> {
@@ -206,9 +207,9 @@
         });
         Some(asks)
     }
-    fn remember(&mut self, mut memory: Memory) {
+    fn remember(&mut self, mut memory: Snapshot) {
         self.number += 1;
-        (memory.epoch, memory.number) = (self.epoch, self.number);
+        (memory.term, memory.number) = (self.epoch, self.number);
         if let Err(why) = self.member.remember(&memory) {
             warn!(%why, "what is known cannot be kept for the next leader");
         }
@@ -226,12 +227,16 @@
             period: a.period.0,
             slack: a.slack.0,
         }),
-        agree: duties.agree.as_ref().map(|a| grebespool_config_consensus::Terms {
-            lease: a.lease.0,
-            renew: a.renew.0,
-            drift: members.drift,
-            most_withdrawn: a.most_withdrawn,
-            limits: LIMITS.to_vec(),
+        agree: duties.agree.as_ref().map(|a| ConsensusSettings {
+            lease: LeaseParameters {
+                duration: a.lease.0,
+                renew_interval: a.renew.0,
+                clock_drift: members.drift,
+            },
+            validation: ValidationRules {
+                max_withdrawn_share: a.most_withdrawn,
+                known_limits: LIMITS.to_vec(),
+            },
         }),
     })
 }
@@ -247,9 +252,9 @@
 ) -> Result<(), String> {
     let (store, kept) =
         Store::open(&members.folder, fleet_id(&members.fleet)).map_err(|why| why.to_string())?;
-    if kept.roster.epoch == 0
-        && !kept.roster.seats.is_empty()
-        && kept.roster != crate::members::formed_roster(&members)
+    if kept.membership.version.term == 0
+        && !kept.membership.voters.is_empty()
+        && kept.membership != crate::members::formed_roster(&members)
     {
         return Err(format!(
             "{}: members: these are not the members that {} was formed with",
@@ -260,7 +265,11 @@
     let at = members.listen.unwrap_or(members.address);
     let between =
         TcpListener::bind(at).await.map_err(|e| format!("cannot listen for members at {at}: {e}"))?;
-    let terms = Terms { beat: members.beat.0, lease: members.lease.0, drift: members.drift };
+    let terms = ElectionParameters {
+        heartbeat_interval: members.beat.0,
+        lease: members.lease.0,
+        clock_drift: members.drift,
+    };
     let mut tasks = JoinSet::new();
     let (member, mut changes) = run_member(
         between,
--- a/crates/scale-bench/src/hollow/fleet.rs
+++ b/crates/scale-bench/src/hollow/fleet.rs
@@ -5,8 +5,8 @@
 use super::traffic::{Packets, Traffic, TrafficClass};
 use crate::resources::timed;
 use grebespool_cluster::seal::Packet;
-use grebespool_config_consensus::{Acts, Change, Limit, State, Ticket};
-use grebespool_leader_election::{Id, Seat};
+use grebespool_config_consensus::{ActiveVersions, Change, Limit, ProposalId, ProposalOutcome, ServerState};
+use grebespool_leader_election::{MemberId, Voter};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -83,10 +83,10 @@
 }
 
 enum Event {
-    Packet { to: Id, from: Id, bytes: Vec<u8> },
-    Synced { planner: Id, start: u32, written: Box<Written> },
-    Wake(Id),
-    Boot(Id),
+    Packet { to: MemberId, from: MemberId, bytes: Vec<u8> },
+    Synced { planner: MemberId, start: u32, written: Box<Written> },
+    Wake(MemberId),
+    Boot(MemberId),
 }
 
 struct Node {
@@ -116,18 +116,18 @@
 pub struct Fleet {
     settings: FleetSettings,
     now: Duration,
-    nodes: BTreeMap<Id, Node>,
+    nodes: BTreeMap<MemberId, Node>,
     events: BTreeMap<(Duration, u64), Event>,
     order: u64,
     rng: Pcg64Mcg,
     cut: bool,
-    proposed: BTreeMap<(Id, Ticket), Duration>,
+    proposed: BTreeMap<(MemberId, ProposalId), Duration>,
     costs: FleetCosts,
 }
 
-fn seats(planners: usize) -> BTreeMap<Id, Seat> {
-    let seat = |id| Seat { name: format!("planner-{id}"), address: format!("127.0.0.1:{}", 10_000 + id) };
-    (1..=planners as Id).map(|id| (id, seat(id))).collect()
+fn seats(planners: usize) -> BTreeMap<MemberId, Voter> {
+    let seat = |id| Voter { name: format!("planner-{id}"), address: format!("127.0.0.1:{}", 10_000 + id) };
+    (1..=planners as MemberId).map(|id| (id, seat(id))).collect()
 }
 
 impl Fleet {
@@ -135,7 +135,7 @@
     pub fn start(settings: FleetSettings) -> Fleet {
         let seats = seats(settings.planners);
         let zones = settings.topology.zones();
-        let node = |id: Id| Node {
+        let node = |id: MemberId| Node {
             planner: None,
             disk: Disk::new(id, &seats),
             zone: id as usize % zones,
@@ -169,18 +169,19 @@
     /// How many planners act by a configuration, alone, of this number or a later one.
     pub fn acting_by(&self, number: u64) -> usize {
         let acts = |n: &Node| n.planner.as_ref().map(|p| p.acts(self.now));
-        let new = |acts: Option<Acts>| matches!(acts, Some(Acts::Alone(n)) if n >= number);
+        let new =
+            |acts: Option<ActiveVersions>| matches!(acts, Some(ActiveVersions::Single(n)) if n >= number);
         self.nodes.values().filter(|n| new(acts(n))).count()
     }
 
     /// How many planners act by some configuration.
     pub fn leased(&self) -> usize {
         let acts = |n: &Node| n.planner.as_ref().map(|p| p.acts(self.now));
-        self.nodes.values().filter(|n| acts(n).is_some_and(|a| a != Acts::Unleased)).count()
+        self.nodes.values().filter(|n| acts(n).is_some_and(|a| a != ActiveVersions::Unleased)).count()
     }
 
     /// Proposes changes by a planner that runs.
-    pub fn propose(&mut self, id: Id, changes: Vec<Change>) {
+    pub fn propose(&mut self, id: MemberId, changes: Vec<Change>) {
         let now = self.now;
         let ticket = self.call(id, |planner| planner.propose(now, changes)).flatten();
         match ticket {
@@ -259,8 +260,8 @@
         costs
     }
 
-    fn some_planner(&mut self) -> Id {
-        let running: Vec<Id> =
+    fn some_planner(&mut self) -> MemberId {
+        let running: Vec<MemberId> =
             self.nodes.iter().filter(|(_, n)| n.planner.is_some()).map(|(id, _)| *id).collect();
         running[self.rng.random_range(0..running.len())]
     }
@@ -268,9 +269,9 @@
     fn propose_some(&mut self) {
         let id = self.some_planner();
         let change = if self.rng.random_bool(0.5) {
-            Change::Limit("power.reserve".into(), Some(Limit::Least(self.rng.random_range(0.0..0.5))))
+            Change::Limit("power.reserve".into(), Some(Limit::AtLeast(self.rng.random_range(0.0..0.5))))
         } else {
-            let states = [State::Ready, State::Draining];
+            let states = [ServerState::Ready, ServerState::Draining];
             Change::State(
                 format!("server-{}", self.rng.random_range(0..8)),
                 states[self.rng.random_range(0..2)],
@@ -279,7 +280,7 @@
         self.propose(id, vec![change]);
     }
 
-    fn restart(&mut self, id: Id) {
+    fn restart(&mut self, id: MemberId) {
         self.costs.restarts += 1;
         if let Some(node) = self.nodes.get_mut(&id) {
             node.settle();
@@ -337,7 +338,7 @@
         }
     }
 
-    fn boot(&mut self, id: Id) {
+    fn boot(&mut self, id: MemberId) {
         let (now, seed) = (self.now, self.rng.random());
         let Some(node) = self.nodes.get_mut(&id) else { return };
         node.disk.starts += 1;
@@ -345,7 +346,7 @@
         self.call(id, |_| ());
     }
 
-    fn synced(&mut self, id: Id, start: u32, written: Written) {
+    fn synced(&mut self, id: MemberId, start: u32, written: Written) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id).filter(|n| n.disk.starts == start && n.planner.is_some())
         else {
@@ -364,7 +365,7 @@
     }
 
     /// Calls a planner that runs, and carries out what it asked for.
-    fn call<T>(&mut self, id: Id, what: impl FnOnce(&mut Planner) -> T) -> Option<T> {
+    fn call<T>(&mut self, id: MemberId, what: impl FnOnce(&mut Planner) -> T) -> Option<T> {
         let planner = self.nodes.get_mut(&id)?.planner.as_mut()?;
         let done = what(planner);
         let (outbox, due) = (planner.take_outbox(), planner.due());
@@ -380,24 +381,24 @@
         Some(done)
     }
 
-    fn carry_out(&mut self, id: Id, outbox: Outbox) {
+    fn carry_out(&mut self, id: MemberId, outbox: Outbox) {
         for (to, packet) in outbox.packets {
             self.send(id, to, &packet);
         }
         for written in outbox.writes {
             self.write(id, written);
         }
-        for (ticket, done) in outbox.answered {
-            if let Some(at) = self.proposed.remove(&(id, ticket)) {
-                match done {
-                    Ok(_) => self.costs.in_force.push(self.now - at),
-                    Err(_) => self.costs.refused += 1,
+        for (proposal, outcome) in outbox.answered {
+            if let Some(at) = self.proposed.remove(&(id, proposal)) {
+                match outcome {
+                    ProposalOutcome::Activated(_) => self.costs.in_force.push(self.now - at),
+                    ProposalOutcome::Rejected(_) => self.costs.refused += 1,
                 }
             }
         }
     }
 
-    fn send(&mut self, from: Id, to: Id, packet: &Packet) {
+    fn send(&mut self, from: MemberId, to: MemberId, packet: &Packet) {
         let (bytes, took) = timed(|| postcard::to_stdvec(packet).unwrap_or_default());
         let Some(zone) = self.nodes.get(&to).map(|n| n.zone) else { return };
         let Some(node) = self.nodes.get_mut(&from) else { return };
@@ -412,7 +413,7 @@
         self.schedule(self.now + delay, Event::Packet { to, from, bytes });
     }
 
-    fn write(&mut self, id: Id, written: Written) {
+    fn write(&mut self, id: MemberId, written: Written) {
         let at = self.now + SYNC;
         let Some(node) = self.nodes.get_mut(&id) else { return };
         let component = written.component();
@@ -435,8 +436,8 @@
     pub fn contradictions(&self) -> usize {
         let mut contents: BTreeMap<u64, BTreeSet<[u8; 32]>> = BTreeMap::new();
         for planner in self.nodes.values().filter_map(|n| n.planner.as_ref()) {
-            let (number, hash) = planner.configuration().standing.name();
-            contents.entry(number).or_default().insert(hash.0);
+            let version = planner.configuration().committed.id();
+            contents.entry(version.number).or_default().insert(version.hash.0);
         }
         contents.values().filter(|hashes| hashes.len() > 1).count()
     }
--- a/crates/scale-bench/src/hollow/planner.rs
+++ b/crates/scale-bench/src/hollow/planner.rs
@@ -3,7 +3,7 @@
 use crate::resources::timed;
 use grebespool_cluster::seal::Packet;
 use grebespool_config_consensus as consensus;
-use grebespool_leader_election::{self as election, Id, Seat};
+use grebespool_leader_election::{self as election, MemberId, Voter};
 use grebespool_singleton_tasks::{self as tasks, Cell, Duties, Duty, Lost, Record, Rows, Tally, Token};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone)]
 pub enum Written {
     /// The state of the election.
-    Election(election::Kept),
+    Election(election::HardState),
     /// Cells of the journal, and the stamp of the last.
     Cells(BTreeMap<Duty, Cell>, u64),
     /// The configuration that is held, and its stamp.
-    Configuration(Box<consensus::Kept>, u64),
+    Configuration(Box<consensus::StoredState>, u64),
 }
 
 impl Written {
@@ -60,11 +60,11 @@
 #[derive(Debug, Default)]
 pub struct Outbox {
     /// Packets, and for whom.
-    pub packets: Vec<(Id, Packet)>,
+    pub packets: Vec<(MemberId, Packet)>,
     /// What is to be written; the newest of a file replaces one that has not begun.
     pub writes: Vec<Written>,
     /// Proposals that were answered.
-    pub answered: Vec<(consensus::Ticket, Result<u64, Vec<String>>)>,
+    pub answered: Vec<(consensus::ProposalId, consensus::ProposalOutcome)>,
 }
 
 #[derive(Debug, Default)]
@@ -86,19 +86,19 @@
 pub struct Host(Asked);
 
 impl election::Host for Host {
-    fn keep(&mut self, kept: &election::Kept) {
+    fn persist(&mut self, kept: &election::HardState) {
         self.0.outbox.writes.push(Written::Election(kept.clone()));
     }
-    fn say(&mut self, to: Id, word: election::Word) {
+    fn send(&mut self, to: MemberId, word: election::Message) {
         self.0.outbox.packets.push((to, Packet::Word(word)));
     }
-    fn lead(&mut self, _: u64) {}
-    fn stand_down(&mut self, _: u64, _: election::Why) {}
-    fn note(&mut self, _: &str) {}
+    fn become_leader(&mut self, _: u64) {}
+    fn step_down(&mut self, _: u64, _: election::StepDownReason) {}
+    fn log(&mut self, _: election::ElectionEvent) {}
 }
 
 impl tasks::Host for Host {
-    fn say(&mut self, to: Id, word: tasks::Word) {
+    fn say(&mut self, to: MemberId, word: tasks::Word) {
         self.0.outbox.packets.push((to, Packet::Duty(word)));
     }
     fn keep(&mut self, duty: Duty, cell: &Cell, stamp: u64) {
@@ -121,53 +121,61 @@
         self.0.may_write = true;
         self.0.durable.push((token, Some(record.clone()), false));
     }
-    fn counted(&mut self, _: Id, _: Vec<(u64, Rows)>) {}
+    fn counted(&mut self, _: MemberId, _: Vec<(u64, Rows)>) {}
     fn note(&mut self, _: &str) {}
 }
 
 impl consensus::Host for Host {
-    fn say(&mut self, to: Id, word: consensus::Word) {
-        self.0.outbox.packets.push((to, Packet::Accord(word)));
+    fn send(&mut self, to: MemberId, message: consensus::Message) {
+        self.0.outbox.packets.push((to, Packet::Accord(message)));
     }
-    fn keep(&mut self, kept: &consensus::Kept, stamp: u64) {
-        self.0.outbox.writes.push(Written::Configuration(Box::new(kept.clone()), stamp));
+    fn persist(&mut self, state: &consensus::StoredState, stamp: u64) {
+        self.0.outbox.writes.push(Written::Configuration(Box::new(state.clone()), stamp));
     }
-    fn fix(&mut self, token: Token, content: Vec<u8>) {
+    fn write_journal(&mut self, token: Token, content: Vec<u8>) {
         self.0.fix = Some((token, content));
     }
-    fn end(&mut self, _: Token) {
+    fn finish_journal_step(&mut self, _: Token) {
         self.0.end = true;
     }
-    fn acts(&mut self, _: consensus::Acts) {}
-    fn proposed(&mut self, ticket: consensus::Ticket, done: Result<u64, Vec<String>>) {
-        self.0.outbox.answered.push((ticket, done));
+    fn active_versions_changed(&mut self, _: consensus::ActiveVersions) {}
+    fn proposal_decided(&mut self, id: consensus::ProposalId, outcome: consensus::ProposalOutcome) {
+        self.0.outbox.answered.push((id, outcome));
     }
-    fn note(&mut self, _: &str) {}
+    fn log(&mut self, _: &consensus::Event) {}
 }
 
 /// The lease and heartbeat settings of all members, by default those that the program states as defaults.
 #[derive(Debug, Clone)]
 pub struct Timing {
     /// Of the leader election.
-    pub election: election::Terms,
+    pub election: election::LeaseParameters,
     /// Of singleton tasks.
     pub tasks: tasks::Terms,
     /// Of configuration versions.
-    pub consensus: consensus::Terms,
+    pub consensus: consensus::ConsensusSettings,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         let (ms, drift) = (Duration::from_millis, 0.01);
         Timing {
-            election: election::Terms { beat: ms(250), lease: ms(1500), drift },
+            election: election::LeaseParameters {
+                heartbeat_interval: ms(250),
+                lease: ms(1500),
+                clock_drift: drift,
+            },
             tasks: tasks::Terms { lease: ms(5000), renew: ms(1000), drift },
-            consensus: consensus::Terms {
-                lease: ms(3000),
-                renew: ms(500),
-                drift,
-                most_withdrawn: 0.5,
-                limits: grebespool_cluster::LIMITS.to_vec(),
+            consensus: consensus::ConsensusSettings {
+                lease: consensus::LeaseParameters {
+                    duration: ms(3000),
+                    renew_interval: ms(500),
+                    clock_drift: drift,
+                },
+                validation: consensus::ValidationRules {
+                    max_withdrawn_share: 0.5,
+                    known_limits: grebespool_cluster::LIMITS.to_vec(),
+                },
             },
         }
     }
@@ -176,18 +184,20 @@
 /// What a planner's disk holds.
 #[derive(Debug, Clone)]
 pub struct Disk {
-    pub(crate) election: election::Kept,
+    pub(crate) election: election::HardState,
     pub(crate) cells: BTreeMap<Duty, Cell>,
-    pub(crate) configuration: consensus::Kept,
+    pub(crate) configuration: consensus::StoredState,
     pub(crate) starts: u32,
 }
 
 impl Disk {
     /// Of a planner that has never run.
-    pub fn new(id: Id, seats: &BTreeMap<Id, Seat>) -> Disk {
-        let roster = election::Roster { epoch: 0, number: 0, seats: seats.clone() };
-        let election = election::Kept { id, fleet: 1, epoch: 0, vote: None, roster, stamp: 0 };
-        Disk { election, cells: BTreeMap::new(), configuration: consensus::Kept::default(), starts: 0 }
+    pub fn new(id: MemberId, seats: &BTreeMap<MemberId, Voter>) -> Disk {
+        let roster =
+            election::Membership { version: election::MembershipVersion::default(), voters: seats.clone() };
+        let election =
+            election::HardState { id, fleet: 1, term: 0, voted_for: None, membership: roster, revision: 0 };
+        Disk { election, cells: BTreeMap::new(), configuration: consensus::StoredState::default(), starts: 0 }
     }
 
     pub(crate) fn take(&mut self, written: Written) {
@@ -206,7 +216,7 @@
 pub struct Planner {
     election: election::Member<Host>,
     tasks: Duties<Host>,
-    consensus: consensus::Member<Host>,
+    consensus: consensus::ConsensusNode<Host>,
     may_write: bool,
     outbox: Outbox,
     /// Processor time of each state machine since the start.
@@ -218,7 +228,7 @@
     pub fn start(disk: &Disk, timing: &Timing, seed: u64, now: Duration) -> Planner {
         let id = disk.election.id;
         let election =
-            election::Member::start(Host::default(), disk.election.clone(), timing.election, seed, now);
+            election::Member::new(Host::default(), disk.election.clone(), timing.election, seed, now);
         let cells = disk.cells.clone();
         let tasks = Duties::start(
             Host::default(),
@@ -231,7 +241,7 @@
             Tally::default(),
         );
         let configuration = disk.configuration.clone();
-        let consensus = consensus::Member::start(
+        let consensus = consensus::ConsensusNode::new(
             Host::default(),
             id,
             timing.consensus.clone(),
@@ -257,29 +267,29 @@
 
     /// When [`Planner::woken`] is to be called next.
     pub fn due(&self) -> Duration {
-        self.election.due().min(self.tasks.due()).min(self.consensus.due())
+        self.election.next_deadline().min(self.tasks.due()).min(self.consensus.next_timer())
     }
 
     /// Time has passed.
     pub fn woken(&mut self, now: Duration) {
-        if now >= self.election.due() {
-            self.call_election(now, |member| member.woken(now));
+        if now >= self.election.next_deadline() {
+            self.call_election(now, |member| member.timer_fired(now));
         }
         if now >= self.tasks.due() {
             self.call_tasks(now, Box::new(|tasks| tasks.woken(now)));
         }
-        if now >= self.consensus.due() {
-            self.call_consensus(now, Box::new(|member| member.woken(now)));
+        if now >= self.consensus.next_timer() {
+            self.call_consensus(now, Box::new(|node| node.timer_fired(now)));
         }
     }
 
     /// A packet came from another planner.
-    pub fn heard(&mut self, now: Duration, from: Id, packet: Packet) {
+    pub fn heard(&mut self, now: Duration, from: MemberId, packet: Packet) {
         match packet {
-            Packet::Word(word) => self.call_election(now, |member| member.heard(now, from, word)),
+            Packet::Word(word) => self.call_election(now, |member| member.receive(now, from, word)),
             Packet::Duty(word) => self.call_tasks(now, Box::new(|tasks| tasks.heard(now, from, word))),
-            Packet::Accord(word) => {
-                self.call_consensus(now, Box::new(|member| member.heard(now, from, word)))
+            Packet::Accord(message) => {
+                self.call_consensus(now, Box::new(|node| node.message_received(now, from, message)))
             }
             _ => {}
         }
@@ -288,34 +298,38 @@
     /// The disk has written something that was asked for.
     pub fn written(&mut self, now: Duration, written: &Written) {
         match written {
-            Written::Election(kept) => self.call_election(now, |member| member.kept(now, kept.stamp)),
+            Written::Election(kept) => self.call_election(now, |member| member.persisted(now, kept.revision)),
             Written::Cells(_, stamp) => self.call_tasks(now, Box::new(|tasks| tasks.kept(now, *stamp))),
             Written::Configuration(_, stamp) => {
-                self.call_consensus(now, Box::new(|member| member.kept(now, *stamp)))
+                self.call_consensus(now, Box::new(|node| node.persisted(now, *stamp)))
             }
         }
     }
 
     /// Proposes a change of the configuration. Refused where too many wait.
-    pub fn propose(&mut self, now: Duration, changes: Vec<consensus::Change>) -> Option<consensus::Ticket> {
-        let mut ticket = None;
-        self.call_consensus(now, Box::new(|member| ticket = member.propose(now, changes, false).ok()));
-        ticket
+    pub fn propose(
+        &mut self,
+        now: Duration,
+        changes: Vec<consensus::Change>,
+    ) -> Option<consensus::ProposalId> {
+        let mut id = None;
+        self.call_consensus(now, Box::new(|node| id = node.propose(now, changes, false).ok()));
+        id
     }
 
     /// Whether this planner leads.
     pub fn leads(&self) -> bool {
-        self.election.leads()
+        self.election.is_leader()
     }
 
     /// By which configuration it may act.
-    pub fn acts(&self, now: Duration) -> consensus::Acts {
-        self.consensus.acts(now)
+    pub fn acts(&self, now: Duration) -> consensus::ActiveVersions {
+        self.consensus.active_versions(now)
     }
 
     /// The configuration that it holds.
-    pub fn configuration(&self) -> &consensus::Kept {
-        self.consensus.held()
+    pub fn configuration(&self) -> &consensus::StoredState {
+        self.consensus.state()
     }
 
     fn charge(&mut self, component: Component, took: Duration) {
@@ -333,15 +347,15 @@
     /// Tells the other state machines who takes part and who leads, after every call of the election.
     fn place(&mut self, now: Duration) {
         let (seats, took) = timed(|| {
-            let kept = self.election.kept_state();
-            kept.roster.seats.keys().copied().collect::<Vec<Id>>()
+            let kept = self.election.hard_state();
+            kept.membership.voters.keys().copied().collect::<Vec<MemberId>>()
         });
         self.charge(Component::Election, took);
-        let leader = self.election.leader().map(|id| (self.election.epoch(), id));
-        let until = self.election.leads_until();
+        let leader = self.election.leader().map(|id| (self.election.term(), id));
+        let until = self.election.lease_expires_at();
         let taking_part = seats.clone();
         self.call_tasks(now, Box::new(|tasks| tasks.roster(now, seats, leader, until)));
-        self.call_consensus(now, Box::new(|member| member.seats(now, taking_part)));
+        self.call_consensus(now, Box::new(|node| node.set_voters(now, taking_part)));
     }
 
     fn call_tasks(&mut self, now: Duration, what: Call<'_, Duties<Host>>) {
@@ -356,22 +370,22 @@
         }
         self.take_asked(asked.outbox);
         if asked.lost {
-            self.call_consensus(now, Box::new(|member| member.cease(now)));
+            self.call_consensus(now, Box::new(|node| node.stop_coordinating(now)));
         }
         for (token, record, first) in asked.durable {
-            let tell = |member: &mut consensus::Member<Host>| match &record {
-                last if first => member.convene(now, token, last.as_ref()),
-                Some(record) if record.ended => member.ended(now, token),
-                _ => member.fixed(now, token),
+            let tell = |member: &mut consensus::ConsensusNode<Host>| match &record {
+                last if first => member.start_coordinating(now, token, last.as_ref()),
+                Some(record) if record.ended => member.journal_step_finished(now, token),
+                _ => member.journal_durable(now, token),
             };
             self.call_consensus(now, Box::new(tell));
         }
     }
 
-    fn call_consensus(&mut self, now: Duration, what: Call<'_, consensus::Member<Host>>) {
+    fn call_consensus(&mut self, now: Duration, what: Call<'_, consensus::ConsensusNode<Host>>) {
         let owned = self.tasks.may(now, CONFIGURATION);
         let ((), took) = timed(|| {
-            self.consensus.owns(owned);
+            self.consensus.set_journal_token(owned);
             what(&mut self.consensus);
         });
         self.charge(Component::Consensus, took);
@@ -380,7 +394,7 @@
         if let Some((token, content)) = asked.fix {
             let begun = self.journal(now, |tasks| tasks.begin(now, CONFIGURATION, content));
             if !begun {
-                self.call_consensus(now, Box::new(|member| member.unfixed(now, token)));
+                self.call_consensus(now, Box::new(|member| member.journal_write_rejected(now, token)));
             }
         }
         if asked.end {
