--- a/crates/cli/benches/takeover.rs
+++ b/crates/cli/benches/takeover.rs
@@ -262,7 +262,7 @@
             made.push(began.elapsed());
             size = bytes.len();
             let began = std::time::Instant::now();
-            store.remember((1, number), &bytes).unwrap();
+            store.write_snapshot((1, number), &bytes).unwrap();
             written.push(began.elapsed());
         }
         made.sort();
--- a/crates/cli/src/duties.rs
+++ b/crates/cli/src/duties.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{members_of, of_leader};
 use clap::Subcommand;
-use grebespool_cluster::{DutyOrder, Question};
+use grebespool_cluster::{Request, TaskOrder};
 use grebespool_singleton_tasks::LONGEST_HOLD;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -27,19 +27,19 @@
 
 pub fn duties(command: DutiesCommand) -> Result<ExitCode, String> {
     let (settings, wanted) = match command {
-        DutiesCommand::Show { settings } => (settings, Question::Duties),
+        DutiesCommand::Show { settings } => (settings, Request::ShowTasks),
         DutiesCommand::Move { settings, name, member } => {
-            (settings, Question::Duty { name, order: DutyOrder::Move(member) })
+            (settings, Request::Task { name, order: TaskOrder::Move(member) })
         }
         DutiesCommand::Hold { settings, name, span } => {
             let most = LONGEST_HOLD.as_secs();
             if !(span > 0.0 && span <= most as f64) {
                 return Err(format!("--for {span}: above 0 and at most {most} seconds"));
             }
-            (settings, Question::Duty { name, order: DutyOrder::Hold((span * 1000.0) as u64) })
+            (settings, Request::Task { name, order: TaskOrder::Suspend((span * 1000.0) as u64) })
         }
         DutiesCommand::Release { settings, name } => {
-            (settings, Question::Duty { name, order: DutyOrder::Release })
+            (settings, Request::Task { name, order: TaskOrder::Release })
         }
     };
     of_leader(&members_of(&settings)?, &wanted)
--- a/crates/cli/src/editions.rs
+++ b/crates/cli/src/editions.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{members_of, question};
 use clap::Subcommand;
-use grebespool_cluster::{Answer, Editions, Question};
+use grebespool_cluster::{ConfigurationStatus, Request, Response};
 use grebespool_config_consensus::Change;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -34,47 +34,50 @@
 
 pub fn editions(command: EditionsCommand) -> Result<ExitCode, String> {
     let (settings, json, wanted) = match command {
-        EditionsCommand::Show { settings, json } => (settings, json, Question::Editions),
+        EditionsCommand::Show { settings, json } => (settings, json, Request::ShowConfiguration),
         EditionsCommand::Propose { settings, changes, force } => {
-            (settings, false, Question::Propose { changes: changes_of(&changes)?, forced: force })
+            (settings, false, Request::Propose { changes: changes_of(&changes)?, forced: force })
         }
     };
     match question(&members_of(&settings)?, None, wanted)? {
-        Answer::Done(what) => println!("{what}"),
-        Answer::Editions(shown) if json => {
+        Response::Done(what) => println!("{what}"),
+        Response::Configuration(shown) if json => {
             println!("{}", serde_json::to_string_pretty(&shown).map_err(|e| e.to_string())?);
         }
-        Answer::Editions(shown) => show(&shown),
-        Answer::Refused(why) => return Err(why),
+        Response::Configuration(shown) => show(&shown),
+        Response::Rejected(why) => return Err(why),
         _ => return Err("it answered something else".into()),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn show(shown: &Editions) {
-    println!("{} acts by {}", shown.name, shown.acts);
-    println!("standing: edition {}, {}", shown.standing.0, shown.standing.1);
-    if let Some((number, hash)) = &shown.next {
+fn show(shown: &ConfigurationStatus) {
+    println!("{} acts by {}", shown.name, shown.active);
+    println!("standing: edition {}, {}", shown.committed.0, shown.committed.1);
+    if let Some((number, hash)) = &shown.pending {
         println!("prepared: edition {number}, {hash}");
     }
-    println!("convener: {}", shown.convener.as_deref().unwrap_or("none is known"));
-    if shown.waiting > 0 {
-        println!("proposals of this member that wait for an answer: {}", shown.waiting);
+    println!("convener: {}", shown.coordinator.as_deref().unwrap_or("none is known"));
+    if shown.undecided_proposals > 0 {
+        println!("proposals of this member that wait for an answer: {}", shown.undecided_proposals);
     }
-    if !shown.view.exempt_servers.is_empty() {
+    if !shown.effective.exempt_servers.is_empty() {
         println!(
             "called against one of two editions, as nothing else would be left: {}",
-            shown.view.exempt_servers.len()
+            shown.effective.exempt_servers.len()
         );
     }
-    let ready =
-        shown.view.servers.values().filter(|s| s.state == grebespool_config_consensus::ServerState::Ready);
+    let ready = shown
+        .effective
+        .servers
+        .values()
+        .filter(|s| s.state == grebespool_config_consensus::ServerState::Ready);
     println!(
         "shared: {} routes, {} limits, {} racks, {} servers of which {} are ready",
-        shown.view.max_shares.len(),
-        shown.view.limits.len(),
-        shown.view.racks.len(),
-        shown.view.servers.len(),
+        shown.effective.max_shares.len(),
+        shown.effective.limits.len(),
+        shown.effective.racks.len(),
+        shown.effective.servers.len(),
         ready.count()
     );
 }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,7 +1,9 @@
 //! `members`: state folders, and what operators ask of the controllers of a fleet.
 
 use clap::Subcommand;
-use grebespool_cluster::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
+use grebespool_cluster::{
+    Keys, Request, Response, Store, StoreError, fleet_id, initial_roster, seat_id, send_request,
+};
 use grebespool_leader_election::Roster;
 use grebespool_settings::{Members, Planned};
 use std::path::{Path, PathBuf};
@@ -39,11 +41,11 @@
 pub fn formed_roster(m: &Members) -> Roster {
     let own = (m.name.clone(), m.address.to_string());
     let all = m.peers.iter().map(|p| (p.name.clone(), p.address.to_string())).chain([own]);
-    first_roster(fleet_id(&m.fleet), all)
+    initial_roster(fleet_id(&m.fleet), all)
 }
 
 pub fn members(command: MembersCommand) -> Result<ExitCode, String> {
-    let said = |why: grebespool_cluster::Unusable| why.to_string();
+    let said = |why: StoreError| why.to_string();
     match command {
         MembersCommand::Form { settings } => {
             let m = members_of(&settings)?;
@@ -66,7 +68,7 @@
         }
         MembersCommand::Show { settings, at, json } => {
             let m = members_of(&settings)?;
-            let answer = question(&m, at, Question::Show)?;
+            let answer = question(&m, at, Request::ShowMember)?;
             if json {
                 println!("{}", serde_json::to_string_pretty(&answer).map_err(|e| e.to_string())?);
             } else {
@@ -74,67 +76,67 @@
             }
         }
         MembersCommand::Add { settings, name, address } => {
-            return of_leader(&members_of(&settings)?, &Question::Add { name, address });
+            return of_leader(&members_of(&settings)?, &Request::Add { name, address });
         }
         MembersCommand::Remove { settings, name } => {
-            return of_leader(&members_of(&settings)?, &Question::Remove { name });
+            return of_leader(&members_of(&settings)?, &Request::Remove { name });
         }
         MembersCommand::StepDown { settings } => {
-            return of_leader(&members_of(&settings)?, &Question::StepDown);
+            return of_leader(&members_of(&settings)?, &Request::StepDown);
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
-pub fn question(m: &Members, at: Option<String>, question: Question) -> Result<Answer, String> {
+pub fn question(m: &Members, at: Option<String>, question: Request) -> Result<Response, String> {
     let keys = Keys::read(&m.key_file).map_err(|e| format!("{}: {e}", m.key_file.display()))?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let address = at.unwrap_or_else(|| m.listen.unwrap_or(m.address).to_string());
-    let asked = ask(&address, fleet_id(&m.fleet), &keys, question);
+    let asked = send_request(&address, fleet_id(&m.fleet), &keys, question);
     runtime.map_err(|e| e.to_string())?.block_on(asked).map_err(|e| format!("{address}: {e}"))
 }
 
 /// Asks the settings' own member who leads, and then that one.
-pub fn of_leader(m: &Members, wanted: &Question) -> Result<ExitCode, String> {
-    let at = match question(m, None, Question::Show)? {
-        Answer::Status { leader: Some(leader), members, .. } => {
+pub fn of_leader(m: &Members, wanted: &Request) -> Result<ExitCode, String> {
+    let at = match question(m, None, Request::ShowMember)? {
+        Response::Status { leader: Some(leader), members, .. } => {
             members.into_iter().find(|s| s.name == leader).map(|s| s.address)
         }
         _ => return Err("no leader is known; nothing is changed without one".into()),
     };
     match question(m, at, wanted.clone())? {
-        Answer::Done(what) => {
+        Response::Done(what) => {
             println!("{what}");
             Ok(ExitCode::SUCCESS)
         }
-        Answer::Lines(lines) => {
+        Response::Lines(lines) => {
             lines.iter().for_each(|line| println!("{line}"));
             Ok(ExitCode::SUCCESS)
         }
-        Answer::Refused(why) => Err(why),
-        Answer::Status { .. } | Answer::Editions(_) => Err("it answered something else".into()),
+        Response::Rejected(why) => Err(why),
+        Response::Status { .. } | Response::Configuration(_) => Err("it answered something else".into()),
     }
 }
 
-fn show(answer: &Answer) {
-    let Answer::Status {
+fn show(answer: &Response) {
+    let Response::Status {
         name,
         standing,
         leader,
-        epoch,
+        term,
         since_ms,
-        stood_down,
+        stepped_down,
         members,
         settled,
-        memory,
-        refused,
+        snapshot,
+        rejections,
     } = answer
     else {
         return println!("{answer:?}");
     };
-    println!("{name} {standing}, epoch {epoch}, for {:.1} s", *since_ms as f64 / 1000.0);
+    println!("{name} {standing}, epoch {term}, for {:.1} s", *since_ms as f64 / 1000.0);
     println!("leader: {}", leader.as_deref().unwrap_or("none is known"));
-    if let Some(why) = stood_down {
+    if let Some(why) = stepped_down {
         println!("it last led until {why}");
     }
     for m in members {
@@ -149,8 +151,8 @@
     if standing == "leads" && !settled {
         println!("the last change of members is not yet known to a majority");
     }
-    if let Some((epoch, number, age_ms)) = memory {
-        println!("memory: epoch {epoch}, number {number}, {:.1} s old", *age_ms as f64 / 1000.0);
+    if let Some((term, number, age_ms)) = snapshot {
+        println!("memory: epoch {term}, number {number}, {:.1} s old", *age_ms as f64 / 1000.0);
     }
-    println!("refused since its start: {refused}");
+    println!("refused since its start: {rejections}");
 }
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,7 +1,7 @@
 //! `rehearse`: a day on loopback.
 
 use clap::ValueEnum;
-use grebespool_cluster::audit;
+use grebespool_cluster::audit_accounts;
 use grebespool_emulator::{
     FleetHost, PlannerHost, Played, ProcessHost, Progress, SeveralHost, ThreadHost, rehearse as play,
 };
@@ -85,16 +85,16 @@
 
 /// Says what became of the fleet's duties; whether each step took place once, by the newest owner.
 fn duties(accounts: &Path) -> Result<bool, String> {
-    let a = audit(accounts).map_err(|e| format!("the accounts: {e}"))?;
+    let a = audit_accounts(accounts).map_err(|e| format!("the accounts: {e}"))?;
     println!(
         "duties: {} steps, twice {}, by a former owner {}, left out {}, longest without an owner {:.1} s",
         a.steps,
-        a.twice,
-        a.former,
-        a.left_out,
-        a.longest.as_secs_f64()
+        a.duplicates,
+        a.by_stale_holders,
+        a.missing,
+        a.longest_gap.as_secs_f64()
     );
-    Ok(a.steps > 0 && a.twice + a.former + a.left_out == 0)
+    Ok(a.steps > 0 && a.duplicates + a.by_stale_holders + a.missing == 0)
 }
 
 /// Progress: a bar on a terminal, else a line for each trouble.
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,8 +2,8 @@
 
 use crate::record::Recording;
 use grebespool_cluster::{
-    Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
-    run as run_member,
+    AccountSettings, LIMITS, Member, MemberConfig, Request, Response, Role, SiteRequest, Store, TaskSettings,
+    fleet_id, run_member,
 };
 use grebespool_config_consensus::{ConsensusSettings, LeaseParameters, ValidationRules};
 use grebespool_controller::{SiteOrder, Start};
@@ -124,7 +124,7 @@
 
 /// Lets orders out only while this controller may give them.
 struct Gate {
-    member: Running,
+    member: Member,
     epoch: u64,
 }
 
@@ -136,7 +136,7 @@
 
 /// What a controller that leads tells its member, beside what is recorded.
 struct Leading {
-    member: Running,
+    member: Member,
     epoch: u64,
     number: u64,
     every: Duration,
@@ -164,19 +164,23 @@
         self.recording.came(now, name, came);
         let zone = self.at.get(name).copied().unwrap_or_default();
         for line in came {
-            self.member.count(zone, line.route, Counts { calls: u64::from(line.calls), ..Counts::default() });
+            self.member.count_requests(
+                zone,
+                line.route,
+                Counts { calls: u64::from(line.calls), ..Counts::default() },
+            );
         }
     }
     fn met(&mut self, name: &str, met: &[MetLine]) {
         let sum = |of: fn(&MetLine) -> u32| met.iter().map(|m| u64::from(of(m))).sum();
         let (tries, dropped) = (sum(|m| m.tries), sum(|m| m.dropped));
         let zone = self.at.get(name).copied().unwrap_or_default();
-        self.member.count(zone, NO_ROUTE, Counts { tries, dropped, ..Counts::default() });
+        self.member.count_requests(zone, NO_ROUTE, Counts { tries, dropped, ..Counts::default() });
     }
     fn passed_over(&mut self, epoch: u64) {
         // Not from within the planner's own turn: standing down ends it.
         let member = self.member.clone();
-        spawn_local(async move { member.passed_over(epoch) });
+        spawn_local(async move { member.term_seen(epoch) });
     }
     fn recall(&mut self) -> Option<Memory> {
         self.memory.take().map(|m| *m)
@@ -185,12 +189,12 @@
         Some(self.every)
     }
     fn site_asks(&mut self) -> Option<mpsc::UnboundedReceiver<SiteAsk>> {
-        let mut asked = self.member.asked_of_sites();
+        let mut requests = self.member.site_requests();
         let (to, asks) = mpsc::unbounded_channel();
         spawn_local(async move {
-            while let Some(SiteAsked { question, answer }) = asked.recv().await {
-                let what = match question {
-                    Question::Site { site, out, forced, dry } => {
+            while let Some(SiteRequest { request, response }) = requests.recv().await {
+                let what = match request {
+                    Request::Site { site, out, forced, dry_run: dry } => {
                         let order = if out { SiteOrder::Out } else { SiteOrder::Back };
                         SiteWhat::Order { site, order, forced, dry }
                     }
@@ -201,7 +205,7 @@
                     return;
                 }
                 if let Ok(told) = told.await {
-                    let _ = answer.send(told.map_or_else(Answer::Refused, Answer::Lines));
+                    let _ = response.send(told.map_or_else(Response::Rejected, Response::Lines));
                 }
             }
         });
@@ -210,24 +214,24 @@
     fn remember(&mut self, mut memory: Memory) {
         self.number += 1;
         (memory.epoch, memory.number) = (self.epoch, self.number);
-        if let Err(why) = self.member.remember(&memory) {
+        if let Err(why) = self.member.publish_snapshot(&memory) {
             warn!(%why, "what is known cannot be kept for the next leader");
         }
     }
 }
 
 /// The work that the members share out, by their settings.
-fn fleetwork(members: &Members) -> Option<Fleetwork> {
+fn fleetwork(members: &Members) -> Option<TaskSettings> {
     let duties = members.duties.as_ref()?;
     let accounts = duties.accounts.as_ref();
-    Some(Fleetwork {
+    Some(TaskSettings {
         terms: DutyTerms { lease: duties.lease.0, renew: duties.renew.0, drift: members.drift },
-        accounts: accounts.map(|a| Accounting {
+        accounts: accounts.map(|a| AccountSettings {
             folder: a.folder.clone(),
             period: a.period.0,
             slack: a.slack.0,
         }),
-        agree: duties.agree.as_ref().map(|a| ConsensusSettings {
+        configuration: duties.agree.as_ref().map(|a| ConsensusSettings {
             lease: LeaseParameters {
                 duration: a.lease.0,
                 renew_interval: a.renew.0,
@@ -267,30 +271,29 @@
         TcpListener::bind(at).await.map_err(|e| format!("cannot listen for members at {at}: {e}"))?;
     let terms = Terms { beat: members.beat.0, lease: members.lease.0, drift: members.drift };
     let mut tasks = JoinSet::new();
-    let (member, mut changes) = run_member(
-        between,
-        &members.name,
+    let config = MemberConfig {
+        listener: between,
+        name: members.name.clone(),
         store,
         kept,
-        terms,
-        &members.key_file,
-        members.weights_kept.0,
-        fleetwork(&members),
-        &mut tasks,
-    )
-    .map_err(|why| why.to_string())?;
+        election: terms,
+        key_file: members.key_file.clone(),
+        weights_lifetime: members.weights_kept.0,
+        tasks: fleetwork(&members),
+    };
+    let (member, mut roles) = run_member(config, &mut tasks).map_err(|why| why.to_string())?;
     drop(told_open(listener.try_clone().map_err(|e| e.to_string())?).map_err(|e| e.to_string())?);
     loop {
-        let change = changes.borrow_and_update().clone();
+        let role = roles.borrow_and_update().clone();
         let own = listener.try_clone().and_then(TcpListener::from_std).map_err(|e| e.to_string())?;
         let acting = async {
-            match change {
-                Change::Follow => {
+            match role {
+                Role::Follower => {
                     let known = member.clone();
                     send_elsewhere(own, move || known.leader()).await;
                     Ok(())
                 }
-                Change::Lead { epoch, memory } => {
+                Role::Leader { term: epoch, snapshot: memory } => {
                     let gate = Gate { member: member.clone(), epoch };
                     let watch = Leading {
                         member: member.clone(),
@@ -315,9 +318,9 @@
                 }
                 return Err("the member has ended".into());
             }
-            changed = changes.changed() => {
+            changed = roles.changed() => {
                 changed.map_err(|_| "the member has ended".to_string())?;
-                info!(change = ?changes.borrow().name(), "what this controller does changes");
+                info!(role = roles.borrow().name(), "changes its role");
             }
         }
     }
--- a/crates/cli/src/sites.rs
+++ b/crates/cli/src/sites.rs
@@ -2,7 +2,7 @@
 
 use crate::members::{members_of, of_leader};
 use clap::Subcommand;
-use grebespool_cluster::Question;
+use grebespool_cluster::Request;
 use grebespool_settings::Day;
 use grebespool_site_failover::{Demand, Plan, Room, Site, plan};
 use std::collections::BTreeSet;
@@ -52,12 +52,12 @@
 pub fn sites(command: SitesCommand) -> Result<ExitCode, String> {
     let (day, service, fill, pairs, set) = match command {
         SitesCommand::Plan { day, service, fill, pairs, set } => (day, service, fill, pairs, set),
-        SitesCommand::Show { settings } => return of_leader(&members_of(&settings)?, &Question::Sites),
-        SitesCommand::Out { settings, name: site, force: forced, dry_run: dry } => {
-            return of_leader(&members_of(&settings)?, &Question::Site { site, out: true, forced, dry });
+        SitesCommand::Show { settings } => return of_leader(&members_of(&settings)?, &Request::ShowSites),
+        SitesCommand::Out { settings, name: site, force: forced, dry_run } => {
+            return of_leader(&members_of(&settings)?, &Request::Site { site, out: true, forced, dry_run });
         }
-        SitesCommand::Back { settings, name: site, dry_run: dry } => {
-            let wanted = Question::Site { site, out: false, forced: false, dry };
+        SitesCommand::Back { settings, name: site, dry_run } => {
+            let wanted = Request::Site { site, out: false, forced: false, dry_run };
             return of_leader(&members_of(&settings)?, &wanted);
         }
     };
--- a/crates/cli/tests/fleet/editions.rs
+++ b/crates/cli/tests/fleet/editions.rs
@@ -2,8 +2,8 @@
 //! asked all the time over its own streams, and what they answered is checked.
 
 use crate::helpers::Fleet;
-use grebespool_cluster::seal::{Own, Packet, Sealed};
-use grebespool_cluster::{Answer, Keys, Question, fleet_id};
+use grebespool_cluster::transport::{AuthenticatedStream, Identity, Packet};
+use grebespool_cluster::{Keys, Request, Response, fleet_id};
 use grebespool_config_consensus::{ActiveVersions, Change, Limit};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -47,17 +47,18 @@
     found
 }
 
-async fn stream(address: SocketAddr, keys: &Keys) -> std::io::Result<Sealed<TcpStream>> {
+async fn stream(address: SocketAddr, keys: &Keys) -> std::io::Result<AuthenticatedStream<TcpStream>> {
     let socket = TcpStream::connect(address).await?;
-    let mut sealed = Sealed::dial(socket, Own { fleet: fleet_id("f"), id: 0 }, keys).await?;
-    sealed.meet("operator", 0).await?;
+    let mut sealed =
+        AuthenticatedStream::connect(socket, Identity { fleet: fleet_id("f"), id: 0 }, keys).await?;
+    sealed.introduce("operator", 0).await?;
     Ok(sealed)
 }
 
-async fn ask(sealed: &mut Sealed<TcpStream>, question: Question) -> std::io::Result<Answer> {
-    sealed.say(&Packet::Question(question)).await?;
-    match sealed.hear().await? {
-        Packet::Answer(answer) => Ok(answer),
+async fn ask(sealed: &mut AuthenticatedStream<TcpStream>, request: Request) -> std::io::Result<Response> {
+    sealed.send(&Packet::Request(request)).await?;
+    match sealed.receive().await? {
+        Packet::Response(response) => Ok(response),
         other => Err(std::io::Error::other(format!("{other:?}"))),
     }
 }
@@ -145,7 +146,7 @@
                     draw += 3.0;
                     let limit = Limit::AtLeast(draw);
                     let changes = vec![Change::Limit("power.reserve".into(), Some(limit))];
-                    let proposed = ask(&mut sealed, Question::Propose { changes, forced: false });
+                    let proposed = ask(&mut sealed, Request::Propose { changes, forced: false });
                     if !matches!(timeout(MS(3000), proposed).await, Ok(Ok(_))) {
                         break;
                     }
@@ -154,12 +155,12 @@
                 }
                 let asked = Instant::now();
                 // One that is stopped answers when it runs on: that is what is to be seen.
-                let Ok(Ok(Answer::Editions(shown))) =
-                    timeout(MS(8000), ask(&mut sealed, Question::Editions)).await
+                let Ok(Ok(Response::Configuration(shown))) =
+                    timeout(MS(8000), ask(&mut sealed, Request::ShowConfiguration)).await
                 else {
                     break;
                 };
-                seen.lock().unwrap().push(Seen { member, asked, came: Instant::now(), acts: shown.acts });
+                seen.lock().unwrap().push(Seen { member, asked, came: Instant::now(), acts: shown.active });
                 tokio::time::sleep(MS(4)).await;
             }
         }
--- a/crates/cli/tests/fleet/helpers.rs
+++ b/crates/cli/tests/fleet/helpers.rs
@@ -1,6 +1,6 @@
 //! Controllers that are processes, and how they are driven.
 
-use grebespool_cluster::audit;
+use grebespool_cluster::audit_accounts;
 use grebespool_emulator::free_ports;
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -111,8 +111,8 @@
 
     /// Each step of the accounts once, none by a former owner, none left out; how many there are.
     pub fn steps(&self) -> usize {
-        let found = audit(&self.folder.path().join("accounts")).unwrap();
-        assert_eq!((found.twice, found.former, found.left_out), (0, 0, 0), "{found:?}");
+        let found = audit_accounts(&self.folder.path().join("accounts")).unwrap();
+        assert_eq!((found.duplicates, found.by_stale_holders, found.missing), (0, 0, 0), "{found:?}");
         found.steps
     }
 
--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -2,7 +2,7 @@
 //! of something, and the rules are checked from what passed on the sockets.
 
 use crate::helpers::Fleet;
-use grebespool_cluster::audit;
+use grebespool_cluster::audit_accounts;
 use grebespool_emulator::{FleetHost, Played, rehearse};
 use grebespool_invariants::{Passed, Record};
 use grebespool_settings::Day;
@@ -25,11 +25,11 @@
     let host = FleetHost::new(program, Duration::from_millis(1800), 3, accounts.path().into()).unwrap();
     let host = if cutting { host.cutting() } else { host };
     let played = rehearse(day, Box::new(host), None, None).unwrap();
-    let found = audit(accounts.path()).unwrap();
-    assert_eq!((found.twice, found.former, found.left_out), (0, 0, 0), "{found:?}");
+    let found = audit_accounts(accounts.path()).unwrap();
+    assert_eq!((found.duplicates, found.by_stale_holders, found.missing), (0, 0, 0), "{found:?}");
     // A period is 0.4 s; whoever had the accounts, the next went on with them.
     assert!(found.steps >= 4 && found.calls > 0, "{found:?}");
-    assert!(found.longest < Duration::from_secs(8), "{found:?}");
+    assert!(found.longest_gap < Duration::from_secs(8), "{found:?}");
     played
 }
 
--- /dev/null
+++ b/crates/cluster/src/accounts/files.rs
@@ -0,0 +1,96 @@
+//! Files of accounts. A file's name is its period and revision, and it is linked to its name only where that is free.
+
+use grebespool_singleton_tasks::{Account, Token};
+use serde::{Deserialize, Serialize};
+use std::fs::{self, File};
+use std::io::{self, Write};
+use std::path::{Path, PathBuf};
+use std::time::{SystemTime, UNIX_EPOCH};
+
+// Names of marker files are stored: do not rename.
+const HOLDER_PREFIX: &str = "owner-";
+
+/// The content of an account's file.
+// stored as JSON: do not rename keys
+#[derive(Debug, Serialize, Deserialize)]
+pub(super) struct AccountFile {
+    /// The step of the journal that fixed the account.
+    pub step: u64,
+    /// Of the lease holder that wrote the file: term and number.
+    pub token: (u64, u64),
+    /// When it was written, by the wall clock, in milliseconds since 1970.
+    pub written_ms: u64,
+    pub account: Account,
+}
+
+/// The result of writing an account's file.
+pub(super) enum WrittenAccount {
+    New,
+    /// It was there: whoever wrote it wrote the same.
+    Existing,
+    /// A newer lease holder has been here.
+    Fenced(Token),
+}
+
+/// Writes an account's file, unless a newer lease holder has been here or the file is there.
+pub(super) fn write_account(
+    folder: &Path,
+    token: Token,
+    step: u64,
+    account: Account,
+) -> io::Result<WrittenAccount> {
+    fs::create_dir_all(folder)?;
+    let newest = mark_holder(folder, token)?;
+    if newest > token {
+        return Ok(WrittenAccount::Fenced(newest));
+    }
+    let path = folder.join(format!("{:012}-r{}.json", account.period, account.revision));
+    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let written_ms = now.as_millis() as u64;
+    let content = AccountFile { step, token: (token.epoch, token.number), written_ms, account };
+    link_new_file(folder, &path, &content)
+}
+
+/// Writes a temporary file and links it to its name. A file that is there is never replaced.
+fn link_new_file(folder: &Path, path: &Path, content: &AccountFile) -> io::Result<WrittenAccount> {
+    let mut temporary = tempfile::NamedTempFile::new_in(folder)?;
+    serde_json::to_writer(&mut temporary, content)?;
+    temporary.flush()?;
+    temporary.as_file().sync_all()?;
+    match temporary.persist_noclobber(path) {
+        Ok(_) => File::open(folder)?.sync_all().map(|()| WrittenAccount::New),
+        Err(error) if error.error.kind() == io::ErrorKind::AlreadyExists => Ok(WrittenAccount::Existing),
+        Err(error) => Err(error.error),
+    }
+}
+
+/// Leaves a marker of this lease holder, which replaces those of older ones, and returns the newest that has been here.
+fn mark_holder(folder: &Path, token: Token) -> io::Result<Token> {
+    let mut newest = token;
+    let mut older: Vec<PathBuf> = vec![];
+    for entry in fs::read_dir(folder)? {
+        let entry = entry?;
+        match entry.file_name().to_str().and_then(parse_marker) {
+            Some(seen) if seen < token => older.push(entry.path()),
+            Some(seen) => newest = newest.max(seen),
+            None => {}
+        }
+    }
+    if newest == token {
+        File::create(folder.join(marker_name(token)))?.sync_all()?;
+        for path in older {
+            // Another holder may remove it at the same moment.
+            let _ = fs::remove_file(path);
+        }
+    }
+    Ok(newest)
+}
+
+fn marker_name(token: Token) -> String {
+    format!("{HOLDER_PREFIX}{:020}-{:020}", token.epoch, token.number)
+}
+
+fn parse_marker(name: &str) -> Option<Token> {
+    let (epoch, number) = name.strip_prefix(HOLDER_PREFIX)?.split_once('-')?;
+    Some(Token { epoch: epoch.parse().ok()?, number: number.parse().ok()? })
+}
--- /dev/null
+++ b/crates/cluster/src/accounts/mod.rs
@@ -0,0 +1,153 @@
+//! The singleton task of accounts: it closes periods, and writes an account of each as a file.
+//!
+//! The journal fixes an account before its file is written, so that a lease holder that is late writes the same file as the
+//! next one, or none.
+
+mod audit;
+mod files;
+
+pub use audit::{AccountAudit, audit_accounts};
+
+use crate::core::Core;
+use crate::task_host::{AccountSettings, Continuation, TaskHost};
+use files::{WrittenAccount, write_account};
+use grebespool_singleton_tasks::{Account, Duty, Ledger, MOST_CONTENT, Record, Token};
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+use tracing::{info, warn};
+
+/// A period is looked at so often within its length, within these bounds.
+const CHECKS_PER_PERIOD: u32 = 8;
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Between two attempts to write an account's file.
+const FILE_RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// A request for the counts of a period.
+struct CountRequest {
+    token: Token,
+    period: u64,
+    sent: Instant,
+}
+
+/// Closes periods while this member holds the task's lease.
+pub(crate) struct PeriodCloser {
+    core: Rc<Core>,
+    settings: AccountSettings,
+    task: Duty,
+    request: Option<CountRequest>,
+    /// A write failed, and that was logged.
+    failure_logged: bool,
+}
+
+impl PeriodCloser {
+    pub(crate) fn new(core: Rc<Core>, settings: AccountSettings, task: Duty) -> PeriodCloser {
+        PeriodCloser { core, settings, task, request: None, failure_logged: false }
+    }
+
+    /// Runs until it is dropped.
+    pub(crate) async fn run(mut self) {
+        let core = self.core.clone();
+        let Some(host) = &core.tasks else { return };
+        let interval =
+            (self.settings.period / CHECKS_PER_PERIOD).clamp(MIN_CHECK_INTERVAL, MAX_CHECK_INTERVAL);
+        loop {
+            tokio::select! {
+                () = host.progress.notified() => {}
+                () = sleep(interval) => {}
+            }
+            self.proceed(host).await;
+        }
+    }
+
+    /// Takes the next step, if this member may.
+    async fn proceed(&mut self, host: &TaskHost) {
+        let Some(Continuation { token, last }) = host.continuation(self.task) else { return };
+        if host.token(self.core.now(), self.task) != Some(token) {
+            return;
+        }
+        match last {
+            Some(record) if !record.ended => self.finish_step(token, &record).await,
+            last => self.close_next_period(host, token, last.as_ref()).await,
+        }
+    }
+
+    /// Writes the file of an account that the journal has fixed.
+    async fn finish_step(&mut self, token: Token, record: &Record) {
+        let Some(account) = ledger_of(record).and_then(|ledger| ledger.account) else {
+            warn!(step = record.step, "cannot read a step of the accounts; leaving it as it is");
+            return sleep(self.settings.slack).await;
+        };
+        match self.write_file(token, record.step, account).await {
+            Ok(WrittenAccount::Fenced(seen)) => {
+                warn!(%token, %seen, "stops writing accounts: a newer lease holder has written");
+                let task = self.task;
+                self.core.call_tasks(|tasks, now| tasks.refused(now, task, token, seen));
+            }
+            Ok(written) => {
+                if matches!(written, WrittenAccount::Existing) {
+                    info!(step = record.step, "finds an account's file that was written before");
+                }
+                self.failure_logged = false;
+                let task = self.task;
+                self.core.write_task_step(task, |tasks, now| tasks.end(now, task));
+            }
+            Err(error) => {
+                if !std::mem::replace(&mut self.failure_logged, true) {
+                    let folder = self.settings.folder.display();
+                    warn!(%folder, %error, "cannot write an account; retrying");
+                }
+                sleep(FILE_RETRY_DELAY).await;
+            }
+        }
+    }
+
+    async fn write_file(&self, token: Token, step: u64, account: Account) -> io::Result<WrittenAccount> {
+        let folder = self.settings.folder.clone();
+        let written = tokio::task::spawn_blocking(move || write_account(&folder, token, step, account)).await;
+        written.unwrap_or_else(|panicked| Err(io::Error::other(panicked)))
+    }
+
+    /// Closes the next period that is over, once all members have reported their counts or the slack has passed.
+    async fn close_next_period(&mut self, host: &TaskHost, token: Token, last: Option<&Record>) {
+        let over = host.period(self.settings.slack).unwrap_or(0);
+        let ledger = match last {
+            Some(record) => ledger_of(record),
+            // The first account of a fleet is of the last period that is over.
+            None => Some(Ledger::beginning(over.saturating_sub(1))),
+        };
+        let Some(ledger) = ledger.filter(|ledger| ledger.next < over) else { return };
+        let voters = self.core.voters();
+        let known = self.request.as_ref();
+        let Some(request) = known.filter(|request| (request.token, request.period) == (token, ledger.next))
+        else {
+            return self.request_counts(host, token, &ledger);
+        };
+        let complete = voters.iter().all(|id| host.counts.borrow().contains_key(id));
+        if !complete && request.sent.elapsed() < self.settings.slack {
+            return;
+        }
+        let step = ledger.step(over, &voters, &host.counts.borrow());
+        let Some(content) = step.and_then(|ledger| postcard::to_stdvec(&ledger).ok()) else { return };
+        if content.len() > MOST_CONTENT {
+            let (bytes, max_bytes) = (content.len(), MOST_CONTENT);
+            warn!(bytes, max_bytes, "cannot write an account with so many zones and routes; it stays open");
+            return sleep(self.settings.slack).await;
+        }
+        let task = self.task;
+        self.core.write_task_step(task, |tasks, now| tasks.begin(now, task, content));
+    }
+
+    /// Asks all members for their counts. Only what they report after the period's end is complete.
+    fn request_counts(&mut self, host: &TaskHost, token: Token, ledger: &Ledger) {
+        host.counts.borrow_mut().clear();
+        self.request = Some(CountRequest { token, period: ledger.next, sent: Instant::now() });
+        self.core.call_tasks(|tasks, now| tasks.ask_counts(now, ledger));
+    }
+}
+
+fn ledger_of(record: &Record) -> Option<Ledger> {
+    postcard::from_bytes(&record.content).ok()
+}
--- /dev/null
+++ b/crates/cluster/src/commands/tasks.rs
@@ -0,0 +1,115 @@
+//! Commands on singleton tasks.
+
+use super::{Response, TaskOrder};
+use crate::core::Core;
+use crate::task_host::{TaskHost, TaskRecorder};
+use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::{Duties, Duty, LateOwner, Refused, Shown};
+use std::time::Duration;
+use thiserror::Error;
+
+/// Why an order is not carried out.
+#[derive(Debug, Error)]
+enum OrderError {
+    #[error("no member {0:?}")]
+    UnknownMember(String),
+    #[error("no member {0:?} that renews its duties")]
+    MemberWithoutLease(String),
+    #[error(transparent)]
+    Refused(Refused),
+}
+
+/// Who holds the lease of which task.
+pub(super) fn show(core: &Core) -> Response {
+    let Some(host) = &core.tasks else { return not_configured() };
+    let (now, tasks) = (core.now(), host.tasks.borrow());
+    let Some(all) = tasks.shown() else { return Response::Rejected("this member does not lead".into()) };
+    let (late, refused) = tasks.late();
+    let count = format!("words of former owners refused here since the start: {refused}");
+    let mut lines: Vec<String> = all.iter().map(|task| task_line(core, host, now, task)).collect();
+    lines.extend(late.map(|late| stale_holder_line(core, host, now, &late)));
+    lines.push(count);
+    Response::Lines(lines)
+}
+
+fn task_line(core: &Core, host: &TaskHost, now: Duration, task: &Shown) -> String {
+    let owner = task.owner.map_or("nobody".into(), |id| core.member_name(id));
+    let span = now.saturating_sub(task.since).as_secs_f64();
+    let mut line = format!("{}: {owner} for {span:.1} s, token {}", host.name(task.duty), task.token);
+    if let Some(from) = task.leaving {
+        line += &format!(", being handed over by {}", core.member_name(from));
+    }
+    if let Some(until) = task.held_until {
+        line += &format!(", rests for {:.0} s more", until.saturating_sub(now).as_secs_f64());
+    }
+    if let Some(wanted) = task.wanted {
+        line += &format!(", wanted at {}", core.member_name(wanted));
+    }
+    line
+}
+
+fn stale_holder_line(core: &Core, host: &TaskHost, now: Duration, late: &LateOwner) -> String {
+    let ago = now.saturating_sub(late.at).as_secs_f64();
+    let (task, from) = (host.name(late.duty), core.member_name(late.from));
+    format!(
+        "last refused here: {from} for {task} by token {}, after {} ({ago:.1} s ago)",
+        late.token, late.seen
+    )
+}
+
+/// Carries out an order on the task of this name.
+pub(super) fn order(core: &Core, name: &str, order: &TaskOrder) -> Response {
+    let Some(host) = &core.tasks else { return not_configured() };
+    let Some(task) = host.find(name) else {
+        let known = host.names().join(", ");
+        return Response::Rejected(format!("no duty {name:?}; there are {known}"));
+    };
+    match core.call_tasks(|tasks, now| carry_out(core, tasks, now, task, order)) {
+        Some(Ok(())) => Response::Done(done_text(name, order)),
+        Some(Err(error)) => Response::Rejected(error.to_string()),
+        None => Response::Rejected("no work is shared out".into()),
+    }
+}
+
+fn carry_out(
+    core: &Core,
+    tasks: &mut Duties<TaskRecorder>,
+    now: Duration,
+    task: Duty,
+    order: &TaskOrder,
+) -> Result<(), OrderError> {
+    match order {
+        TaskOrder::Move(to) => {
+            let id = find_member(core, to).ok_or_else(|| OrderError::UnknownMember(to.clone()))?;
+            tasks.move_to(now, task, id).map_err(|refused| match refused {
+                Refused::NoMember => OrderError::MemberWithoutLease(to.clone()),
+                refused => OrderError::Refused(refused),
+            })
+        }
+        TaskOrder::Suspend(milliseconds) => {
+            let span = Duration::from_millis(*milliseconds);
+            tasks.hold(now, task, span).map_err(OrderError::Refused)
+        }
+        TaskOrder::Release => tasks.release(now, task).map_err(OrderError::Refused),
+    }
+}
+
+fn find_member(core: &Core, name: &str) -> Option<Id> {
+    let election = core.election.borrow();
+    let mut seats = election.kept_state().roster.seats.iter();
+    seats.find(|(_, seat)| seat.name == name).map(|(id, _)| *id)
+}
+
+fn done_text(name: &str, order: &TaskOrder) -> String {
+    match order {
+        TaskOrder::Move(to) => format!("{name} goes to {to}"),
+        TaskOrder::Suspend(milliseconds) => {
+            format!("{name} rests for {:.0} s", *milliseconds as f64 / 1000.0)
+        }
+        TaskOrder::Release => format!("{name} is released"),
+    }
+}
+
+fn not_configured() -> Response {
+    Response::Rejected("no work is shared out: members.duties is not set".into())
+}
--- /dev/null
+++ b/crates/cluster/src/configuration_host.rs
@@ -0,0 +1,92 @@
+//! The shared configuration of a member, and what it asks for during a call.
+
+use crate::store::Store;
+use grebespool_config_consensus::{
+    ActiveVersions, ConsensusNode, ConsensusSettings, Event, Host, Message, ProposalId, ProposalOutcome,
+    StoredState,
+};
+use grebespool_leader_election::Id;
+use grebespool_singleton_tasks::Token;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::io;
+use tokio::sync::{Notify, oneshot};
+use tracing::{info, warn};
+
+/// The limits that this program knows, by their names in configurations (`docs/operators/editions.md`).
+pub const LIMITS: [&str; 2] = ["power.most_withdrawn", "power.reserve"];
+
+/// A step of the configuration's journal to be written.
+pub(crate) struct JournalWrite {
+    pub token: Token,
+    pub content: Vec<u8>,
+}
+
+/// What the configuration asks for during a call.
+#[derive(Default)]
+pub(crate) struct ConfigurationRequests {
+    pub outbox: Vec<(Id, Message)>,
+    /// The newest state to be written, and its stamp.
+    pub persist: Option<(StoredState, u64)>,
+    pub journal_write: Option<JournalWrite>,
+    pub finish_journal_step: bool,
+    pub decided: Vec<(ProposalId, ProposalOutcome)>,
+}
+
+/// Collects what the configuration asks for.
+#[derive(Default)]
+pub(crate) struct ConfigurationRecorder(pub ConfigurationRequests);
+
+impl Host for ConfigurationRecorder {
+    fn send(&mut self, to: Id, message: Message) {
+        self.0.outbox.push((to, message));
+    }
+    fn persist(&mut self, state: &StoredState, stamp: u64) {
+        self.0.persist = Some((state.clone(), stamp));
+    }
+    fn write_journal(&mut self, token: Token, content: Vec<u8>) {
+        self.0.journal_write = Some(JournalWrite { token, content });
+    }
+    fn finish_journal_step(&mut self, _: Token) {
+        self.0.finish_journal_step = true;
+    }
+    fn active_versions_changed(&mut self, active: ActiveVersions) {
+        info!(%active, "applies other configuration versions");
+    }
+    fn proposal_decided(&mut self, id: ProposalId, outcome: ProposalOutcome) {
+        self.0.decided.push((id, outcome));
+    }
+    fn log(&mut self, event: &Event) {
+        warn!("{event}");
+    }
+}
+
+/// The shared configuration of one member.
+pub(crate) struct ConfigurationHost {
+    pub node: RefCell<ConsensusNode<ConfigurationRecorder>>,
+    /// Its timer may have changed.
+    pub timer: Notify,
+    /// Operators that wait for the outcome of a proposal.
+    pub waiting: RefCell<BTreeMap<ProposalId, oneshot::Sender<ProposalOutcome>>>,
+}
+
+impl ConfigurationHost {
+    /// Starts with what the state folder has.
+    ///
+    /// # Errors
+    ///
+    /// The database cannot be read.
+    pub(crate) fn open(
+        store: &Store,
+        own: Id,
+        start_count: u32,
+        settings: ConsensusSettings,
+    ) -> io::Result<ConfigurationHost> {
+        let stored = store.read_versions(|error| {
+            warn!(%error, "cannot read the stored configuration versions; asking the coordinator for them");
+        })?;
+        let recorder = ConfigurationRecorder::default();
+        let node = ConsensusNode::new(recorder, own, settings, stored, start_count);
+        Ok(ConfigurationHost { node: RefCell::new(node), timer: Notify::new(), waiting: RefCell::default() })
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/core.rs
@@ -0,0 +1,118 @@
+//! What the tasks of a running member share.
+
+use crate::commands::SiteRequest;
+use crate::configuration_host::ConfigurationHost;
+use crate::election_host::ElectionHost;
+use crate::endpoint::LocalEndpoint;
+use crate::peer_link::{EncodedSnapshot, PeerLink};
+use crate::snapshots::ReceivedSnapshot;
+use crate::task_host::TaskHost;
+use grebespool_leader_election::{Damaged, Id, Member as Election, Memory, Seat};
+use grebespool_singleton_tasks::Counts;
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::{Notify, mpsc};
+use tokio::time::Instant;
+
+/// A leader's snapshot, and when it was received.
+pub(crate) struct TimedSnapshot {
+    pub snapshot: Memory,
+    pub received: Instant,
+}
+
+/// The state of a running member, shared by its tasks on one thread.
+///
+/// Each state machine is in a cell of its own. A cell is borrowed for one call and never across an `await` or while another
+/// state machine is called: a call collects what it asks for, the borrow ends, and `dispatch` carries it out.
+pub(crate) struct Core {
+    pub started: Instant,
+    pub endpoint: Rc<LocalEndpoint>,
+    pub election: RefCell<Election<ElectionHost>>,
+    /// The election's timer may have changed.
+    pub election_timer: Notify,
+    /// Singleton tasks, where the settings name some.
+    pub tasks: Option<TaskHost>,
+    /// The shared configuration, where the settings name it.
+    pub configuration: Option<ConfigurationHost>,
+    /// A link to each other member of the roster.
+    pub links: RefCell<BTreeMap<Id, PeerLink>>,
+    /// The newest snapshot of a leader.
+    pub snapshot: RefCell<Option<TimedSnapshot>>,
+    /// Learnt weights of a snapshot lose their influence over this time.
+    pub weights_lifetime: Duration,
+    /// Answers requests on sites while this member leads.
+    pub site_requests: RefCell<Option<mpsc::UnboundedSender<SiteRequest>>>,
+}
+
+impl Core {
+    /// The time since the start, by the local monotonic clock.
+    pub(crate) fn now(&self) -> Duration {
+        self.started.elapsed()
+    }
+
+    /// The name of a member, or its id where it is not in the roster.
+    pub(crate) fn member_name(&self, id: Id) -> String {
+        let election = self.election.borrow();
+        election.kept_state().roster.seats.get(&id).map_or(format!("{id:016x}"), |seat| seat.name.clone())
+    }
+
+    /// The ids of all members of the roster.
+    pub(crate) fn voters(&self) -> Vec<Id> {
+        self.election.borrow().kept_state().roster.seats.keys().copied().collect()
+    }
+
+    /// Opens a link to each other member of the roster, and closes the links to members that are out of it.
+    pub(crate) fn update_links(&self) {
+        let others: Vec<(Id, Seat)> = {
+            let election = self.election.borrow();
+            let kept = election.kept_state();
+            let others = kept.roster.seats.iter().filter(|(id, _)| **id != kept.id);
+            others.map(|(id, seat)| (*id, seat.clone())).collect()
+        };
+        let mut links = self.links.borrow_mut();
+        links.retain(|id, _| others.iter().any(|(other, _)| other == id));
+        for (id, seat) in others {
+            links.entry(id).or_insert_with(|| PeerLink::start(&self.endpoint, id, &seat));
+        }
+    }
+
+    /// Keeps a received snapshot, if it is the newest.
+    pub(crate) fn accept_snapshot(&self, received: ReceivedSnapshot) {
+        let ReceivedSnapshot { snapshot, bytes } = received;
+        let order = snapshot.order();
+        let newest = self.snapshot.borrow().as_ref().is_none_or(|known| known.snapshot.order() < order);
+        if newest {
+            *self.snapshot.borrow_mut() = Some(TimedSnapshot { snapshot, received: Instant::now() });
+            self.election.borrow_mut().host().disk.write_snapshot(order, bytes);
+        }
+    }
+
+    /// Writes a snapshot of this leader, and sends it to all others.
+    pub(crate) fn publish_snapshot(&self, snapshot: &Memory) -> Result<(), Damaged> {
+        let (order, bytes) = (snapshot.order(), Rc::new(snapshot.bytes()?));
+        self.election.borrow_mut().host().disk.write_snapshot(order, bytes.to_vec());
+        *self.snapshot.borrow_mut() =
+            Some(TimedSnapshot { snapshot: snapshot.clone(), received: Instant::now() });
+        for link in self.links.borrow().values() {
+            link.snapshots.put(EncodedSnapshot { order, bytes: bytes.clone() });
+        }
+        Ok(())
+    }
+
+    /// The newest snapshot, as far as it still holds.
+    pub(crate) fn aged_snapshot(&self) -> Option<Box<Memory>> {
+        let known = self.snapshot.borrow();
+        let TimedSnapshot { snapshot, received } = known.as_ref()?;
+        Some(Box::new(snapshot.after(received.elapsed(), self.weights_lifetime)))
+    }
+
+    /// Counts requests of a zone and route in this period.
+    pub(crate) fn count_requests(&self, zone: u16, route: u8, counts: Counts) {
+        let Some(host) = &self.tasks else { return };
+        let Some(period) = host.period(Duration::ZERO) else { return };
+        host.tasks.borrow_mut().tally().add(period, (zone, route), counts);
+        host.counted.set(true);
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/dispatch.rs
@@ -0,0 +1,201 @@
+//! Calls of the three state machines, and what follows from each call: a call of one may lead to calls of the others.
+//!
+//! The election tells tasks and the configuration who takes part. The owner of the task `editions` coordinates the
+//! configuration, whose journal is that task's.
+
+use crate::configuration_host::{
+    ConfigurationHost, ConfigurationRecorder, ConfigurationRequests, JournalWrite,
+};
+use crate::core::Core;
+use crate::election_host::{ElectionHost, Role};
+use crate::task_host::{
+    CellRequest, CountReport, DurableStep, OwnershipChange, TaskHost, TaskRecorder, TaskRequests, write_step,
+};
+use crate::transport::Packet;
+use crate::writer::CellWrite;
+use grebespool_config_consensus::ConsensusNode;
+use grebespool_leader_election::{Id, Member as Election};
+use grebespool_singleton_tasks::{Duties, Duty, Token};
+use std::time::Duration;
+use tracing::info;
+
+impl Core {
+    /// Calls the election at this time, and carries out what it asks for.
+    pub(crate) fn call_election<T>(
+        &self,
+        call: impl FnOnce(&mut Election<ElectionHost>, Duration) -> T,
+    ) -> T {
+        let (returned, outbox, elected) = {
+            let mut election = self.election.borrow_mut();
+            let returned = call(&mut election, self.now());
+            self.endpoint.set_stamp(election.kept_state().stamp);
+            let host = election.host();
+            (returned, std::mem::take(&mut host.outbox), host.elected.take())
+        };
+        self.update_links();
+        for (to, message) in outbox {
+            if let Some(link) = self.links.borrow().get(&to) {
+                link.election.push(Packet::Election(message));
+            }
+        }
+        if let Some(term) = elected {
+            self.start_leading(term);
+        }
+        self.election_timer.notify_one();
+        self.update_voters();
+        returned
+    }
+
+    fn start_leading(&self, term: u64) {
+        let snapshot = self.aged_snapshot();
+        let order = snapshot.as_ref().map(|snapshot| snapshot.order());
+        info!(term, snapshot = ?order, "starts to lead");
+        self.election.borrow_mut().host().role.send_replace(Role::Leader { term, snapshot });
+    }
+
+    /// Tells tasks and the configuration who takes part and who leads.
+    pub(crate) fn update_voters(&self) {
+        let (voters, leader, until) = {
+            let election = self.election.borrow();
+            let voters: Vec<Id> = election.kept_state().roster.seats.keys().copied().collect();
+            (voters, election.leader().map(|id| (election.epoch(), id)), election.leads_until())
+        };
+        let configuration_voters = voters.clone();
+        self.call_tasks(|tasks, now| tasks.roster(now, voters, leader, until));
+        self.call_configuration(|node, now| node.set_voters(now, configuration_voters));
+    }
+
+    /// Calls the tasks at this time, and carries out what they ask for. None where there are no tasks.
+    pub(crate) fn call_tasks<T>(
+        &self,
+        call: impl FnOnce(&mut Duties<TaskRecorder>, Duration) -> T,
+    ) -> Option<T> {
+        let host = self.tasks.as_ref()?;
+        let (returned, requests) = {
+            let mut tasks = host.tasks.borrow_mut();
+            let returned = call(&mut tasks, self.now());
+            (returned, std::mem::take(&mut tasks.host().requests))
+        };
+        self.carry_out_task_requests(host, requests);
+        Some(returned)
+    }
+
+    /// Writes a step of a task's journal. Returns whether the step was written; None where there are no tasks.
+    pub(crate) fn write_task_step(
+        &self,
+        task: Duty,
+        write: impl FnOnce(&mut Duties<TaskRecorder>, Duration) -> bool,
+    ) -> Option<bool> {
+        self.call_tasks(|tasks, now| write_step(tasks, task, |tasks| write(tasks, now)))
+    }
+
+    fn carry_out_task_requests(&self, host: &TaskHost, requests: TaskRequests) {
+        let TaskRequests { outbox, writes, complete, reports, changes, durable } = requests;
+        changes.iter().for_each(|change| log_ownership(host, change));
+        self.write_cells(host, writes, complete);
+        for (to, message) in outbox {
+            self.send_task_packet(to, Packet::Task(message));
+        }
+        // Not with every call: work that asks something of tasks would wake itself.
+        if !durable.is_empty() || !reports.is_empty() {
+            host.progress.notify_one();
+        }
+        for CountReport { member, periods } in reports {
+            host.counts.borrow_mut().insert(member, periods.into_iter().collect());
+        }
+        host.timer.notify_one();
+        let Some(task) = host.configuration_task() else { return };
+        if changes.iter().any(|change| change.task == task && change.lost.is_some()) {
+            self.call_configuration(|node, now| node.stop_coordinating(now));
+        }
+        for step in durable.into_iter().filter(|step| step.task == task) {
+            self.continue_configuration(step);
+        }
+    }
+
+    /// Tells the configuration of a durable step of its journal.
+    fn continue_configuration(&self, step: DurableStep) {
+        let DurableStep { token, record, first, .. } = step;
+        self.call_configuration(|node, now| match record {
+            last if first => node.start_coordinating(now, token, last.as_ref()),
+            Some(record) if record.ended => node.journal_step_finished(now, token),
+            _ => node.journal_durable(now, token),
+        });
+    }
+
+    fn write_cells(&self, host: &TaskHost, writes: Vec<CellRequest>, complete: bool) {
+        if writes.is_empty() && !complete {
+            return;
+        }
+        let named =
+            |CellRequest { task, cell, stamp }| CellWrite { name: host.name(task).into(), cell, stamp };
+        let writes = writes.into_iter().map(named).collect();
+        self.election.borrow_mut().host().disk.write_cells(writes, complete);
+    }
+
+    fn send_task_packet(&self, to: Id, packet: Packet) {
+        if let Some(link) = self.links.borrow().get(&to) {
+            link.tasks.push(packet);
+        }
+    }
+
+    /// Calls the configuration at this time, and carries out what it asks for. None where there is none.
+    pub(crate) fn call_configuration<T>(
+        &self,
+        call: impl FnOnce(&mut ConsensusNode<ConfigurationRecorder>, Duration) -> T,
+    ) -> Option<T> {
+        let (host, tasks) = (self.configuration.as_ref()?, self.tasks.as_ref()?);
+        let task = tasks.configuration_task()?;
+        let (returned, requests) = {
+            let mut node = host.node.borrow_mut();
+            let now = self.now();
+            node.set_journal_token(tasks.token(now, task));
+            let returned = call(&mut node, now);
+            (returned, std::mem::take(&mut node.host().0))
+        };
+        self.carry_out_configuration_requests(host, task, requests);
+        Some(returned)
+    }
+
+    fn carry_out_configuration_requests(
+        &self,
+        host: &ConfigurationHost,
+        task: Duty,
+        requests: ConfigurationRequests,
+    ) {
+        if let Some((state, stamp)) = requests.persist {
+            self.election.borrow_mut().host().disk.write_versions(state, stamp);
+        }
+        for (to, message) in requests.outbox {
+            self.send_task_packet(to, Packet::Configuration(message));
+        }
+        for (id, outcome) in requests.decided {
+            if let Some(waiting) = host.waiting.borrow_mut().remove(&id) {
+                let _ = waiting.send(outcome);
+            }
+        }
+        if let Some(JournalWrite { token, content }) = requests.journal_write {
+            self.write_configuration_step(task, token, content);
+        }
+        if requests.finish_journal_step {
+            self.write_task_step(task, |tasks, now| tasks.end(now, task));
+        }
+        host.timer.notify_one();
+    }
+
+    fn write_configuration_step(&self, task: Duty, token: Token, content: Vec<u8>) {
+        let written = self.write_task_step(task, |tasks, now| tasks.begin(now, task, content));
+        if written != Some(true) {
+            self.call_configuration(|node, now| node.journal_write_rejected(now, token));
+        }
+    }
+}
+
+fn log_ownership(host: &TaskHost, change: &OwnershipChange) {
+    let OwnershipChange { task, token, lost } = change;
+    let task = host.name(*task);
+    match lost {
+        None => info!(task, %token, "acquires the lease of a singleton task"),
+        Some(why) => info!(task, %token, %why, "loses the lease of a singleton task"),
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/ids.rs
@@ -0,0 +1,37 @@
+//! Ids that are derived from names.
+
+use grebespool_leader_election::{Id, Roster, Seat};
+
+// Ids are stored and on the wire: do not rename these contexts.
+const FLEET_CONTEXT: &str = "grebespool 2026 fleet";
+const SEAT_CONTEXT: &str = "grebespool 2026 seat";
+const TASK_NAMES_CONTEXT: &str = "grebespool 2026 duties";
+
+/// The id of a fleet; members of other fleets are rejected.
+pub fn fleet_id(name: &str) -> u64 {
+    derive_id(FLEET_CONTEXT, name.as_bytes())
+}
+
+/// The id of a member that the fleet was formed with.
+pub fn seat_id(fleet: u64, name: &str) -> Id {
+    let mut bytes = fleet.to_be_bytes().to_vec();
+    bytes.extend_from_slice(name.as_bytes());
+    derive_id(SEAT_CONTEXT, &bytes)
+}
+
+/// The id of a list of task names, by which members notice that their settings differ.
+pub(crate) fn task_names_id(names: &[String]) -> u64 {
+    derive_id(TASK_NAMES_CONTEXT, names.join("\n").as_bytes())
+}
+
+/// The roster of a new fleet, of members by name and address.
+pub fn initial_roster(fleet: u64, members: impl IntoIterator<Item = (String, String)>) -> Roster {
+    let seat = |(name, address): (String, String)| (seat_id(fleet, &name), Seat { name, address });
+    Roster { epoch: 0, number: 0, seats: members.into_iter().map(seat).collect() }
+}
+
+fn derive_id(context: &str, bytes: &[u8]) -> u64 {
+    let hash = blake3::derive_key(context, bytes);
+    // 0 stands for nobody.
+    hash.first_chunk::<8>().map_or(1, |first| u64::from_be_bytes(*first)).max(1)
+}
--- a/crates/cluster/src/keys.rs
+++ b/crates/cluster/src/keys.rs
@@ -2,64 +2,98 @@
 
 use std::io;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
+use tracing::warn;
 
-/// Up to three keys, a line each: the first seals, all are accepted. To rotate: add the new one as the second line
-/// everywhere, then make it the first everywhere, then take the old one out.
+const MIN_KEY_BYTES: usize = 16;
+const MAX_KEYS: usize = 3;
+// On the wire: do not rename.
+const KEY_CONTEXT: &str = "grebespool 2026 members' key";
+const KEY_ID_MESSAGE: &[u8] = b"which key is meant";
+
+/// Why a key file cannot be used.
+#[derive(Debug, Error)]
+pub enum KeyFileError {
+    /// The file cannot be read.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// It holds no keys, or too many.
+    #[error("{0} keys; 1 to {MAX_KEYS} are expected, a line each")]
+    Count(usize),
+    /// A key is too short. The line counts from one.
+    #[error("line {0}: a key has at least {MIN_KEY_BYTES} bytes")]
+    TooShort(usize),
+}
+
+impl From<KeyFileError> for io::Error {
+    fn from(error: KeyFileError) -> io::Error {
+        match error {
+            KeyFileError::Io(error) => error,
+            other => io::Error::new(io::ErrorKind::InvalidData, other.to_string()),
+        }
+    }
+}
+
+/// One to three keys. The first authenticates what this member sends, and all are accepted. To rotate: add the new key as
+/// the second line everywhere, then make it the first line everywhere, then remove the old one.
 #[derive(Clone)]
 pub struct Keys(Vec<[u8; 32]>);
 
 impl Keys {
-    const LEAST: usize = 16;
-    const MOST: usize = 3;
-
+    /// Reads keys from a file, a line each.
+    ///
     /// # Errors
     ///
-    /// The file's; `InvalidData` where it holds no keys, too many, or one that is too short.
-    pub fn read(path: &Path) -> io::Result<Keys> {
+    /// The file cannot be read, holds no keys or too many, or one is too short.
+    pub fn read(path: &Path) -> Result<Keys, KeyFileError> {
         let text = std::fs::read(path)?;
-        let lines: Vec<&[u8]> =
-            text.split(|b| *b == b'\n').map(<[u8]>::trim_ascii).filter(|l| !l.is_empty()).collect();
-        let bad = |why: String| Err(io::Error::new(io::ErrorKind::InvalidData, why));
-        if lines.is_empty() || lines.len() > Self::MOST {
-            return bad(format!("{} keys; 1 to {} are expected, a line each", lines.len(), Self::MOST));
+        let lines = text.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii);
+        let lines: Vec<&[u8]> = lines.filter(|line| !line.is_empty()).collect();
+        if lines.is_empty() || lines.len() > MAX_KEYS {
+            return Err(KeyFileError::Count(lines.len()));
         }
-        if let Some(short) = lines.iter().position(|l| l.len() < Self::LEAST) {
-            return bad(format!("line {}: a key has at least {} bytes", short + 1, Self::LEAST));
+        if let Some(index) = lines.iter().position(|line| line.len() < MIN_KEY_BYTES) {
+            return Err(KeyFileError::TooShort(index + 1));
         }
-        Ok(Keys(lines.iter().map(|l| blake3::derive_key("grebespool 2026 members' key", l)).collect()))
+        Ok(Keys(lines.into_iter().map(|line| blake3::derive_key(KEY_CONTEXT, line)).collect()))
     }
 
+    /// The key that this member authenticates with.
     pub fn first(&self) -> &[u8; 32] {
         &self.0[0]
     }
 
-    /// Which key is meant, without telling anything of it.
-    pub fn hint(key: &[u8; 32]) -> [u8; 8] {
-        let hash = blake3::keyed_hash(key, b"which key is meant");
+    /// The id of a key, which tells nothing of the key itself.
+    pub fn id_of(key: &[u8; 32]) -> [u8; 8] {
+        let hash = blake3::keyed_hash(key, KEY_ID_MESSAGE);
         hash.as_bytes().first_chunk::<8>().copied().unwrap_or_default()
     }
 
-    pub fn by_hint(&self, hint: [u8; 8]) -> Option<&[u8; 32]> {
-        self.0.iter().find(|k| Self::hint(k) == hint)
+    /// The key with this id.
+    pub fn by_id(&self, id: [u8; 8]) -> Option<&[u8; 32]> {
+        self.0.iter().find(|key| Self::id_of(key) == id)
     }
 }
 
-/// The file, read anew for each stream: what was changed in it counts from the next one on. One that cannot be read
-/// leaves the last keys in force.
+/// A key file that is read anew for each stream. If it cannot be read, the last keys stay in force.
 pub(crate) struct KeyFile {
     path: PathBuf,
     last: Keys,
 }
 
 impl KeyFile {
-    pub fn open(path: &Path) -> io::Result<KeyFile> {
+    /// Reads the file for the first time.
+    pub(crate) fn open(path: &Path) -> Result<KeyFile, KeyFileError> {
         Ok(KeyFile { path: path.into(), last: Keys::read(path)? })
     }
 
-    pub fn keys(&mut self) -> Keys {
+    /// The keys that are in force now.
+    pub(crate) fn reload(&mut self) -> Keys {
         match Keys::read(&self.path) {
             Ok(keys) => self.last = keys,
-            Err(error) => tracing::warn!(path = %self.path.display(), %error, "the last keys stay in force"),
+            Err(error) => {
+                warn!(path = %self.path.display(), %error, "cannot read the key file; keeping the last keys");
+            }
         }
         self.last.clone()
     }
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,25 +1,39 @@
-//! A member of several controllers on sockets and disks (`docs/design/leader-election.md`). All decisions are
-//! [`grebespool_leader_election`]'s; here are the state folder ([`Store`]), the sealed streams between members ([`seal`]),
-//! and the task that runs one ([`run`]).
+//! A member of a group of controllers on sockets and disks (`docs/design/leader-election.md`).
+//!
+//! It runs three state machines and decides nothing itself: the leader election ([`grebespool_leader_election`]), singleton tasks
+//! ([`grebespool_singleton_tasks`]) and the shared configuration ([`grebespool_config_consensus`]). Here are the state folder
+//! ([`Store`]), authenticated streams between members ([`transport`]), the commands of operators, and the tasks that run all
+//! of it on one thread ([`run_member`]).
+//!
+//! It assumes that the caller's `LocalSet` keeps running, and never orders proxies itself: the caller does, while its
+//! [`Role`] says so.
 
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-
-mod accord;
 mod accounts;
-mod disk;
-mod duties;
+mod commands;
+mod configuration_host;
+mod core;
+mod dispatch;
+mod election_host;
+mod endpoint;
+mod ids;
 mod keys;
-mod listen;
-mod operator;
-mod run;
-pub mod seal;
+mod listener;
+mod member;
+mod peer_link;
+mod snapshots;
 mod store;
-mod ways;
+mod task_host;
+pub mod transport;
+mod writer;
 
-pub use accord::LIMITS;
-pub use accounts::{Audit, audit};
-pub use duties::{Accounting, Fleetwork};
-pub use keys::Keys;
-pub use operator::{Answer, DutyOrder, Editions, Question, Shown, SiteAsked, ask};
-pub use run::{Change, Running, Unrunnable, run};
-pub use store::{Store, Unusable, first_roster, fleet_id, seat_id};
+pub use accounts::{AccountAudit, audit_accounts};
+pub use commands::{
+    ConfigurationStatus, MemberStatus, Request, Response, SiteRequest, TaskOrder, send_request,
+};
+pub use configuration_host::LIMITS;
+pub use election_host::Role;
+pub use ids::{fleet_id, initial_roster, seat_id};
+pub use keys::{KeyFileError, Keys};
+pub use member::{Member, MemberConfig, StartError, run_member};
+pub use store::{RecordError, Store, StoreError, StoredCells};
+pub use task_host::{AccountSettings, TaskSettings};
--- /dev/null
+++ b/crates/cluster/src/member.rs
@@ -0,0 +1,279 @@
+//! Starting a member, and the handle to it.
+
+use crate::accounts::PeriodCloser;
+use crate::commands::SiteRequest;
+use crate::configuration_host::ConfigurationHost;
+use crate::core::{Core, TimedSnapshot};
+use crate::election_host::{ElectionHost, Role};
+use crate::endpoint::LocalEndpoint;
+use crate::keys::{KeyFile, KeyFileError};
+use crate::listener::accept_loop;
+use crate::store::Store;
+use crate::task_host::{TaskHost, TaskSettings};
+use crate::transport::Identity;
+use crate::writer::{DiskWriter, WriteResult};
+use grebespool_leader_election::{Damaged, Kept, Member as Election, Memory, Terms};
+use grebespool_singleton_tasks::Counts;
+use std::cell::RefCell;
+use std::io;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::net::TcpListener;
+use tokio::sync::{Notify, mpsc, watch};
+use tokio::task::JoinSet;
+use tokio::time::{Instant, sleep, sleep_until};
+use tracing::warn;
+
+/// Between two writes of what was counted; what was counted since is lost with the process.
+const TALLY_WRITE_INTERVAL: Duration = Duration::from_millis(500);
+/// The longest that a timer waits before it looks again, so that no deadline overflows the clock.
+const MAX_TIMER_WAIT: Duration = Duration::from_secs(3600);
+
+/// What a member is started with.
+pub struct MemberConfig {
+    /// Accepts streams of other members and operators.
+    pub listener: TcpListener,
+    /// Its name.
+    pub name: String,
+    /// Its state folder.
+    pub store: Store,
+    /// The state of the election that was stored there.
+    pub kept: Kept,
+    /// Leases of the election.
+    pub election: Terms,
+    /// The file of the keys that members share.
+    pub key_file: PathBuf,
+    /// Learnt weights of a snapshot lose their influence over this time.
+    pub weights_lifetime: Duration,
+    /// The singleton tasks that members share out.
+    pub tasks: Option<TaskSettings>,
+}
+
+/// Why a member cannot be started.
+#[derive(Debug, Error)]
+pub enum StartError {
+    /// The key file cannot be used.
+    #[error("{path}: {source}")]
+    Keys {
+        /// The file.
+        path: String,
+        /// Why.
+        source: KeyFileError,
+    },
+    /// The snapshots on disk cannot be read.
+    #[error("the newest memory cannot be read: {0}")]
+    Snapshot(#[source] io::Error),
+    /// The journal on disk cannot be read.
+    #[error("the journal of duties cannot be read: {0}")]
+    Tasks(#[source] io::Error),
+    /// The configuration versions on disk cannot be read.
+    #[error("what is held of editions cannot be read: {0}")]
+    Configuration(#[source] io::Error),
+}
+
+/// A handle to a running member. Cheap to clone.
+#[derive(Clone)]
+pub struct Member(Rc<Core>);
+
+impl Member {
+    /// Whether an order of this term may leave at this very moment.
+    pub fn may_order(&self, term: u64) -> bool {
+        let election = self.0.election.borrow();
+        election.epoch() == term && election.may_order(self.0.now())
+    }
+
+    /// A proxy has orders of this term.
+    pub fn term_seen(&self, term: u64) {
+        self.0.call_election(|election, now| election.passed_over(now, term));
+    }
+
+    /// Receives requests on sites from now on, until the receiver is dropped.
+    pub fn site_requests(&self) -> mpsc::UnboundedReceiver<SiteRequest> {
+        let (sender, receiver) = mpsc::unbounded_channel();
+        *self.0.site_requests.borrow_mut() = Some(sender);
+        receiver
+    }
+
+    /// Counts requests that a proxy of this zone had on a route, over one of its cycles.
+    pub fn count_requests(&self, zone: u16, route: u8, counts: Counts) {
+        self.0.count_requests(zone, route, counts);
+    }
+
+    /// The leader's name, where one is known.
+    pub fn leader(&self) -> Option<String> {
+        let election = self.0.election.borrow();
+        let seats = &election.kept_state().roster.seats;
+        election.leader().and_then(|id| seats.get(&id).map(|seat| seat.name.clone()))
+    }
+
+    /// Writes a snapshot of this leader, and sends it to all others.
+    ///
+    /// # Errors
+    ///
+    /// It is too large.
+    pub fn publish_snapshot(&self, snapshot: &Memory) -> Result<(), Damaged> {
+        self.0.publish_snapshot(snapshot)
+    }
+}
+
+/// Runs a member on the current `LocalSet`, until `tasks` is dropped. Returns its handle, and its role.
+///
+/// # Errors
+///
+/// The key file cannot be used, or the state folder cannot be read.
+pub fn run_member(
+    config: MemberConfig,
+    tasks: &mut JoinSet<()>,
+) -> Result<(Member, watch::Receiver<Role>), StartError> {
+    let (write_results, written) = mpsc::unbounded_channel();
+    let (role, roles) = watch::channel(Role::Follower);
+    let (core, listener) = open_core(config, role, &write_results)?;
+    let core = Rc::new(core);
+    core.update_links();
+    tasks.spawn_local(accept_loop(core.clone(), listener));
+    tasks.spawn_local(election_timer(core.clone()));
+    tasks.spawn_local(write_result_loop(core.clone(), written));
+    spawn_tasks(&core, tasks);
+    if core.configuration.is_some() {
+        tasks.spawn_local(configuration_timer(core.clone()));
+    }
+    Ok((Member(core), roles))
+}
+
+/// Opens everything that a member needs.
+fn open_core(
+    config: MemberConfig,
+    role: watch::Sender<Role>,
+    write_results: &mpsc::UnboundedSender<WriteResult>,
+) -> Result<(Core, TcpListener), StartError> {
+    let MemberConfig { listener, name, store, kept, election, key_file, weights_lifetime, tasks } = config;
+    let keys = KeyFile::open(&key_file)
+        .map_err(|source| StartError::Keys { path: key_file.display().to_string(), source })?;
+    let snapshot = read_snapshot(&store, weights_lifetime)?;
+    let (tasks, configuration) = open_tasks(&store, kept.id, tasks)?;
+    let identity = Identity { fleet: kept.fleet, id: kept.id };
+    let endpoint = Rc::new(LocalEndpoint::new(identity, &name, keys, kept.stamp));
+    let host = ElectionHost::new(DiskWriter::start(&Arc::new(store), write_results), role);
+    let election = Election::start(host, kept, election, rand::random(), Duration::ZERO);
+    let core = Core {
+        started: Instant::now(),
+        endpoint,
+        election: RefCell::new(election),
+        election_timer: Notify::new(),
+        tasks,
+        configuration,
+        links: RefCell::default(),
+        snapshot: RefCell::new(snapshot),
+        weights_lifetime,
+        site_requests: RefCell::default(),
+    };
+    Ok((core, listener))
+}
+
+/// The newest snapshot on disk. Its age is not known, so only what no time makes untrue is taken of it.
+fn read_snapshot(store: &Store, weights_lifetime: Duration) -> Result<Option<TimedSnapshot>, StartError> {
+    let on_damaged =
+        |order: (u64, u64), error: Damaged| warn!(?order, %error, "sets a damaged snapshot aside");
+    let snapshot = store.read_snapshot(on_damaged).map_err(StartError::Snapshot)?;
+    Ok(snapshot.map(|snapshot| TimedSnapshot {
+        snapshot: snapshot.after(weights_lifetime, weights_lifetime),
+        received: Instant::now(),
+    }))
+}
+
+/// Opens the singleton tasks and the configuration, as far as the settings name them.
+fn open_tasks(
+    store: &Store,
+    own: u64,
+    settings: Option<TaskSettings>,
+) -> Result<(Option<TaskHost>, Option<ConfigurationHost>), StartError> {
+    let Some(settings) = settings else { return Ok((None, None)) };
+    let start_count = store.count_start().map_err(StartError::Tasks)?;
+    let consensus = settings.configuration.clone();
+    let tasks = TaskHost::open(store, own, start_count, settings).map_err(StartError::Tasks)?;
+    let open = |settings| ConfigurationHost::open(store, own, start_count, settings);
+    let configuration = consensus.map(open).transpose().map_err(StartError::Configuration)?;
+    Ok((Some(tasks), configuration))
+}
+
+fn spawn_tasks(core: &Rc<Core>, tasks: &mut JoinSet<()>) {
+    let Some(host) = &core.tasks else { return };
+    core.update_voters();
+    tasks.spawn_local(task_timer(core.clone()));
+    if let (Some(settings), Some(task)) = (host.settings.accounts.clone(), host.accounts_task()) {
+        tasks.spawn_local(tally_write_loop(core.clone()));
+        tasks.spawn_local(PeriodCloser::new(core.clone(), settings, task).run());
+    }
+}
+
+/// Waits until a deadline of the member's clock, or until the deadline may have changed. Returns whether the time has come.
+async fn wait_for_timer(core: &Core, deadline: Duration, changed: &Notify) -> bool {
+    let deadline = core.started + deadline.min(core.now() + MAX_TIMER_WAIT);
+    tokio::select! {
+        () = sleep_until(deadline) => true,
+        () = changed.notified() => false,
+    }
+}
+
+async fn election_timer(core: Rc<Core>) {
+    loop {
+        let deadline = core.election.borrow().due();
+        if wait_for_timer(&core, deadline, &core.election_timer).await {
+            core.call_election(|election, now| election.woken(now));
+        }
+    }
+}
+
+async fn task_timer(core: Rc<Core>) {
+    let Some(host) = &core.tasks else { return };
+    loop {
+        let deadline = host.tasks.borrow().due();
+        if wait_for_timer(&core, deadline, &host.timer).await {
+            core.call_tasks(|tasks, now| tasks.woken(now));
+        }
+    }
+}
+
+async fn configuration_timer(core: Rc<Core>) {
+    let Some(host) = &core.configuration else { return };
+    loop {
+        let deadline = host.node.borrow().next_timer();
+        if wait_for_timer(&core, deadline, &host.timer).await {
+            core.call_configuration(|node, now| node.timer_fired(now));
+        }
+    }
+}
+
+/// Reports writes to the state machines that wait for them.
+async fn write_result_loop(core: Rc<Core>, mut results: mpsc::UnboundedReceiver<WriteResult>) {
+    while let Some(result) = results.recv().await {
+        match result {
+            WriteResult::Cells(stamp) => {
+                core.call_tasks(|tasks, now| tasks.kept(now, stamp));
+            }
+            WriteResult::Versions(stamp) => {
+                core.call_configuration(|node, now| node.persisted(now, stamp));
+            }
+            WriteResult::Election(stamp) => core.call_election(|election, now| election.kept(now, stamp)),
+            WriteResult::ElectionFailed(error) => {
+                warn!(%error, "cannot write the election state; neither voting nor leading until it is written");
+                core.call_election(|election, now| election.disk_failed(now));
+            }
+        }
+    }
+}
+
+/// Writes what was counted, at intervals.
+async fn tally_write_loop(core: Rc<Core>) {
+    let Some(host) = &core.tasks else { return };
+    loop {
+        sleep(TALLY_WRITE_INTERVAL).await;
+        if host.counted.take() {
+            let tally = host.tasks.borrow_mut().tally().clone();
+            core.election.borrow_mut().host().disk.write_tally(tally);
+        }
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/snapshots.rs
@@ -0,0 +1,64 @@
+//! A leader's snapshot, put together from its chunks.
+
+use crate::transport::TransportError;
+use grebespool_leader_election::{MOST_BYTES, Memory};
+
+/// One chunk of a snapshot.
+pub(crate) struct SnapshotChunk {
+    /// The leader's term and the snapshot's number.
+    pub order: (u64, u64),
+    /// Index of the chunk, from zero.
+    pub part: u32,
+    /// How many chunks there are.
+    pub parts: u32,
+    pub bytes: Vec<u8>,
+}
+
+/// A complete snapshot.
+pub(crate) struct ReceivedSnapshot {
+    pub snapshot: Memory,
+    pub bytes: Vec<u8>,
+}
+
+struct Incomplete {
+    order: (u64, u64),
+    parts: u32,
+    bytes: Vec<u8>,
+    next_part: u32,
+}
+
+/// The chunks that came on one stream.
+#[derive(Default)]
+pub(crate) struct SnapshotAssembly(Option<Incomplete>);
+
+impl SnapshotAssembly {
+    /// Takes a chunk, and returns the snapshot with the last one.
+    pub(crate) fn add(&mut self, chunk: SnapshotChunk) -> Result<Option<ReceivedSnapshot>, TransportError> {
+        let SnapshotChunk { order, part, parts, bytes } = chunk;
+        if part == 0 {
+            self.0 = Some(Incomplete { order, parts, bytes: vec![], next_part: 0 });
+        }
+        let expected = |i: &&mut Incomplete| i.order == order && i.parts == parts && i.next_part == part;
+        let Some(incomplete) = self.0.as_mut().filter(expected) else {
+            return Err(TransportError::Snapshot(format!("chunk {part} of a snapshot out of its order")));
+        };
+        if incomplete.bytes.len() + bytes.len() > MOST_BYTES {
+            return Err(TransportError::Snapshot("a snapshot that is too large".into()));
+        }
+        incomplete.bytes.extend_from_slice(&bytes);
+        incomplete.next_part += 1;
+        if incomplete.next_part < parts {
+            return Ok(None);
+        }
+        let bytes = self.0.take().map(|complete| complete.bytes).unwrap_or_default();
+        decode(order, bytes).map(Some)
+    }
+}
+
+fn decode(order: (u64, u64), bytes: Vec<u8>) -> Result<ReceivedSnapshot, TransportError> {
+    match Memory::read(&bytes) {
+        Ok(snapshot) if snapshot.order() == order => Ok(ReceivedSnapshot { snapshot, bytes }),
+        Ok(_) => Err(TransportError::Snapshot("a snapshot under another's number".into())),
+        Err(error) => Err(TransportError::Snapshot(format!("a damaged snapshot: {error}"))),
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/store/tasks.rs
@@ -0,0 +1,133 @@
+//! The journals of singleton tasks, the count of starts, and counted requests.
+
+use super::checksum::{RecordError, decode, encode};
+use super::{COUNTS, Store, database};
+use grebespool_singleton_tasks::{Cell, Duty, Tally};
+use redb::{ReadableTable, TableDefinition, TableError};
+use std::collections::BTreeMap;
+use std::io;
+
+// Stored: do not rename tables or keys. Entries are stored by the task's name, which outlives its place among the names.
+const CELLS: TableDefinition<&str, &[u8]> = TableDefinition::new("cells");
+const DAMAGED_CELLS: TableDefinition<&str, &[u8]> = TableDefinition::new("damaged cells");
+const TALLY: TableDefinition<&str, &[u8]> = TableDefinition::new("tally");
+const TALLY_KEY: &str = "tally";
+const STARTS_KEY: &str = "life";
+const COMPLETE_KEY: &str = "copied";
+
+/// The stored entries of task journals.
+#[derive(Debug, PartialEq, Eq)]
+pub struct StoredCells {
+    /// The entries by task.
+    pub cells: BTreeMap<Duty, Cell>,
+    /// Whether they are all that this member should have. A member that was added, or whose entries are damaged, copies those
+    /// of the others first.
+    pub complete: bool,
+}
+
+impl Store {
+    /// Counts this start; the count is higher than at any start before.
+    ///
+    /// # Errors
+    ///
+    /// The database cannot be read or written.
+    pub fn count_start(&self) -> io::Result<u32> {
+        let write = database(self.state.begin_write())?;
+        let starts = {
+            let mut counts = database(write.open_table(COUNTS))?;
+            let starts = database(counts.get(STARTS_KEY))?.map_or(0, |count| count.value()) + 1;
+            database(counts.insert(STARTS_KEY, starts))?;
+            starts
+        };
+        database(write.commit())?;
+        Ok(u32::try_from(starts).unwrap_or(u32::MAX))
+    }
+
+    /// Reads the journal entries of the tasks of these names. Damaged ones are reported and set aside.
+    ///
+    /// # Errors
+    ///
+    /// The database cannot be read or written.
+    pub fn read_cells(
+        &self,
+        names: &[String],
+        mut on_damaged: impl FnMut(&str, &RecordError),
+    ) -> io::Result<StoredCells> {
+        let write = database(self.state.begin_write())?;
+        let mut cells = BTreeMap::new();
+        let complete = {
+            let mut counts = database(write.open_table(COUNTS))?;
+            let mut table = database(write.open_table(CELLS))?;
+            let mut damaged = database(write.open_table(DAMAGED_CELLS))?;
+            let mut complete = database(counts.get(COMPLETE_KEY))?.is_none_or(|value| value.value() != 0);
+            for (task, name) in (0..).zip(names) {
+                let Some(bytes) = database(table.get(name.as_str()))?.map(|bytes| bytes.value().to_vec())
+                else {
+                    continue;
+                };
+                match decode::<Cell>(&bytes) {
+                    Ok(cell) => drop(cells.insert(task, cell)),
+                    Err(error) => {
+                        on_damaged(name, &error);
+                        complete = false;
+                        database(damaged.insert(name.as_str(), bytes.as_slice()))?;
+                        database(table.remove(name.as_str()))?;
+                    }
+                }
+            }
+            database(counts.insert(COMPLETE_KEY, u64::from(complete)))?;
+            complete
+        };
+        database(write.commit())?;
+        Ok(StoredCells { cells, complete })
+    }
+
+    /// Writes journal entries by task name, and returns once they are on disk. `complete` says whether they are all that this
+    /// member should have, where that changes.
+    ///
+    /// # Errors
+    ///
+    /// The database cannot be written.
+    pub fn write_cells(&self, cells: &[(String, Cell)], complete: Option<bool>) -> io::Result<()> {
+        let write = database(self.state.begin_write())?;
+        {
+            let mut table = database(write.open_table(CELLS))?;
+            for (name, cell) in cells {
+                database(table.insert(name.as_str(), encode(cell).as_slice()))?;
+            }
+            if let Some(complete) = complete {
+                let mut counts = database(write.open_table(COUNTS))?;
+                database(counts.insert(COMPLETE_KEY, u64::from(complete)))?;
+            }
+        }
+        database(write.commit())
+    }
+
+    /// Reads what this member counted before it was started. A damaged record is the same as none.
+    ///
+    /// # Errors
+    ///
+    /// The database cannot be read.
+    pub fn read_tally(&self) -> io::Result<Tally> {
+        let read = database(self.snapshots.begin_read())?;
+        match read.open_table(TALLY) {
+            Ok(table) => {
+                let bytes = database(table.get(TALLY_KEY))?;
+                Ok(bytes.and_then(|bytes| decode(bytes.value()).ok()).unwrap_or_default())
+            }
+            Err(TableError::TableDoesNotExist(_)) => Ok(Tally::default()),
+            Err(error) => Err(io::Error::other(error)),
+        }
+    }
+
+    /// Writes what this member counted.
+    ///
+    /// # Errors
+    ///
+    /// The database cannot be written.
+    pub fn write_tally(&self, tally: &Tally) -> io::Result<()> {
+        let write = database(self.snapshots.begin_write())?;
+        database(database(write.open_table(TALLY))?.insert(TALLY_KEY, encode(tally).as_slice()))?;
+        database(write.commit())
+    }
+}
--- /dev/null
+++ b/crates/cluster/src/transport/packet.rs
@@ -0,0 +1,40 @@
+//! The body of a frame.
+
+use crate::commands::{Request, Response};
+use serde::{Deserialize, Serialize};
+
+/// What is sent in one frame.
+// on the wire: the order of variants and fields is the format
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub enum Packet {
+    /// The first packet of both sides.
+    Introduction {
+        /// The member's name.
+        name: String,
+        /// The stamp of the election state that it has.
+        stamp: u64,
+    },
+    /// A message of the leader election.
+    Election(grebespool_leader_election::Word),
+    /// A chunk of a leader's snapshot.
+    SnapshotChunk {
+        /// The leader's term and the snapshot's number.
+        order: (u64, u64),
+        /// Index of the chunk, from zero.
+        part: u32,
+        /// How many chunks there are.
+        parts: u32,
+        /// The bytes of the chunk.
+        bytes: Vec<u8>,
+    },
+    /// A request of an operator.
+    Request(Request),
+    /// The response to it.
+    Response(Response),
+    /// Why the sender closes the stream.
+    Rejected(String),
+    /// A message of singleton tasks.
+    Task(grebespool_singleton_tasks::Word),
+    /// A message of the agreement on configuration versions.
+    Configuration(grebespool_config_consensus::Message),
+}
--- /dev/null
+++ b/crates/cluster/src/writer.rs
@@ -0,0 +1,197 @@
+//! Writes to the state folder, each kind on a thread of its own, so that a slow disk delays neither heartbeats nor orders.
+
+use crate::store::Store;
+use grebespool_config_consensus::StoredState;
+use grebespool_leader_election::Kept;
+use grebespool_singleton_tasks::{Cell, Tally};
+use std::io;
+use std::sync::Arc;
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
+use std::time::Duration;
+use tokio::sync::mpsc::UnboundedSender;
+use tracing::warn;
+
+/// Between two attempts to write.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
+
+/// The result of a write.
+pub(crate) enum WriteResult {
+    /// The election state with this stamp is on disk.
+    Election(u64),
+    /// The election state cannot be written; it is retried.
+    ElectionFailed(io::Error),
+    /// Journal entries up to this stamp are on disk.
+    Cells(u64),
+    /// Configuration versions up to this stamp are on disk.
+    Versions(u64),
+}
+
+/// A journal entry to be written.
+pub(crate) struct CellWrite {
+    /// Name of the task.
+    pub name: String,
+    pub cell: Cell,
+    pub stamp: u64,
+}
+
+/// Journal entries to be written in one transaction.
+struct CellWrites {
+    cells: Vec<CellWrite>,
+    /// With these the member has all that it should have.
+    complete: bool,
+}
+
+struct VersionsWrite {
+    state: StoredState,
+    stamp: u64,
+}
+
+struct SnapshotWrite {
+    order: (u64, u64),
+    bytes: Vec<u8>,
+}
+
+/// Hands writes to their threads, which end when this is dropped.
+pub(crate) struct DiskWriter {
+    election: Sender<Kept>,
+    snapshots: Sender<SnapshotWrite>,
+    cells: Sender<CellWrites>,
+    tallies: Sender<Tally>,
+    versions: Sender<VersionsWrite>,
+}
+
+impl DiskWriter {
+    /// Starts the threads; results go to `results`.
+    pub(crate) fn start(store: &Arc<Store>, results: &UnboundedSender<WriteResult>) -> DiskWriter {
+        DiskWriter {
+            election: spawn_writer(store, results, write_election),
+            snapshots: spawn_writer(store, results, write_snapshots),
+            cells: spawn_writer(store, results, write_cells),
+            tallies: spawn_writer(store, results, write_tallies),
+            versions: spawn_writer(store, results, write_versions),
+        }
+    }
+
+    /// Writes the state of the election.
+    pub(crate) fn write_election(&self, kept: Kept) {
+        let _ = self.election.send(kept);
+    }
+
+    /// Writes a leader's snapshot.
+    pub(crate) fn write_snapshot(&self, order: (u64, u64), bytes: Vec<u8>) {
+        let _ = self.snapshots.send(SnapshotWrite { order, bytes });
+    }
+
+    /// Writes journal entries. `complete`: with these, the member has all that it should have.
+    pub(crate) fn write_cells(&self, cells: Vec<CellWrite>, complete: bool) {
+        let _ = self.cells.send(CellWrites { cells, complete });
+    }
+
+    /// Writes what was counted.
+    pub(crate) fn write_tally(&self, tally: Tally) {
+        let _ = self.tallies.send(tally);
+    }
+
+    /// Writes configuration versions.
+    pub(crate) fn write_versions(&self, state: StoredState, stamp: u64) {
+        let _ = self.versions.send(VersionsWrite { state, stamp });
+    }
+}
+
+fn spawn_writer<T: Send + 'static>(
+    store: &Arc<Store>,
+    results: &UnboundedSender<WriteResult>,
+    write_all: fn(&Store, &Receiver<T>, &UnboundedSender<WriteResult>),
+) -> Sender<T> {
+    let (sender, receiver) = channel();
+    let (store, results) = (store.clone(), results.clone());
+    thread::spawn(move || write_all(&store, &receiver, &results));
+    sender
+}
+
+/// The newest of this item and those that wait. Each holds the whole state, so the last one is enough.
+fn newest<T>(waiting: &Receiver<T>, item: T) -> T {
+    waiting.try_iter().last().unwrap_or(item)
+}
+
+fn write_election(store: &Store, waiting: &Receiver<Kept>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(kept) = waiting.recv() {
+        let mut kept = newest(waiting, kept);
+        let mut failed = false;
+        while let Err(error) = store.write_election(&kept) {
+            let first = !std::mem::replace(&mut failed, true);
+            if first && results.send(WriteResult::ElectionFailed(error)).is_err() {
+                return;
+            }
+            thread::sleep(WRITE_RETRY_DELAY);
+            kept = newest(waiting, kept);
+        }
+        if results.send(WriteResult::Election(kept.stamp)).is_err() {
+            return;
+        }
+    }
+}
+
+fn write_snapshots(store: &Store, waiting: &Receiver<SnapshotWrite>, _: &UnboundedSender<WriteResult>) {
+    while let Ok(snapshot) = waiting.recv() {
+        let SnapshotWrite { order, bytes } = newest(waiting, snapshot);
+        if let Err(error) = store.write_snapshot(order, &bytes) {
+            let folder = store.folder().display();
+            warn!(%folder, ?order, %error, "cannot write a leader's snapshot; keeping the one before it");
+        }
+    }
+}
+
+/// Entries that wait are written at once. A write that fails is retried, and not acknowledged until it is on disk: a quorum
+/// continues without this member.
+fn write_cells(store: &Store, waiting: &Receiver<CellWrites>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(CellWrites { mut cells, mut complete }) = waiting.recv() {
+        for more in waiting.try_iter() {
+            cells.extend(more.cells);
+            complete |= more.complete;
+        }
+        let stamp = cells.iter().map(|write| write.stamp).max();
+        let cells: Vec<_> = cells.into_iter().map(|write| (write.name, write.cell)).collect();
+        let mut failed = false;
+        while let Err(error) = store.write_cells(&cells, complete.then_some(true)) {
+            if !std::mem::replace(&mut failed, true) {
+                let folder = store.folder().display();
+                warn!(%folder, %error, "cannot write the journal of singleton tasks; retrying");
+            }
+            thread::sleep(WRITE_RETRY_DELAY);
+        }
+        if stamp.is_some_and(|stamp| results.send(WriteResult::Cells(stamp)).is_err()) {
+            return;
+        }
+    }
+}
+
+/// A write that fails is retried, and not acknowledged until it is on disk.
+fn write_versions(store: &Store, waiting: &Receiver<VersionsWrite>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(mut write) = waiting.recv() {
+        let mut failed = false;
+        loop {
+            write = newest(waiting, write);
+            let Err(error) = store.write_versions(&write.state) else { break };
+            if !std::mem::replace(&mut failed, true) {
+                let folder = store.folder().display();
+                warn!(%folder, %error, "cannot write the configuration versions; retrying");
+            }
+            thread::sleep(WRITE_RETRY_DELAY);
+        }
+        if results.send(WriteResult::Versions(write.stamp)).is_err() {
+            return;
+        }
+    }
+}
+
+fn write_tallies(store: &Store, waiting: &Receiver<Tally>, _: &UnboundedSender<WriteResult>) {
+    while let Ok(tally) = waiting.recv() {
+        let tally = newest(waiting, tally);
+        if let Err(error) = store.write_tally(&tally) {
+            let folder = store.folder().display();
+            warn!(%folder, %error, "cannot write the counted requests; serving them from memory");
+        }
+    }
+}
--- a/crates/cluster/tests/members.rs
+++ b/crates/cluster/tests/cluster.rs
@@ -1,14 +1,15 @@
-//! State folders that are torn, copied, shared or of another fleet; streams that are altered, played again or sealed
-//! with another key.
+//! State folders that are torn, copied, shared or of another fleet; streams that are altered, replayed or authenticated with
+//! another key.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_cluster::seal::{Own, Packet, Sealed, VERSION};
-use grebespool_cluster::{Keys, Store, Unusable, fleet_id, seat_id};
+use grebespool_cluster::transport::{
+    AuthenticatedStream, Identity, PROTOCOL_VERSION, Packet, TransportError,
+};
+use grebespool_cluster::{Keys, Store, StoreError, fleet_id, seat_id};
 use grebespool_leader_election::{Kept, Memory, Roster, Seat, Word};
 use rstest::rstest;
-use std::io::{ErrorKind, Write};
+use std::io::Write;
 use std::path::Path;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, DuplexStream, duplex};
 
@@ -26,12 +27,12 @@
 }
 
 #[rstest]
-fn what_is_kept_is_found_again() {
+fn finds_the_election_state_again() {
     let folder = formed();
     let (store, first) = Store::open(folder.path(), FLEET).unwrap();
     assert_eq!((first.id, first.epoch, &first.roster), (1, 0, &roster()));
     let voted = Kept { epoch: 4, vote: Some(3), stamp: 9, ..first };
-    store.keep(&voted).unwrap();
+    store.write_election(&voted).unwrap();
     drop(store);
     assert_eq!(Store::open(folder.path(), FLEET).unwrap().1, voted);
 }
@@ -44,47 +45,50 @@
 }
 
 #[rstest]
-fn folders_that_cannot_be_used_are_named() {
+fn rejects_a_folder_that_is_missing_taken_foreign_open_or_damaged() {
     let empty = tempfile::tempdir().unwrap();
-    assert!(matches!(Store::open(empty.path(), FLEET), Err(Unusable::Empty(_))));
+    assert!(matches!(Store::open(empty.path(), FLEET), Err(StoreError::NotFormed(_))));
     let folder = formed();
-    assert!(matches!(Store::form(folder.path(), FLEET, 1, roster()), Err(Unusable::Taken(_))));
-    assert!(matches!(Store::open(folder.path(), 78), Err(Unusable::Fleet { found: FLEET, wanted: 78, .. })));
+    assert!(matches!(Store::form(folder.path(), FLEET, 1, roster()), Err(StoreError::AlreadyFormed(_))));
+    assert!(matches!(
+        Store::open(folder.path(), 78),
+        Err(StoreError::OtherFleet { found: FLEET, expected: 78, .. })
+    ));
     let held = Store::open(folder.path(), FLEET).unwrap();
     assert!(
-        matches!(Store::open(folder.path(), FLEET), Err(Unusable::Open { .. })),
+        matches!(Store::open(folder.path(), FLEET), Err(StoreError::Open { .. })),
         "two processes on one folder"
     );
     drop(held);
     spoil(&folder.path().join("state.redb"));
     let spoilt = Store::open(folder.path(), FLEET).map(|_| ());
-    assert!(matches!(spoilt, Err(Unusable::Open { .. } | Unusable::Damaged { .. })), "{spoilt:?}");
+    assert!(matches!(spoilt, Err(StoreError::Open { .. } | StoreError::Damaged { .. })), "{spoilt:?}");
 }
 
-fn memory(number: u64) -> Memory {
+fn snapshot(number: u64) -> Memory {
     Memory { epoch: 3, number, list_version: number, ..Memory::default() }
 }
 
 #[rstest]
-fn of_memories_two_are_kept_and_a_damaged_one_gives_way_to_the_one_before() {
+fn keeps_two_snapshots_and_falls_back_from_a_damaged_one() {
     let folder = formed();
     let (store, _) = Store::open(folder.path(), FLEET).unwrap();
     let none = |_, _| panic!("none is damaged");
-    assert_eq!(store.memory(none).unwrap(), None);
+    assert_eq!(store.read_snapshot(none).unwrap(), None);
     for number in 1..=4 {
-        store.remember((3, number), &memory(number).bytes().unwrap()).unwrap();
+        store.write_snapshot((3, number), &snapshot(number).bytes().unwrap()).unwrap();
     }
-    assert_eq!(store.memory(none).unwrap(), Some(memory(4)));
-    let mut torn = memory(5).bytes().unwrap();
+    assert_eq!(store.read_snapshot(none).unwrap(), Some(snapshot(4)));
+    let mut torn = snapshot(5).bytes().unwrap();
     torn.truncate(torn.len() - 1);
-    store.remember((3, 5), &torn).unwrap();
+    store.write_snapshot((3, 5), &torn).unwrap();
     let mut named = vec![];
-    assert_eq!(store.memory(|order, _| named.push(order)).unwrap(), Some(memory(4)));
-    assert_eq!((named, store.set_aside().unwrap()), (vec![(3, 5)], 1));
+    assert_eq!(store.read_snapshot(|order, _| named.push(order)).unwrap(), Some(snapshot(4)));
+    assert_eq!((named, store.damaged_snapshots().unwrap()), (vec![(3, 5)], 1));
 }
 
 #[rstest]
-fn ids_are_of_a_fleet_and_a_name() {
+fn ids_differ_by_fleet_and_name() {
     assert_ne!(fleet_id("a"), fleet_id("b"));
     assert_eq!(seat_id(fleet_id("a"), "m"), seat_id(fleet_id("a"), "m"));
     assert_ne!(seat_id(fleet_id("a"), "m"), seat_id(fleet_id("b"), "m"));
@@ -103,24 +107,27 @@
 #[case::none("", "0 keys")]
 #[case::short("short", "at least 16 bytes")]
 #[case::many("0123456789abcdef\n0123456789abcdeg\n0123456789abcdeh\n0123456789abcdei", "4 keys")]
-fn bad_key_files_are_named(#[case] text: &str, #[case] says: &str) {
+fn rejects_a_bad_key_file(#[case] text: &str, #[case] says: &str) {
     let mut file = tempfile::NamedTempFile::new().unwrap();
     write!(file, "{text}").unwrap();
     let why = Keys::read(file.path()).map(|_| ()).unwrap_err().to_string();
     assert!(why.contains(says), "{why}");
 }
 
-type Both = (std::io::Result<Sealed<DuplexStream>>, std::io::Result<Sealed<DuplexStream>>);
+type Authenticated = Result<AuthenticatedStream<DuplexStream>, TransportError>;
 
-async fn seal_both(dialler: (Own, Keys), listener: (Own, Keys)) -> Both {
+async fn connect_both(
+    connecting: (Identity, Keys),
+    accepting: (Identity, Keys),
+) -> (Authenticated, Authenticated) {
     let (near, far) = duplex(1 << 16);
-    let dial = async { Sealed::dial(near, dialler.0, &dialler.1).await };
-    let accept = async { Sealed::accept(far, listener.0, &listener.1).await };
-    tokio::join!(dial, accept)
+    let connect = async { AuthenticatedStream::connect(near, connecting.0, &connecting.1).await };
+    let accept = async { AuthenticatedStream::accept(far, accepting.0, &accepting.1).await };
+    tokio::join!(connect, accept)
 }
 
-fn own(id: u64) -> Own {
-    Own { fleet: FLEET, id }
+fn own(id: u64) -> Identity {
+    Identity { fleet: FLEET, id }
 }
 
 #[rstest]
@@ -129,70 +136,75 @@
 #[case::the_new_one_is_first_here(&[TWO, ONE], &[ONE, TWO], true)]
 #[case::another(&[TWO], &[ONE], false)]
 #[tokio::test]
-async fn keys_are_rotated_one_step_after_another(
-    #[case] dialler: &[&str],
-    #[case] listener: &[&str],
-    #[case] holds: bool,
+async fn accepts_each_step_of_a_key_rotation(
+    #[case] connecting: &[&str],
+    #[case] accepting: &[&str],
+    #[case] accepted: bool,
 ) {
-    let (a, b) = seal_both((own(1), keys(dialler)), (own(2), keys(listener))).await;
-    if !holds {
-        assert_eq!(b.map(|_| ()).unwrap_err().kind(), ErrorKind::PermissionDenied);
+    let (a, b) = connect_both((own(1), keys(connecting)), (own(2), keys(accepting))).await;
+    if !accepted {
+        assert!(matches!(b.map(|_| ()), Err(TransportError::UnknownKey)));
         return;
     }
     let (mut a, mut b) = (a.unwrap(), b.unwrap());
     assert_eq!((a.peer, b.peer), (2, 1));
     for number in 0..3 {
-        let packet = Packet::Word(Word::Beat { epoch: 1, number, roster: (1, 0) });
-        a.say(&packet).await.unwrap();
-        assert_eq!(b.hear().await.unwrap(), packet);
+        let packet = Packet::Election(Word::Beat { epoch: 1, number, roster: (1, 0) });
+        a.send(&packet).await.unwrap();
+        assert_eq!(b.receive().await.unwrap(), packet);
     }
 }
 
 #[rstest]
-#[case::a_strangers_fleet(Own { fleet: 78, id: 1 }, "is of fleet")]
-#[case::its_own_id(Own { fleet: FLEET, id: 2 }, "own id")]
+#[case::a_strangers_fleet(Identity { fleet: 78, id: 1 }, "is of fleet")]
+#[case::its_own_id(Identity { fleet: FLEET, id: 2 }, "own id")]
 #[tokio::test]
-async fn strangers_are_refused_on_both_sides(#[case] dialler: Own, #[case] says: &str) {
-    let (a, b) = seal_both((dialler, keys(&[ONE])), (own(2), keys(&[ONE]))).await;
+async fn both_sides_reject_another_fleet_and_a_copied_folder(
+    #[case] connecting: Identity,
+    #[case] says: &str,
+) {
+    let (a, b) = connect_both((connecting, keys(&[ONE])), (own(2), keys(&[ONE]))).await;
     for side in [a.map(|_| ()).unwrap_err(), b.map(|_| ()).unwrap_err()] {
         assert!(side.to_string().contains(says), "{side}");
     }
 }
 
-/// Everything between two sealed ends, as one that taps the wire has it.
-async fn tapped(alter: impl Fn(Vec<u8>) -> Vec<u8>) -> Vec<std::io::Result<Packet>> {
+/// Everything between two authenticated ends, as one that taps the wire has it.
+async fn tapped(alter: impl Fn(Vec<u8>) -> Vec<u8>) -> Vec<Result<Packet, TransportError>> {
     let (near, mut tap_near) = duplex(1 << 16);
     let (mut tap_far, far) = duplex(1 << 16);
-    let dial = tokio::spawn(async move { Sealed::dial(near, own(1), &keys(&[ONE])).await.unwrap() });
-    let accept = tokio::spawn(async move { Sealed::accept(far, own(2), &keys(&[ONE])).await.unwrap() });
+    let connect =
+        tokio::spawn(async move { AuthenticatedStream::connect(near, own(1), &keys(&[ONE])).await.unwrap() });
+    let accept =
+        tokio::spawn(async move { AuthenticatedStream::accept(far, own(2), &keys(&[ONE])).await.unwrap() });
     let mut hello = [0; 46];
     tap_near.read_exact(&mut hello).await.unwrap();
     tap_far.write_all(&hello).await.unwrap();
     tap_far.read_exact(&mut hello).await.unwrap();
     tap_near.write_all(&hello).await.unwrap();
-    let (mut a, mut b) = (dial.await.unwrap(), accept.await.unwrap());
+    let (mut a, mut b) = (connect.await.unwrap(), accept.await.unwrap());
     for epoch in 1..=3 {
-        a.say(&Packet::Word(Word::Vote { epoch })).await.unwrap();
+        a.send(&Packet::Election(Word::Vote { epoch })).await.unwrap();
     }
     let mut bytes = vec![0; 4096];
     let count = tap_near.read(&mut bytes).await.unwrap();
     bytes.truncate(count);
     tap_far.write_all(&alter(bytes)).await.unwrap();
     drop(tap_far);
-    let mut heard = vec![];
+    let mut received = vec![];
     for _ in 0..4 {
-        heard.push(b.hear().await);
+        received.push(b.receive().await);
     }
-    heard
+    received
 }
 
-fn votes(heard: &[std::io::Result<Packet>]) -> usize {
-    heard.iter().take_while(|p| matches!(p, Ok(Packet::Word(Word::Vote { .. })))).count()
+fn votes(received: &[Result<Packet, TransportError>]) -> usize {
+    received.iter().take_while(|p| matches!(p, Ok(Packet::Election(Word::Vote { .. })))).count()
 }
 
 #[rstest]
 #[tokio::test]
-async fn frames_that_are_altered_left_out_or_played_again_end_the_stream() {
+async fn ends_a_stream_whose_frames_are_altered_omitted_or_replayed() {
     let frame = |bytes: &[u8]| bytes.len() / 3;
     assert_eq!(votes(&tapped(|b| b).await), 3);
     for at in 0..60 {
@@ -206,7 +218,7 @@
     }
     let again = tapped(|b| [&b[..frame(&b)], &b[..]].concat()).await;
     assert_eq!(votes(&again), 1, "the first frame twice");
-    assert_eq!(again[1].as_ref().unwrap_err().kind(), ErrorKind::PermissionDenied);
+    assert!(matches!(again[1], Err(TransportError::WrongCode)));
     let left_out = tapped(|b| [&b[..frame(&b)], &b[2 * frame(&b)..]].concat()).await;
     assert_eq!(votes(&left_out), 1, "the second frame left out");
     assert_eq!(votes(&tapped(|b| b[..b.len() - 1].to_vec()).await), 2, "cut off within the last");
@@ -214,13 +226,16 @@
 
 #[rstest]
 #[tokio::test]
-async fn an_older_protocol_is_named() {
+async fn names_another_protocol_version() {
     let (mut near, far) = duplex(1 << 10);
-    let accept = tokio::spawn(async move { Sealed::accept(far, own(2), &keys(&[ONE])).await.map(|_| ()) });
+    let accept =
+        tokio::spawn(
+            async move { AuthenticatedStream::accept(far, own(2), &keys(&[ONE])).await.map(|_| ()) },
+        );
     let mut hello = b"GBMB".to_vec();
-    hello.extend_from_slice(&(VERSION + 1).to_be_bytes());
+    hello.extend_from_slice(&(PROTOCOL_VERSION + 1).to_be_bytes());
     hello.extend_from_slice(&[7; 40]);
     near.write_all(&hello).await.unwrap();
     let why = accept.await.unwrap().unwrap_err().to_string();
-    assert!(why.contains(&format!("speaks version {}", VERSION + 1)), "{why}");
+    assert!(why.contains(&format!("speaks version {}", PROTOCOL_VERSION + 1)), "{why}");
 }
--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -4,9 +4,10 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_cluster::seal::{Own, Packet, Sealed, VERSION};
+use grebespool_cluster::transport::{AuthenticatedStream, Identity, PROTOCOL_VERSION, Packet};
 use grebespool_cluster::{
-    Answer, Audit, DutyOrder, Editions, Keys, Question, Shown, Store, audit, first_roster, fleet_id, seat_id,
+    AccountAudit, ConfigurationStatus, Keys, MemberStatus, Request, Response, Store, StoredCells, TaskOrder,
+    audit_accounts, fleet_id, initial_roster, seat_id,
 };
 use grebespool_config_consensus::{
     ActiveVersions, Change, ConfigVersion, Configuration, EffectiveConfiguration, Limit, Message, Rack,
@@ -56,7 +57,7 @@
 
 fn roster() -> Roster {
     let members = ["a", "b", "c"].map(|name| (name.to_string(), format!("{name}.example:7100")));
-    first_roster(fleet_id(FLEET), members)
+    initial_roster(fleet_id(FLEET), members)
 }
 
 fn record(ended: bool) -> Record {
@@ -127,7 +128,7 @@
     ]
 }
 
-fn held_editions() -> StoredState {
+fn stored_versions() -> StoredState {
     let committed = ConfigVersion::default().successor(&changes()[..1], &BTreeMap::new());
     let pending = Some(committed.successor(&changes()[1..], &BTreeMap::new()));
     StoredState { committed, pending, newest_token: token() }
@@ -228,21 +229,22 @@
     Store::form(path, fleet_id(FLEET), seat_id(fleet_id(FLEET), "a"), roster()).unwrap();
     let (store, formed) = Store::open(path, fleet_id(FLEET)).unwrap();
     assert_eq!(formed.roster, roster());
-    store.keep(&kept()).unwrap();
-    store.remember((3, 1), &memory(1).bytes().unwrap()).unwrap();
-    store.remember((3, 2), &spoil(memory(2).bytes().unwrap())).unwrap();
-    assert_eq!(store.memory(|order, _| assert_eq!(order, (3, 2))).unwrap(), Some(memory(1)));
-    store.remember((3, 3), &memory(3).bytes().unwrap()).unwrap();
+    store.write_election(&kept()).unwrap();
+    store.write_snapshot((3, 1), &memory(1).bytes().unwrap()).unwrap();
+    store.write_snapshot((3, 2), &spoil(memory(2).bytes().unwrap())).unwrap();
+    assert_eq!(store.read_snapshot(|order, _| assert_eq!(order, (3, 2))).unwrap(), Some(memory(1)));
+    store.write_snapshot((3, 3), &memory(3).bytes().unwrap()).unwrap();
     let cells = DUTIES.map(|name| (name.to_string(), cell(name == "editions")));
-    store.keep_cells(&cells, Some(true)).unwrap();
+    store.write_cells(&cells, Some(true)).unwrap();
     drop(store);
     spoil_cell(path, "accounts");
     let (store, _) = Store::open(path, fleet_id(FLEET)).unwrap();
-    let (cells, copied) = store.cells(&duties(), |name, _| assert_eq!(name, "accounts")).unwrap();
-    assert_eq!((cells, copied), (BTreeMap::from([(1, cell(true))]), false));
-    store.keep_editions(&held_editions()).unwrap();
-    store.keep_tally(&tally()).unwrap();
-    assert_eq!(store.live().unwrap(), 1);
+    let StoredCells { cells, complete } =
+        store.read_cells(&duties(), |name, _| assert_eq!(name, "accounts")).unwrap();
+    assert_eq!((cells, complete), (BTreeMap::from([(1, cell(true))]), false));
+    store.write_versions(&stored_versions()).unwrap();
+    store.write_tally(&tally()).unwrap();
+    assert_eq!(store.count_start().unwrap(), 1);
     drop(store);
     assert_eq!(include_str!("fixtures/state-folder.txt").trim_end(), dump(path).join("\n"));
 }
@@ -254,21 +256,23 @@
     restore(path, include_str!("fixtures/state-folder.txt"));
     let (store, found) = Store::open(path, fleet_id(FLEET)).unwrap();
     assert_eq!(found, kept());
-    assert_eq!(store.memory(|order, _| panic!("{order:?} is damaged")).unwrap(), Some(memory(3)));
-    assert_eq!(store.set_aside().unwrap(), 1);
-    let (cells, copied) = store.cells(&duties(), |name, _| panic!("{name} is damaged")).unwrap();
-    assert_eq!((cells, copied), (BTreeMap::from([(1, cell(true))]), false));
-    assert_eq!(store.editions(|why| panic!("{why}")).unwrap(), held_editions());
-    assert_eq!(store.tally().unwrap(), tally());
-    assert_eq!(store.live().unwrap(), 2);
+    assert_eq!(store.read_snapshot(|order, _| panic!("{order:?} is damaged")).unwrap(), Some(memory(3)));
+    assert_eq!(store.damaged_snapshots().unwrap(), 1);
+    let StoredCells { cells, complete } =
+        store.read_cells(&duties(), |name, _| panic!("{name} is damaged")).unwrap();
+    assert_eq!((cells, complete), (BTreeMap::from([(1, cell(true))]), false));
+    assert_eq!(store.read_versions(|error| panic!("{error}")).unwrap(), stored_versions());
+    assert_eq!(store.read_tally().unwrap(), tally());
+    assert_eq!(store.count_start().unwrap(), 2);
 }
 
 #[rstest]
 fn account_files_that_were_written_before_are_read() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/accounts");
-    let longest = Duration::from_secs(1);
-    let expected = Audit { steps: 3, twice: 0, former: 1, left_out: 1, longest, calls: 1012 };
-    assert_eq!(audit(&folder).unwrap(), expected);
+    let longest_gap = Duration::from_secs(1);
+    let expected =
+        AccountAudit { steps: 3, duplicates: 0, by_stale_holders: 1, missing: 1, longest_gap, calls: 1012 };
+    assert_eq!(audit_accounts(&folder).unwrap(), expected);
 }
 
 const KEY_FILE: &str = "the first of the members' keys\nthe second of the members' keys\n";
@@ -279,78 +283,95 @@
     std::fs::write(file.path(), KEY_FILE).unwrap();
     let keys = Keys::read(file.path()).unwrap();
     let second = blake3::derive_key("grebespool 2026 members' key", b"the second of the members' keys");
-    let second = keys.by_hint(Keys::hint(&second)).unwrap();
+    let second = keys.by_id(Keys::id_of(&second)).unwrap();
     let derived = [
         format!("fleet {:016x}", fleet_id(FLEET)),
         format!("seat {:016x}", seat_id(fleet_id(FLEET), "a")),
         format!("first-key {}", to_hex(keys.first())),
-        format!("first-hint {}", to_hex(&Keys::hint(keys.first()))),
+        format!("first-hint {}", to_hex(&Keys::id_of(keys.first()))),
         format!("second-key {}", to_hex(second)),
     ];
     assert_eq!(include_str!("fixtures/derived.txt").trim_end(), derived.join("\n"));
 }
 
-fn questions() -> Vec<(&'static str, Question)> {
-    let duty = |order| Question::Duty { name: "accounts".into(), order };
+fn requests() -> Vec<(&'static str, Request)> {
+    let duty = |order| Request::Task { name: "accounts".into(), order };
     vec![
-        ("show", Question::Show),
-        ("add", Question::Add { name: "d".into(), address: "d.example:7100".into() }),
-        ("remove", Question::Remove { name: "d".into() }),
-        ("step-down", Question::StepDown),
-        ("duties", Question::Duties),
-        ("duty-move", duty(DutyOrder::Move("b".into()))),
-        ("duty-hold", duty(DutyOrder::Hold(30_000))),
-        ("duty-release", duty(DutyOrder::Release)),
-        ("editions", Question::Editions),
-        ("propose", Question::Propose { changes: changes(), forced: true }),
-        ("sites", Question::Sites),
-        ("site", Question::Site { site: "north".into(), out: true, forced: false, dry: true }),
+        ("show", Request::ShowMember),
+        ("add", Request::Add { name: "d".into(), address: "d.example:7100".into() }),
+        ("remove", Request::Remove { name: "d".into() }),
+        ("step-down", Request::StepDown),
+        ("duties", Request::ShowTasks),
+        ("duty-move", duty(TaskOrder::Move("b".into()))),
+        ("duty-hold", duty(TaskOrder::Suspend(30_000))),
+        ("duty-release", duty(TaskOrder::Release)),
+        ("editions", Request::ShowConfiguration),
+        ("propose", Request::Propose { changes: changes(), forced: true }),
+        ("sites", Request::ShowSites),
+        ("site", Request::Site { site: "north".into(), out: true, forced: false, dry_run: true }),
     ]
 }
 
-fn status(leader: Option<String>, stood_down: Option<String>, memory: Option<(u64, u64, u64)>) -> Answer {
-    Answer::Status {
+fn status(
+    leader: Option<String>,
+    stepped_down: Option<String>,
+    snapshot: Option<(u64, u64, u64)>,
+) -> Response {
+    Response::Status {
         name: "a".into(),
         standing: "follows".into(),
         leader,
-        epoch: 4,
+        term: 4,
         since_ms: 1500,
-        stood_down,
-        members: vec![Shown { name: "b".into(), address: "b.example:7100".into(), id: 77, missing: true }],
+        stepped_down,
+        members: vec![MemberStatus {
+            name: "b".into(),
+            address: "b.example:7100".into(),
+            id: 77,
+            missing: true,
+        }],
         settled: true,
-        memory,
-        refused: 2,
+        snapshot,
+        rejections: 2,
     }
 }
 
-fn editions(acts: ActiveVersions, next: Option<(u64, String)>, convener: Option<String>) -> Answer {
-    Answer::Editions(Box::new(Editions {
+fn configuration_status(
+    active: ActiveVersions,
+    pending: Option<(u64, String)>,
+    coordinator: Option<String>,
+) -> Response {
+    Response::Configuration(Box::new(ConfigurationStatus {
         name: "a".into(),
-        acts,
-        standing: (41, "0123456789ab".into()),
-        next,
-        convener,
-        waiting: 3,
-        view: EffectiveConfiguration::intersect(
-            held_editions().committed.configuration(),
-            held_editions().pending.unwrap().configuration(),
+        active,
+        committed: (41, "0123456789ab".into()),
+        pending,
+        coordinator,
+        undecided_proposals: 3,
+        effective: EffectiveConfiguration::intersect(
+            stored_versions().committed.configuration(),
+            stored_versions().pending.unwrap().configuration(),
         ),
     }))
 }
 
-fn answers() -> Vec<(&'static str, Answer)> {
+fn responses() -> Vec<(&'static str, Response)> {
     vec![
         ("status", status(Some("b".into()), Some("no majority".into()), Some((3, 2, 900)))),
         ("status-alone", status(None, None, None)),
-        ("done", Answer::Done("it stands down".into())),
-        ("refused", Answer::Refused("this member does not lead".into())),
-        ("lines", Answer::Lines(vec!["one".into(), "two".into()])),
+        ("done", Response::Done("it stands down".into())),
+        ("refused", Response::Rejected("this member does not lead".into())),
+        ("lines", Response::Lines(vec!["one".into(), "two".into()])),
         (
             "editions-both",
-            editions(ActiveVersions::Joint(41, 42), Some((42, "ba9876543210".into())), Some("b".into())),
+            configuration_status(
+                ActiveVersions::Joint(41, 42),
+                Some((42, "ba9876543210".into())),
+                Some("b".into()),
+            ),
         ),
-        ("editions-alone", editions(ActiveVersions::Single(41), None, None)),
-        ("editions-unleased", editions(ActiveVersions::Unleased, None, None)),
+        ("editions-alone", configuration_status(ActiveVersions::Single(41), None, None)),
+        ("editions-unleased", configuration_status(ActiveVersions::Unleased, None, None)),
     ]
 }
 
@@ -370,9 +391,9 @@
 }
 
 #[rstest]
-fn questions_and_answers_keep_their_json() {
-    assert_json_fixture(include_str!("fixtures/questions.jsonl"), &questions());
-    assert_json_fixture(include_str!("fixtures/answers.jsonl"), &answers());
+fn requests_and_responses_keep_their_json() {
+    assert_json_fixture(include_str!("fixtures/questions.jsonl"), &requests());
+    assert_json_fixture(include_str!("fixtures/answers.jsonl"), &responses());
 }
 
 fn election() -> Vec<(&'static str, Word)> {
@@ -407,7 +428,7 @@
 }
 
 fn of_editions() -> Vec<(&'static str, Message)> {
-    let committed = held_editions().committed.id();
+    let committed = stored_versions().committed.id();
     vec![
         ("edition-call", Message::Announce { token: token(), committed }),
         (
@@ -420,15 +441,15 @@
 #[rstest]
 fn frames_between_members_keep_their_bytes() {
     let mut packets = vec![
-        ("here", Packet::Here { name: "a".into(), stamp: 9 }),
-        ("memory", Packet::Memory { order: (3, 1), part: 0, parts: 2, bytes: vec![1, 2, 255] }),
-        ("refused", Packet::Refused("another fleet".into())),
+        ("here", Packet::Introduction { name: "a".into(), stamp: 9 }),
+        ("memory", Packet::SnapshotChunk { order: (3, 1), part: 0, parts: 2, bytes: vec![1, 2, 255] }),
+        ("refused", Packet::Rejected("another fleet".into())),
     ];
-    packets.extend(election().into_iter().map(|(name, word)| (name, Packet::Word(word))));
-    packets.extend(questions().into_iter().map(|(name, question)| (name, Packet::Question(question))));
-    packets.extend(answers().into_iter().map(|(name, answer)| (name, Packet::Answer(answer))));
-    packets.extend(of_duties().into_iter().map(|(name, word)| (name, Packet::Duty(word))));
-    packets.extend(of_editions().into_iter().map(|(name, word)| (name, Packet::Accord(word))));
+    packets.extend(election().into_iter().map(|(name, word)| (name, Packet::Election(word))));
+    packets.extend(requests().into_iter().map(|(name, request)| (name, Packet::Request(request))));
+    packets.extend(responses().into_iter().map(|(name, response)| (name, Packet::Response(response))));
+    packets.extend(of_duties().into_iter().map(|(name, word)| (name, Packet::Task(word))));
+    packets.extend(of_editions().into_iter().map(|(name, word)| (name, Packet::Configuration(word))));
     assert_postcard_fixture(include_str!("fixtures/frames.txt"), &packets);
 }
 
@@ -441,32 +462,33 @@
     let keys = Keys::read(file.path()).unwrap();
     let key = blake3::derive_key("grebespool 2026 members' key", b"the first of the members' keys");
     let (near, mut far) = duplex(1 << 16);
-    let dialled = tokio::spawn(async move {
-        let mut sealed = Sealed::dial(near, Own { fleet: 0x0102, id: 0x0304 }, &keys).await.unwrap();
-        sealed.say(&Packet::Word(Word::Vote { epoch: 300 })).await.unwrap();
-        sealed.hear().await.unwrap()
+    let connecting = tokio::spawn(async move {
+        let mut stream =
+            AuthenticatedStream::connect(near, Identity { fleet: 0x0102, id: 0x0304 }, &keys).await.unwrap();
+        stream.send(&Packet::Election(Word::Vote { epoch: 300 })).await.unwrap();
+        stream.receive().await.unwrap()
     });
-    let mut dialler = [0; 46];
-    far.read_exact(&mut dialler).await.unwrap();
-    assert_eq!(to_hex(&dialler[..22]), "47424d42000200000000000001020000000000000304");
-    assert_eq!(dialler[22..30], blake3::keyed_hash(&key, b"which key is meant").as_bytes()[..8]);
-    let mut listener = dialler;
-    listener[14..22].copy_from_slice(&7u64.to_be_bytes());
-    listener[30..].fill(9);
-    far.write_all(&listener).await.unwrap();
+    let mut connecting_hello = [0; 46];
+    far.read_exact(&mut connecting_hello).await.unwrap();
+    assert_eq!(to_hex(&connecting_hello[..22]), "47424d42000200000000000001020000000000000304");
+    assert_eq!(connecting_hello[22..30], blake3::keyed_hash(&key, b"which key is meant").as_bytes()[..8]);
+    let mut accepting_hello = connecting_hello;
+    accepting_hello[14..22].copy_from_slice(&7u64.to_be_bytes());
+    accepting_hello[30..].fill(9);
+    far.write_all(&accepting_hello).await.unwrap();
     let code = |side: &str, body: &[u8]| {
-        let mut stream = blake3::Hasher::new_keyed(&key);
-        stream.update(side.as_bytes()).update(&dialler).update(&listener);
-        let mut frame = blake3::Hasher::new_keyed(stream.finalize().as_bytes());
+        let mut session = blake3::Hasher::new_keyed(&key);
+        session.update(side.as_bytes()).update(&connecting_hello).update(&accepting_hello);
+        let mut frame = blake3::Hasher::new_keyed(session.finalize().as_bytes());
         frame.update(&0u64.to_be_bytes()).update(body);
         frame.finalize().as_bytes()[..16].to_vec()
     };
-    let body = postcard::to_stdvec(&Packet::Word(Word::Vote { epoch: 300 })).unwrap();
+    let body = postcard::to_stdvec(&Packet::Election(Word::Vote { epoch: 300 })).unwrap();
     let mut frame = vec![0; 4 + body.len() + 16];
     far.read_exact(&mut frame).await.unwrap();
     let length = (body.len() as u32 + 16).to_be_bytes();
     assert_eq!(frame, [&length[..], &body, &code("dialler", &body)].concat());
     far.write_all(&[&length[..], &body, &code("listener", &body)].concat()).await.unwrap();
-    assert_eq!(dialled.await.unwrap(), Packet::Word(Word::Vote { epoch: 300 }));
-    assert_eq!(VERSION, 2);
+    assert_eq!(connecting.await.unwrap(), Packet::Election(Word::Vote { epoch: 300 }));
+    assert_eq!(PROTOCOL_VERSION, 2);
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Several controllers that follow each other, and the ways between them.
 
 use crate::host::PlannerHost;
-use grebespool_cluster::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
+use grebespool_cluster::{Keys, Request, Response, Store, fleet_id, initial_roster, seat_id, send_request};
 use grebespool_settings::{Deployment, ListSource, member_text};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -94,9 +94,9 @@
         while let Some(leading) = leading.upgrade() {
             for (i, address) in at.iter().enumerate() {
                 let address = address.to_string();
-                let asked = ask(&address, fleet_id("fleet"), keys, Question::Show);
+                let asked = send_request(&address, fleet_id("fleet"), keys, Request::ShowMember);
                 let answer = tokio::time::timeout(Duration::from_millis(200), asked).await;
-                if let Ok(Ok(Answer::Status { standing, .. })) = answer
+                if let Ok(Ok(Response::Status { standing, .. })) = answer
                     && standing == "leads"
                 {
                     *leading.lock().unwrap_or_else(PoisonError::into_inner) = Some(i);
@@ -216,7 +216,7 @@
             std::fs::write(&controller.settings, text)?;
             let fleet = fleet_id("fleet");
             let all = between.iter().enumerate().map(|(n, at)| (format!("m{n}"), at.to_string()));
-            let roster = first_roster(fleet, all);
+            let roster = initial_roster(fleet, all);
             Store::form(&state, fleet, seat_id(fleet, &name), roster).map_err(io::Error::other)?;
         }
         let keys = Keys::read(key_file)?;
--- a/crates/scale-bench/src/hollow/fleet.rs
+++ b/crates/scale-bench/src/hollow/fleet.rs
@@ -4,7 +4,7 @@
 use super::planner::{Component, Disk, Outbox, Planner, Timing, Written};
 use super::traffic::{Packets, Traffic, TrafficClass};
 use crate::resources::timed;
-use grebespool_cluster::seal::Packet;
+use grebespool_cluster::transport::Packet;
 use grebespool_config_consensus::{ActiveVersions, Change, Limit, ProposalId, ProposalOutcome, ServerState};
 use grebespool_leader_election::{Id, Seat};
 use rand::{Rng, SeedableRng};
--- a/crates/scale-bench/src/hollow/planner.rs
+++ b/crates/scale-bench/src/hollow/planner.rs
@@ -1,7 +1,7 @@
 //! One hollow planner: three state machines, joined as `grebespool-cluster` joins them on sockets.
 
 use crate::resources::timed;
-use grebespool_cluster::seal::Packet;
+use grebespool_cluster::transport::Packet;
 use grebespool_config_consensus as consensus;
 use grebespool_leader_election::{self as election, Id, Seat};
 use grebespool_singleton_tasks::{self as tasks, Cell, Duties, Duty, Lost, Record, Rows, Tally, Token};
@@ -90,7 +90,7 @@
         self.0.outbox.writes.push(Written::Election(kept.clone()));
     }
     fn say(&mut self, to: Id, word: election::Word) {
-        self.0.outbox.packets.push((to, Packet::Word(word)));
+        self.0.outbox.packets.push((to, Packet::Election(word)));
     }
     fn lead(&mut self, _: u64) {}
     fn stand_down(&mut self, _: u64, _: election::Why) {}
@@ -99,7 +99,7 @@
 
 impl tasks::Host for Host {
     fn say(&mut self, to: Id, word: tasks::Word) {
-        self.0.outbox.packets.push((to, Packet::Duty(word)));
+        self.0.outbox.packets.push((to, Packet::Task(word)));
     }
     fn keep(&mut self, duty: Duty, cell: &Cell, stamp: u64) {
         self.0.cells.insert(duty, cell.clone());
@@ -127,7 +127,7 @@
 
 impl consensus::Host for Host {
     fn send(&mut self, to: Id, message: consensus::Message) {
-        self.0.outbox.packets.push((to, Packet::Accord(message)));
+        self.0.outbox.packets.push((to, Packet::Configuration(message)));
     }
     fn persist(&mut self, state: &consensus::StoredState, stamp: u64) {
         self.0.outbox.writes.push(Written::Configuration(Box::new(state.clone()), stamp));
@@ -280,9 +280,9 @@
     /// A packet came from another planner.
     pub fn heard(&mut self, now: Duration, from: Id, packet: Packet) {
         match packet {
-            Packet::Word(word) => self.call_election(now, |member| member.heard(now, from, word)),
-            Packet::Duty(word) => self.call_tasks(now, Box::new(|tasks| tasks.heard(now, from, word))),
-            Packet::Accord(message) => {
+            Packet::Election(word) => self.call_election(now, |member| member.heard(now, from, word)),
+            Packet::Task(word) => self.call_tasks(now, Box::new(|tasks| tasks.heard(now, from, word))),
+            Packet::Configuration(message) => {
                 self.call_consensus(now, Box::new(|node| node.message_received(now, from, message)))
             }
             _ => {}
--- a/crates/scale-bench/src/hollow/traffic.rs
+++ b/crates/scale-bench/src/hollow/traffic.rs
@@ -1,6 +1,6 @@
 //! Messages and bytes by type and direction.
 
-use grebespool_cluster::seal::Packet;
+use grebespool_cluster::transport::Packet;
 use std::collections::BTreeMap;
 
 /// Bytes that a frame costs beyond its body on a sealed stream: its length, and the message authentication code.
@@ -41,17 +41,17 @@
         use grebespool_config_consensus::Message as Consensus;
         use grebespool_singleton_tasks::Word as Tasks;
         match packet {
-            Packet::Duty(
+            Packet::Task(
                 Tasks::Open { .. } | Tasks::Opened { .. } | Tasks::Write { .. } | Tasks::Written { .. },
             ) => TrafficClass::Journal,
-            Packet::Duty(_) => TrafficClass::TaskLeases,
-            Packet::Accord(
+            Packet::Task(_) => TrafficClass::TaskLeases,
+            Packet::Configuration(
                 Consensus::Renew { .. } | Consensus::Renewed { .. } | Consensus::Announce { .. },
             ) => TrafficClass::ConfigurationLeases,
-            Packet::Accord(Consensus::FetchChunk { .. } | Consensus::Chunk(_)) => {
+            Packet::Configuration(Consensus::FetchChunk { .. } | Consensus::Chunk(_)) => {
                 TrafficClass::ConfigurationContent
             }
-            Packet::Accord(_) => TrafficClass::ConfigurationChanges,
+            Packet::Configuration(_) => TrafficClass::ConfigurationChanges,
             _ => TrafficClass::Election,
         }
     }
--- a/crates/scale-bench/src/process.rs
+++ b/crates/scale-bench/src/process.rs
@@ -1,7 +1,7 @@
 //! Real planners: the program as processes on loopback.
 
 use crate::resources::{ProcessUse, process_use};
-use grebespool_cluster::{Answer, Keys, LIMITS, Question, fleet_id};
+use grebespool_cluster::{Keys, LIMITS, Request, Response, fleet_id};
 use grebespool_config_consensus::{ActiveVersions, Change, Limit};
 use grebespool_test_cluster::{Discovery, Program, frame, server, settings};
 use serde_json::{Value, json};
@@ -311,7 +311,7 @@
         let pids: Vec<u32> = self.running.iter().map(Child::id).collect();
         let mut costs = measure(&pids, span)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let keys = Keys::read(&self.folder.path().join("members.key"))?;
+        let keys = Keys::read(&self.folder.path().join("members.key")).map_err(io::Error::from)?;
         for change in 0..CHANGES {
             costs.in_force.push(runtime.block_on(self.change(&keys, change))?);
         }
@@ -326,9 +326,11 @@
         let changes = vec![Change::Limit(LIMITS[1].into(), Some(reserve))];
         let before = self.acted_by(keys, 0).await?;
         let began = Instant::now();
-        let question = Question::Propose { changes, forced: false };
-        let answer = grebespool_cluster::ask(&self.addresses[0], fleet, keys, question).await?;
-        if let Answer::Refused(cause) = answer {
+        let request = Request::Propose { changes, forced: false };
+        let answer = grebespool_cluster::send_request(&self.addresses[0], fleet, keys, request)
+            .await
+            .map_err(io::Error::from)?;
+        if let Response::Rejected(cause) = answer {
             return Err(Unmeasured::Planner { planner: 0, cause });
         }
         for member in 0..self.addresses.len() {
@@ -346,9 +348,16 @@
     /// The number of the configuration that a member acts by alone; zero where it acts by none or by two.
     async fn acted_by(&self, keys: &Keys, member: usize) -> io::Result<u64> {
         let fleet = fleet_id(FLEET);
-        match grebespool_cluster::ask(&self.addresses[member], fleet, keys, Question::Editions).await? {
-            Answer::Editions(shown) => {
-                Ok(if let ActiveVersions::Single(number) = shown.acts { number } else { 0 })
+        match grebespool_cluster::send_request(
+            &self.addresses[member],
+            fleet,
+            keys,
+            Request::ShowConfiguration,
+        )
+        .await?
+        {
+            Response::Configuration(shown) => {
+                Ok(if let ActiveVersions::Single(number) = shown.active { number } else { 0 })
             }
             _ => Ok(0),
         }
