--- a/crates/cluster/src/commands/election.rs
+++ b/crates/cluster/src/commands/election.rs
@@ -2,23 +2,23 @@
 
 use super::{MemberStatus, Response};
 use crate::core::Core;
-use grebespool_leader_election::{Id, Refused, Seat, Standing};
+use grebespool_leader_election::{MemberId, MemberRole, MembershipError, Voter};
 
 /// The state of this member and its election.
 pub(super) fn show(core: &Core) -> Response {
     let now = core.now();
     let status = core.election.borrow().status(now);
-    let (standing, leader) = match status.standing {
-        Standing::Leads => ("leads", Some(core.endpoint.name.clone())),
-        Standing::Follows(id) => ("follows", Some(core.member_name(id))),
-        Standing::Alone => ("alone", None),
-        Standing::Mute => ("mute", None),
+    let (standing, leader) = match status.role {
+        MemberRole::Leader => ("leads", Some(core.endpoint.name.clone())),
+        MemberRole::Follower(id) => ("follows", Some(core.member_name(id))),
+        MemberRole::NoLeader => ("alone", None),
+        MemberRole::NonVoting => ("mute", None),
     };
-    let member = |(id, seat): (&Id, &Seat)| MemberStatus {
-        name: seat.name.clone(),
-        address: seat.address.clone(),
+    let member = |(id, voter): (&MemberId, &Voter)| MemberStatus {
+        name: voter.name.clone(),
+        address: voter.address.clone(),
         id: *id,
-        missing: status.missing.contains(id),
+        missing: status.unreachable.contains(id),
     };
     let snapshot = core.snapshot.borrow().as_ref().map(|known| {
         let (term, number) = known.snapshot.order();
@@ -28,11 +28,11 @@
         name: core.endpoint.name.clone(),
         standing: standing.into(),
         leader,
-        term: status.epoch,
+        term: status.term,
         since_ms: now.saturating_sub(status.since).as_millis() as u64,
-        stepped_down: status.stood_down.map(|why| why.to_string()),
-        members: status.roster.seats.iter().map(member).collect(),
-        settled: status.settled,
+        stepped_down: status.step_down_reason.map(|reason| reason.to_string()),
+        members: status.membership.voters.iter().map(member).collect(),
+        settled: status.membership_committed,
         snapshot,
         rejections: core.endpoint.rejections(),
     }
@@ -46,12 +46,12 @@
         Err(error) => return Response::Rejected(format!("{address}: {error}")),
     };
     let done = format!("{name} takes part");
-    respond(core.call_election(|election, now| election.add(now, id, Seat { name, address })), done)
+    respond(core.call_election(|election, now| election.add_voter(now, id, Voter { name, address })), done)
 }
 
 /// Removes a member.
 pub(super) fn remove(core: &Core, name: &str) -> Response {
-    let removed = core.call_election(|election, now| election.remove(now, name));
+    let removed = core.call_election(|election, now| election.remove_voter(now, name));
     respond(removed, format!("{name} takes no part any more"))
 }
 
@@ -60,7 +60,7 @@
     respond(core.call_election(|election, now| election.step_down(now)), "it stands down".into())
 }
 
-fn respond(result: Result<(), Refused>, done: String) -> Response {
+fn respond(result: Result<(), MembershipError>, done: String) -> Response {
     match result {
         Ok(()) => Response::Done(done),
         Err(refused) => Response::Rejected(refused.to_string()),
--- a/crates/cluster/src/commands/mod.rs
+++ b/crates/cluster/src/commands/mod.rs
@@ -101,7 +101,7 @@
     pub response: oneshot::Sender<Response>,
 }
 
-/// A member of the roster, as another member sees it.
+/// A member of the membership, as another member sees it.
 // on the wire, and JSON: do not rename keys, do not reorder
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
@@ -132,12 +132,12 @@
         term: u64,
         /// Since when it has this standing, in milliseconds.
         since_ms: u64,
-        /// Why it stepped down last.
+        /// StepDownReason it stepped down last.
         #[serde(rename = "stood_down")]
         stepped_down: Option<String>,
-        /// The members of the roster.
+        /// The members of the membership.
         members: Vec<MemberStatus>,
-        /// Whether a quorum has the roster.
+        /// Whether a quorum has the membership.
         settled: bool,
         /// The newest leader's snapshot on this member's disk: term, number, and age in milliseconds.
         #[serde(rename = "memory")]
--- a/crates/cluster/src/commands/tasks.rs
+++ b/crates/cluster/src/commands/tasks.rs
@@ -3,12 +3,12 @@
 use super::{Response, TaskOrder};
 use crate::core::Core;
 use crate::task_host::{TaskHost, TaskRecorder};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Duties, Duty, LateOwner, Refused, Shown};
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why an order is not carried out.
+/// StepDownReason an order is not carried out.
 #[derive(Debug, Error)]
 enum OrderError {
     #[error("no member {0:?}")]
@@ -94,10 +94,10 @@
     }
 }
 
-fn find_member(core: &Core, name: &str) -> Option<Id> {
+fn find_member(core: &Core, name: &str) -> Option<MemberId> {
     let election = core.election.borrow();
-    let mut seats = election.kept_state().roster.seats.iter();
-    seats.find(|(_, seat)| seat.name == name).map(|(id, _)| *id)
+    let mut voters = election.hard_state().membership.voters.iter();
+    voters.find(|(_, voter)| voter.name == name).map(|(id, _)| *id)
 }
 
 fn done_text(name: &str, order: &TaskOrder) -> String {
--- a/crates/cluster/src/configuration_host.rs
+++ b/crates/cluster/src/configuration_host.rs
@@ -5,7 +5,7 @@
     ActiveVersions, ConsensusNode, ConsensusSettings, Event, Host, Message, ProposalId, ProposalOutcome,
     StoredState,
 };
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
 /// What the configuration asks for during a call.
 #[derive(Default)]
 pub(crate) struct ConfigurationRequests {
-    pub outbox: Vec<(Id, Message)>,
+    pub outbox: Vec<(MemberId, Message)>,
     /// The newest state to be written, and its stamp.
     pub persist: Option<(StoredState, u64)>,
     pub journal_write: Option<JournalWrite>,
@@ -38,7 +38,7 @@
 pub(crate) struct ConfigurationRecorder(pub ConfigurationRequests);
 
 impl Host for ConfigurationRecorder {
-    fn send(&mut self, to: Id, message: Message) {
+    fn send(&mut self, to: MemberId, message: Message) {
         self.0.outbox.push((to, message));
     }
     fn persist(&mut self, state: &StoredState, stamp: u64) {
@@ -78,7 +78,7 @@
     /// The database cannot be read.
     pub(crate) fn open(
         store: &Store,
-        own: Id,
+        own: MemberId,
         start_count: u32,
         settings: ConsensusSettings,
     ) -> io::Result<ConfigurationHost> {
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -7,7 +7,7 @@
 use crate::peer_link::{EncodedSnapshot, PeerLink};
 use crate::snapshots::ReceivedSnapshot;
 use crate::task_host::TaskHost;
-use grebespool_leader_election::{Damaged, Id, Member as Election, Memory, Seat};
+use grebespool_leader_election::{Member as Election, MemberId, Snapshot, SnapshotError, Voter};
 use grebespool_singleton_tasks::Counts;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 
 /// A leader's snapshot, and when it was received.
 pub(crate) struct TimedSnapshot {
-    pub snapshot: Memory,
+    pub snapshot: Snapshot,
     pub received: Instant,
 }
 
@@ -36,8 +36,8 @@
     pub tasks: Option<TaskHost>,
     /// The shared configuration, where the settings name it.
     pub configuration: Option<ConfigurationHost>,
-    /// A link to each other member of the roster.
-    pub links: RefCell<BTreeMap<Id, PeerLink>>,
+    /// A link to each other member of the membership.
+    pub links: RefCell<BTreeMap<MemberId, PeerLink>>,
     /// The newest snapshot of a leader.
     pub snapshot: RefCell<Option<TimedSnapshot>>,
     /// Learnt weights of a snapshot lose their influence over this time.
@@ -52,29 +52,34 @@
         self.started.elapsed()
     }
 
-    /// The name of a member, or its id where it is not in the roster.
-    pub(crate) fn member_name(&self, id: Id) -> String {
+    /// The name of a member, or its id where it is not in the membership.
+    pub(crate) fn member_name(&self, id: MemberId) -> String {
         let election = self.election.borrow();
-        election.kept_state().roster.seats.get(&id).map_or(format!("{id:016x}"), |seat| seat.name.clone())
+        election
+            .hard_state()
+            .membership
+            .voters
+            .get(&id)
+            .map_or(format!("{id:016x}"), |voter| voter.name.clone())
     }
 
-    /// The ids of all members of the roster.
-    pub(crate) fn voters(&self) -> Vec<Id> {
-        self.election.borrow().kept_state().roster.seats.keys().copied().collect()
+    /// The ids of all members of the membership.
+    pub(crate) fn voters(&self) -> Vec<MemberId> {
+        self.election.borrow().hard_state().membership.voters.keys().copied().collect()
     }
 
-    /// Opens a link to each other member of the roster, and closes the links to members that are out of it.
+    /// Opens a link to each other member of the membership, and closes the links to members that are out of it.
     pub(crate) fn update_links(&self) {
-        let others: Vec<(Id, Seat)> = {
+        let others: Vec<(MemberId, Voter)> = {
             let election = self.election.borrow();
-            let kept = election.kept_state();
-            let others = kept.roster.seats.iter().filter(|(id, _)| **id != kept.id);
-            others.map(|(id, seat)| (*id, seat.clone())).collect()
+            let kept = election.hard_state();
+            let others = kept.membership.voters.iter().filter(|(id, _)| **id != kept.id);
+            others.map(|(id, voter)| (*id, voter.clone())).collect()
         };
         let mut links = self.links.borrow_mut();
         links.retain(|id, _| others.iter().any(|(other, _)| other == id));
-        for (id, seat) in others {
-            links.entry(id).or_insert_with(|| PeerLink::start(&self.endpoint, id, &seat));
+        for (id, voter) in others {
+            links.entry(id).or_insert_with(|| PeerLink::start(&self.endpoint, id, &voter));
         }
     }
 
@@ -90,8 +95,8 @@
     }
 
     /// Writes a snapshot of this leader, and sends it to all others.
-    pub(crate) fn publish_snapshot(&self, snapshot: &Memory) -> Result<(), Damaged> {
-        let (order, bytes) = (snapshot.order(), Rc::new(snapshot.bytes()?));
+    pub(crate) fn publish_snapshot(&self, snapshot: &Snapshot) -> Result<(), SnapshotError> {
+        let (order, bytes) = (snapshot.order(), Rc::new(snapshot.encode()?));
         self.election.borrow_mut().host().disk.write_snapshot(order, bytes.to_vec());
         *self.snapshot.borrow_mut() =
             Some(TimedSnapshot { snapshot: snapshot.clone(), received: Instant::now() });
@@ -102,10 +107,10 @@
     }
 
     /// The newest snapshot, as far as it still holds.
-    pub(crate) fn aged_snapshot(&self) -> Option<Box<Memory>> {
+    pub(crate) fn aged_snapshot(&self) -> Option<Box<Snapshot>> {
         let known = self.snapshot.borrow();
         let TimedSnapshot { snapshot, received } = known.as_ref()?;
-        Some(Box::new(snapshot.after(received.elapsed(), self.weights_lifetime)))
+        Some(Box::new(snapshot.aged(received.elapsed(), self.weights_lifetime)))
     }
 
     /// Counts requests of a zone and route in this period.
--- a/crates/cluster/src/dispatch.rs
+++ b/crates/cluster/src/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::transport::Packet;
 use crate::writer::CellWrite;
 use grebespool_config_consensus::ConsensusNode;
-use grebespool_leader_election::{Id, Member as Election};
+use grebespool_leader_election::{Member as Election, MemberId};
 use grebespool_singleton_tasks::{Duties, Duty, Token};
 use std::time::Duration;
 use tracing::info;
@@ -28,7 +28,7 @@
         let (returned, outbox, elected) = {
             let mut election = self.election.borrow_mut();
             let returned = call(&mut election, self.now());
-            self.endpoint.set_stamp(election.kept_state().stamp);
+            self.endpoint.set_stamp(election.hard_state().revision);
             let host = election.host();
             (returned, std::mem::take(&mut host.outbox), host.elected.take())
         };
@@ -57,8 +57,8 @@
     pub(crate) fn update_voters(&self) {
         let (voters, leader, until) = {
             let election = self.election.borrow();
-            let voters: Vec<Id> = election.kept_state().roster.seats.keys().copied().collect();
-            (voters, election.leader().map(|id| (election.epoch(), id)), election.leads_until())
+            let voters: Vec<MemberId> = election.hard_state().membership.voters.keys().copied().collect();
+            (voters, election.leader().map(|id| (election.term(), id)), election.lease_expires_at())
         };
         let configuration_voters = voters.clone();
         self.call_tasks(|tasks, now| tasks.roster(now, voters, leader, until));
@@ -133,7 +133,7 @@
         self.election.borrow_mut().host().disk.write_cells(writes, complete);
     }
 
-    fn send_task_packet(&self, to: Id, packet: Packet) {
+    fn send_task_packet(&self, to: MemberId, packet: Packet) {
         if let Some(link) = self.links.borrow().get(&to) {
             link.tasks.push(packet);
         }
--- a/crates/cluster/src/election_host.rs
+++ b/crates/cluster/src/election_host.rs
@@ -1,7 +1,9 @@
 //! What the leader election asks for during a call.
 
 use crate::writer::DiskWriter;
-use grebespool_leader_election::{Host, Id, Kept, Memory, Why, Word};
+use grebespool_leader_election::{
+    ElectionEvent, HardState, Host, MemberId, Message, Snapshot, StepDownReason,
+};
 use tokio::sync::watch;
 use tracing::{info, warn};
 
@@ -13,7 +15,7 @@
         /// The term.
         term: u64,
         /// The snapshot.
-        snapshot: Option<Box<Memory>>,
+        snapshot: Option<Box<Snapshot>>,
     },
     /// It follows, and orders nothing.
     Follower,
@@ -32,7 +34,7 @@
 /// Collects messages, and hands the rest on at once.
 pub(crate) struct ElectionHost {
     pub disk: DiskWriter,
-    pub outbox: Vec<(Id, Word)>,
+    pub outbox: Vec<(MemberId, Message)>,
     pub role: watch::Sender<Role>,
     /// The term in which this member was elected during the call.
     pub elected: Option<u64>,
@@ -45,21 +47,21 @@
 }
 
 impl Host for ElectionHost {
-    fn keep(&mut self, kept: &Kept) {
+    fn persist(&mut self, kept: &HardState) {
         self.disk.write_election(kept.clone());
     }
-    fn say(&mut self, to: Id, word: Word) {
-        self.outbox.push((to, word));
+    fn send(&mut self, to: MemberId, message: Message) {
+        self.outbox.push((to, message));
     }
-    fn lead(&mut self, epoch: u64) {
-        self.elected = Some(epoch);
+    fn become_leader(&mut self, term: u64) {
+        self.elected = Some(term);
     }
-    fn stand_down(&mut self, epoch: u64, why: Why) {
-        warn!(term = epoch, %why, "steps down as leader");
+    fn step_down(&mut self, term: u64, reason: StepDownReason) {
+        warn!(term, %reason, "steps down as leader");
         self.elected = None;
         self.role.send_replace(Role::Follower);
     }
-    fn note(&mut self, text: &str) {
-        info!("{text}");
+    fn log(&mut self, event: ElectionEvent) {
+        info!("{event}");
     }
 }
--- a/crates/cluster/src/endpoint.rs
+++ b/crates/cluster/src/endpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::keys::{KeyFile, Keys};
 use crate::transport::{AuthenticatedStream, Identity, TransportError};
-use grebespool_leader_election::{Id, Seat};
+use grebespool_leader_election::{MemberId, Voter};
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -57,10 +57,10 @@
     /// Opens a stream to the member with this id; anybody else at its address is rejected.
     pub(crate) async fn connect_to(
         &self,
-        id: Id,
-        seat: &Seat,
+        id: MemberId,
+        voter: &Voter,
     ) -> Result<AuthenticatedStream<TcpStream>, TransportError> {
-        let (stream, name) = self.connect(&seat.address).await?;
+        let (stream, name) = self.connect(&voter.address).await?;
         if stream.peer != id {
             return Err(TransportError::OtherMember { name, found: stream.peer, expected: id });
         }
--- a/crates/cluster/src/ids.rs
+++ b/crates/cluster/src/ids.rs
@@ -1,6 +1,6 @@
 //! Ids that are derived from names.
 
-use grebespool_leader_election::{Id, Roster, Seat};
+use grebespool_leader_election::{MemberId, Membership, MembershipVersion, Voter};
 
 // Ids are stored and on the wire: do not rename these contexts.
 const FLEET_CONTEXT: &str = "grebespool 2026 fleet";
@@ -13,7 +13,7 @@
 }
 
 /// The id of a member that the fleet was formed with.
-pub fn seat_id(fleet: u64, name: &str) -> Id {
+pub fn voter_id(fleet: u64, name: &str) -> MemberId {
     let mut bytes = fleet.to_be_bytes().to_vec();
     bytes.extend_from_slice(name.as_bytes());
     derive_id(SEAT_CONTEXT, &bytes)
@@ -24,10 +24,11 @@
     derive_id(TASK_NAMES_CONTEXT, names.join("\n").as_bytes())
 }
 
-/// The roster of a new fleet, of members by name and address.
-pub fn initial_roster(fleet: u64, members: impl IntoIterator<Item = (String, String)>) -> Roster {
-    let seat = |(name, address): (String, String)| (seat_id(fleet, &name), Seat { name, address });
-    Roster { epoch: 0, number: 0, seats: members.into_iter().map(seat).collect() }
+/// The membership of a new fleet, of members by name and address.
+pub fn initial_membership(fleet: u64, members: impl IntoIterator<Item = (String, String)>) -> Membership {
+    let voter = |(name, address): (String, String)| (voter_id(fleet, &name), Voter { name, address });
+    let voters = members.into_iter().map(voter).collect();
+    Membership { version: MembershipVersion::default(), voters }
 }
 
 fn derive_id(context: &str, bytes: &[u8]) -> u64 {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -32,7 +32,7 @@
 };
 pub use configuration_host::LIMITS;
 pub use election_host::Role;
-pub use ids::{fleet_id, initial_roster, seat_id};
+pub use ids::{fleet_id, initial_membership, voter_id};
 pub use keys::{KeyFileError, Keys};
 pub use member::{Member, MemberConfig, StartError, run_member};
 pub use store::{RecordError, Store, StoreError, StoredCells};
--- a/crates/cluster/src/listener.rs
+++ b/crates/cluster/src/listener.rs
@@ -70,7 +70,8 @@
     let mut stream = AuthenticatedStream::accept(stream, endpoint.identity, &endpoint.keys()).await?;
     let peer = stream.receive_introduction().await?;
     if stream.peer != OPERATOR
-        && let Err(refused) = core.call_election(|election, _| election.met(stream.peer, peer.stamp))
+        && let Err(refused) =
+            core.call_election(|election, _| election.peer_connected(stream.peer, peer.stamp))
     {
         let reason = refused.to_string();
         stream.send(&Packet::Rejected(reason.clone())).await?;
@@ -88,7 +89,7 @@
     assembly: &mut SnapshotAssembly,
 ) -> Result<(), TransportError> {
     match packet {
-        Packet::Election(message) => core.call_election(|election, now| election.heard(now, from, message)),
+        Packet::Election(message) => core.call_election(|election, now| election.receive(now, from, message)),
         Packet::Task(message) => {
             core.call_tasks(|tasks, now| tasks.heard(now, from, message));
         }
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -12,7 +12,7 @@
 use crate::task_host::{TaskHost, TaskSettings};
 use crate::transport::Identity;
 use crate::writer::{DiskWriter, WriteResult};
-use grebespool_leader_election::{Damaged, Kept, Member as Election, Memory, Terms};
+use grebespool_leader_election::{HardState, LeaseParameters, Member as Election, Snapshot, SnapshotError};
 use grebespool_singleton_tasks::Counts;
 use std::cell::RefCell;
 use std::io;
@@ -41,9 +41,9 @@
     /// Its state folder.
     pub store: Store,
     /// The state of the election that was stored there.
-    pub kept: Kept,
+    pub kept: HardState,
     /// Leases of the election.
-    pub election: Terms,
+    pub election: LeaseParameters,
     /// The file of the keys that members share.
     pub key_file: PathBuf,
     /// Learnt weights of a snapshot lose their influence over this time.
@@ -52,7 +52,7 @@
     pub tasks: Option<TaskSettings>,
 }
 
-/// Why a member cannot be started.
+/// StepDownReason a member cannot be started.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The key file cannot be used.
@@ -60,7 +60,7 @@
     Keys {
         /// The file.
         path: String,
-        /// Why.
+        /// StepDownReason.
         source: KeyFileError,
     },
     /// The snapshots on disk cannot be read.
@@ -82,12 +82,12 @@
     /// Whether an order of this term may leave at this very moment.
     pub fn may_order(&self, term: u64) -> bool {
         let election = self.0.election.borrow();
-        election.epoch() == term && election.may_order(self.0.now())
+        election.term() == term && election.holds_lease(self.0.now())
     }
 
     /// A proxy has orders of this term.
     pub fn term_seen(&self, term: u64) {
-        self.0.call_election(|election, now| election.passed_over(now, term));
+        self.0.call_election(|election, now| election.higher_term_seen(now, term));
     }
 
     /// Receives requests on sites from now on, until the receiver is dropped.
@@ -105,8 +105,8 @@
     /// The leader's name, where one is known.
     pub fn leader(&self) -> Option<String> {
         let election = self.0.election.borrow();
-        let seats = &election.kept_state().roster.seats;
-        election.leader().and_then(|id| seats.get(&id).map(|seat| seat.name.clone()))
+        let voters = &election.hard_state().membership.voters;
+        election.leader().and_then(|id| voters.get(&id).map(|voter| voter.name.clone()))
     }
 
     /// Writes a snapshot of this leader, and sends it to all others.
@@ -114,7 +114,7 @@
     /// # Errors
     ///
     /// It is too large.
-    pub fn publish_snapshot(&self, snapshot: &Memory) -> Result<(), Damaged> {
+    pub fn publish_snapshot(&self, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         self.0.publish_snapshot(snapshot)
     }
 }
@@ -155,9 +155,9 @@
     let snapshot = read_snapshot(&store, weights_lifetime)?;
     let (tasks, configuration) = open_tasks(&store, kept.id, tasks)?;
     let identity = Identity { fleet: kept.fleet, id: kept.id };
-    let endpoint = Rc::new(LocalEndpoint::new(identity, &name, keys, kept.stamp));
+    let endpoint = Rc::new(LocalEndpoint::new(identity, &name, keys, kept.revision));
     let host = ElectionHost::new(DiskWriter::start(&Arc::new(store), write_results), role);
-    let election = Election::start(host, kept, election, rand::random(), Duration::ZERO);
+    let election = Election::new(host, kept, election, rand::random(), Duration::ZERO);
     let core = Core {
         started: Instant::now(),
         endpoint,
@@ -176,10 +176,10 @@
 /// The newest snapshot on disk. Its age is not known, so only what no time makes untrue is taken of it.
 fn read_snapshot(store: &Store, weights_lifetime: Duration) -> Result<Option<TimedSnapshot>, StartError> {
     let on_damaged =
-        |order: (u64, u64), error: Damaged| warn!(?order, %error, "sets a damaged snapshot aside");
+        |order: (u64, u64), error: SnapshotError| warn!(?order, %error, "sets a damaged snapshot aside");
     let snapshot = store.read_snapshot(on_damaged).map_err(StartError::Snapshot)?;
     Ok(snapshot.map(|snapshot| TimedSnapshot {
-        snapshot: snapshot.after(weights_lifetime, weights_lifetime),
+        snapshot: snapshot.aged(weights_lifetime, weights_lifetime),
         received: Instant::now(),
     }))
 }
@@ -220,9 +220,9 @@
 
 async fn election_timer(core: Rc<Core>) {
     loop {
-        let deadline = core.election.borrow().due();
+        let deadline = core.election.borrow().next_deadline();
         if wait_for_timer(&core, deadline, &core.election_timer).await {
-            core.call_election(|election, now| election.woken(now));
+            core.call_election(|election, now| election.timer_fired(now));
         }
     }
 }
@@ -257,10 +257,12 @@
             WriteResult::Versions(stamp) => {
                 core.call_configuration(|node, now| node.persisted(now, stamp));
             }
-            WriteResult::Election(stamp) => core.call_election(|election, now| election.kept(now, stamp)),
+            WriteResult::Election(stamp) => {
+                core.call_election(|election, now| election.persisted(now, stamp))
+            }
             WriteResult::ElectionFailed(error) => {
                 warn!(%error, "cannot write the election state; neither voting nor leading until it is written");
-                core.call_election(|election, now| election.disk_failed(now));
+                core.call_election(|election, now| election.storage_failed(now));
             }
         }
     }
--- a/crates/cluster/src/peer_link.rs
+++ b/crates/cluster/src/peer_link.rs
@@ -3,7 +3,7 @@
 
 use crate::endpoint::LocalEndpoint;
 use crate::transport::{Packet, TransportError};
-use grebespool_leader_election::{Id, Seat};
+use grebespool_leader_election::{MemberId, Voter};
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -51,10 +51,10 @@
 
 impl PeerLink {
     /// Starts the link's loops on the current `LocalSet`.
-    pub(crate) fn start(endpoint: &Rc<LocalEndpoint>, id: Id, seat: &Seat) -> PeerLink {
+    pub(crate) fn start(endpoint: &Rc<LocalEndpoint>, id: MemberId, voter: &Voter) -> PeerLink {
         let (election, tasks) = (SendQueue::new(MAX_ELECTION_PACKETS), SendQueue::new(MAX_TASK_PACKETS));
         let snapshots = Rc::new(SnapshotSlot::default());
-        let peer = Peer { endpoint: endpoint.clone(), id, seat: seat.clone() };
+        let peer = Peer { endpoint: endpoint.clone(), id, voter: voter.clone() };
         let loops = [
             spawn_local(send_loop(peer.clone(), election.clone())),
             spawn_local(send_loop(peer.clone(), tasks.clone())),
@@ -127,8 +127,8 @@
 #[derive(Clone)]
 struct Peer {
     endpoint: Rc<LocalEndpoint>,
-    id: Id,
-    seat: Seat,
+    id: MemberId,
+    voter: Voter,
 }
 
 /// Sends the packets of a queue, and connects again whenever the stream ends.
@@ -148,7 +148,7 @@
     queue: &SendQueue,
     last_error: &mut String,
 ) -> Result<(), TransportError> {
-    let mut stream = peer.endpoint.connect_to(peer.id, &peer.seat).await?;
+    let mut stream = peer.endpoint.connect_to(peer.id, &peer.voter).await?;
     last_error.clear();
     loop {
         match queue.pop() {
@@ -165,9 +165,9 @@
         return;
     }
     if error.is_rejection() {
-        peer.endpoint.log_rejection(&peer.seat.name, error);
+        peer.endpoint.log_rejection(&peer.voter.name, error);
     } else {
-        info!(member = peer.seat.name, %error, "cannot reach a member");
+        info!(member = peer.voter.name, %error, "cannot reach a member");
     }
     *last_error = text;
 }
@@ -183,7 +183,7 @@
 }
 
 async fn send_snapshots_until_closed(peer: &Peer, slot: &SnapshotSlot) -> Result<(), TransportError> {
-    let mut stream = peer.endpoint.connect_to(peer.id, &peer.seat).await?;
+    let mut stream = peer.endpoint.connect_to(peer.id, &peer.voter).await?;
     loop {
         let Some(EncodedSnapshot { order, bytes }) = slot.take() else {
             slot.changed.notified().await;
--- a/crates/cluster/src/snapshots.rs
+++ b/crates/cluster/src/snapshots.rs
@@ -1,7 +1,7 @@
 //! A leader's snapshot, put together from its chunks.
 
 use crate::transport::TransportError;
-use grebespool_leader_election::{MOST_BYTES, Memory};
+use grebespool_leader_election::{MAX_SNAPSHOT_BYTES, Snapshot};
 
 /// One chunk of a snapshot.
 pub(crate) struct SnapshotChunk {
@@ -16,7 +16,7 @@
 
 /// A complete snapshot.
 pub(crate) struct ReceivedSnapshot {
-    pub snapshot: Memory,
+    pub snapshot: Snapshot,
     pub bytes: Vec<u8>,
 }
 
@@ -42,7 +42,7 @@
         let Some(incomplete) = self.0.as_mut().filter(expected) else {
             return Err(TransportError::Snapshot(format!("chunk {part} of a snapshot out of its order")));
         };
-        if incomplete.bytes.len() + bytes.len() > MOST_BYTES {
+        if incomplete.bytes.len() + bytes.len() > MAX_SNAPSHOT_BYTES {
             return Err(TransportError::Snapshot("a snapshot that is too large".into()));
         }
         incomplete.bytes.extend_from_slice(&bytes);
@@ -56,7 +56,7 @@
 }
 
 fn decode(order: (u64, u64), bytes: Vec<u8>) -> Result<ReceivedSnapshot, TransportError> {
-    match Memory::read(&bytes) {
+    match Snapshot::decode(&bytes) {
         Ok(snapshot) if snapshot.order() == order => Ok(ReceivedSnapshot { snapshot, bytes }),
         Ok(_) => Err(TransportError::Snapshot("a snapshot under another's number".into())),
         Err(error) => Err(TransportError::Snapshot(format!("a damaged snapshot: {error}"))),
--- a/crates/cluster/src/store/election.rs
+++ b/crates/cluster/src/store/election.rs
@@ -2,7 +2,7 @@
 
 use super::checksum::{RecordError, decode, encode};
 use super::{Store, database};
-use grebespool_leader_election::{Damaged, Kept, Memory};
+use grebespool_leader_election::{HardState, Snapshot, SnapshotError};
 use redb::{ReadableTable, ReadableTableMetadata, TableDefinition, TableError};
 use std::io;
 
@@ -15,7 +15,7 @@
 const KEPT_SNAPSHOTS: usize = 2;
 
 impl Store {
-    pub(super) fn read_election(&self) -> Result<Kept, RecordError> {
+    pub(super) fn read_election(&self) -> Result<HardState, RecordError> {
         let read = database(self.state.begin_read())?;
         let table = database(read.open_table(STATE))?;
         let record = database(table.get(STATE_KEY))?.ok_or(RecordError::Missing)?;
@@ -27,7 +27,7 @@
     /// # Errors
     ///
     /// The database cannot be written.
-    pub fn write_election(&self, kept: &Kept) -> io::Result<()> {
+    pub fn write_election(&self, kept: &HardState) -> io::Result<()> {
         let write = database(self.state.begin_write())?;
         database(database(write.open_table(STATE))?.insert(STATE_KEY, encode(kept).as_slice()))?;
         database(write.commit())
@@ -54,15 +54,15 @@
         database(write.commit())
     }
 
-    /// Reads the newest snapshot that is not damaged. Damaged ones are reported and set aside.
+    /// Reads the newest snapshot that is not damaged. SnapshotError ones are reported and set aside.
     ///
     /// # Errors
     ///
     /// The database cannot be read or written.
     pub fn read_snapshot(
         &self,
-        mut on_damaged: impl FnMut((u64, u64), Damaged),
-    ) -> io::Result<Option<Memory>> {
+        mut on_damaged: impl FnMut((u64, u64), SnapshotError),
+    ) -> io::Result<Option<Snapshot>> {
         let write = database(self.snapshots.begin_write())?;
         let mut found = None;
         {
@@ -74,7 +74,7 @@
                 snapshots.push((order.value(), bytes.value().to_vec()));
             }
             for (order, bytes) in snapshots.into_iter().rev() {
-                match Memory::read(&bytes) {
+                match Snapshot::decode(&bytes) {
                     Ok(snapshot) => {
                         found = Some(snapshot);
                         break;
--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -8,7 +8,7 @@
 pub use checksum::RecordError;
 pub use tasks::StoredCells;
 
-use grebespool_leader_election::{Id, Kept, Roster};
+use grebespool_leader_election::{HardState, MemberId, Membership};
 use redb::{Database, TableDefinition};
 use std::io;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 const SNAPSHOT_FILE: &str = "memories.redb";
 const COUNTS: TableDefinition<&str, u64> = TableDefinition::new("counts");
 
-/// Why a state folder cannot be used.
+/// StepDownReason a state folder cannot be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// No state was formed in the folder.
@@ -36,7 +36,7 @@
     Open {
         /// The folder.
         path: String,
-        /// Why.
+        /// StepDownReason.
         source: Box<redb::DatabaseError>,
     },
     /// The folder is of another fleet.
@@ -54,7 +54,7 @@
     Damaged {
         /// The folder.
         path: String,
-        /// Why.
+        /// StepDownReason.
         source: RecordError,
     },
     /// The folder cannot be created.
@@ -62,7 +62,7 @@
     Io {
         /// The folder.
         path: String,
-        /// Why.
+        /// StepDownReason.
         source: io::Error,
     },
 }
@@ -82,21 +82,21 @@
 }
 
 impl Store {
-    /// Forms a folder's first state. `roster` is that of the whole fleet for a member that the fleet is formed with, and
+    /// Forms a folder's first state. `membership` is that of the whole fleet for a member that the fleet is formed with, and
     /// empty for one that is to be added.
     ///
     /// # Errors
     ///
     /// A state was formed there before, or the folder cannot be written.
-    pub fn form(folder: &Path, fleet: u64, id: Id, roster: Roster) -> Result<(), StoreError> {
+    pub fn form(folder: &Path, fleet: u64, id: MemberId, membership: Membership) -> Result<(), StoreError> {
         let path = folder.display().to_string();
         std::fs::create_dir_all(folder).map_err(|source| StoreError::Io { path: path.clone(), source })?;
         if folder.join(STATE_FILE).exists() {
             return Err(StoreError::AlreadyFormed(path));
         }
         let store = Self::open_databases(folder)?;
-        let complete = !roster.seats.is_empty();
-        let first = Kept { id, fleet, epoch: 0, vote: None, roster, stamp: 1 };
+        let complete = !membership.voters.is_empty();
+        let first = HardState { id, fleet, term: 0, voted_for: None, membership, revision: 1 };
         let written = store.write_election(&first).and_then(|()| store.write_cells(&[], Some(complete)));
         written.map_err(|error| StoreError::Damaged { path, source: RecordError::Database(error) })
     }
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// No state was formed there, another process has it open, it is of another fleet, or it cannot be read.
-    pub fn open(folder: &Path, fleet: u64) -> Result<(Store, Kept), StoreError> {
+    pub fn open(folder: &Path, fleet: u64) -> Result<(Store, HardState), StoreError> {
         let path = folder.display().to_string();
         if !folder.join(STATE_FILE).exists() {
             return Err(StoreError::NotFormed(path));
--- a/crates/cluster/src/store/tasks.rs
+++ b/crates/cluster/src/store/tasks.rs
@@ -43,7 +43,7 @@
         Ok(u32::try_from(starts).unwrap_or(u32::MAX))
     }
 
-    /// Reads the journal entries of the tasks of these names. Damaged ones are reported and set aside.
+    /// Reads the journal entries of the tasks of these names. SnapshotError ones are reported and set aside.
     ///
     /// # Errors
     ///
--- a/crates/cluster/src/task_host.rs
+++ b/crates/cluster/src/task_host.rs
@@ -3,7 +3,7 @@
 use crate::ids::task_names_id;
 use crate::store::Store;
 use grebespool_config_consensus::ConsensusSettings;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Cell, Duties, Duty, Host, Lost, Record, Rows, Terms, Token, Word};
 use std::cell::{Cell as Flag, RefCell};
 use std::collections::BTreeMap;
@@ -72,14 +72,14 @@
 
 /// Counts that a member reported, by period.
 pub(crate) struct CountReport {
-    pub member: Id,
+    pub member: MemberId,
     pub periods: Vec<(u64, Rows)>,
 }
 
 /// What tasks ask for during a call.
 #[derive(Default)]
 pub(crate) struct TaskRequests {
-    pub outbox: Vec<(Id, Word)>,
+    pub outbox: Vec<(MemberId, Word)>,
     pub writes: Vec<CellRequest>,
     /// The journal is complete now.
     pub complete: bool,
@@ -111,7 +111,7 @@
 }
 
 impl Host for TaskRecorder {
-    fn say(&mut self, to: Id, word: Word) {
+    fn say(&mut self, to: MemberId, word: Word) {
         self.requests.outbox.push((to, word));
     }
     fn keep(&mut self, duty: Duty, cell: &Cell, stamp: u64) {
@@ -133,7 +133,7 @@
     fn stands(&mut self, duty: Duty, token: Token, record: &Record) {
         self.step_durable(duty, token, Some(record.clone()), false);
     }
-    fn counted(&mut self, from: Id, periods: Vec<(u64, Rows)>) {
+    fn counted(&mut self, from: MemberId, periods: Vec<(u64, Rows)>) {
         self.requests.reports.push(CountReport { member: from, periods });
     }
     fn note(&mut self, text: &str) {
@@ -151,7 +151,7 @@
     /// A task may be continued, or counts were reported.
     pub progress: Notify,
     /// The counts of each member, by period, as it reported them last.
-    pub counts: RefCell<BTreeMap<Id, BTreeMap<u64, Rows>>>,
+    pub counts: RefCell<BTreeMap<MemberId, BTreeMap<u64, Rows>>>,
     /// Requests were counted since the counts were written.
     pub counted: Flag<bool>,
 }
@@ -164,7 +164,7 @@
     /// The database cannot be read or written.
     pub(crate) fn open(
         store: &Store,
-        own: Id,
+        own: MemberId,
         start_count: u32,
         settings: TaskSettings,
     ) -> io::Result<TaskHost> {
--- a/crates/cluster/src/transport/error.rs
+++ b/crates/cluster/src/transport/error.rs
@@ -1,12 +1,12 @@
-//! Why a stream between members fails.
+//! StepDownReason a stream between members fails.
 
 use super::PROTOCOL_VERSION;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use std::io;
 use thiserror::Error;
 use tokio::time::error::Elapsed;
 
-/// Why a stream between members fails.
+/// StepDownReason a stream between members fails.
 #[derive(Debug, Error)]
 pub enum TransportError {
     /// The connection failed, was closed, or took too long.
@@ -35,9 +35,9 @@
         /// The name of who is there.
         name: String,
         /// The id of who is there.
-        found: Id,
+        found: MemberId,
         /// The id that was expected.
-        expected: Id,
+        expected: MemberId,
     },
     /// The other side holds none of the keys.
     #[error("it holds none of the keys")]
--- a/crates/cluster/src/transport/handshake.rs
+++ b/crates/cluster/src/transport/handshake.rs
@@ -2,7 +2,7 @@
 
 use super::TransportError;
 use crate::keys::Keys;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use rand::RngCore;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
@@ -21,7 +21,7 @@
     /// Its fleet.
     pub fleet: u64,
     /// The member; 0 for an operator.
-    pub id: Id,
+    pub id: MemberId,
 }
 
 /// A side of a stream.
@@ -37,7 +37,7 @@
 pub(super) struct Hello {
     version: u16,
     fleet: u64,
-    pub id: Id,
+    pub id: MemberId,
     pub key_id: [u8; 8],
     nonce: [u8; 16],
 }
--- a/crates/cluster/src/transport/mod.rs
+++ b/crates/cluster/src/transport/mod.rs
@@ -13,7 +13,7 @@
 pub use packet::Packet;
 
 use crate::keys::Keys;
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use handshake::{Hello, Side, session_key};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
@@ -54,7 +54,7 @@
     sending: FrameAuthenticator,
     receiving: FrameAuthenticator,
     /// The member on the other side; 0 for an operator.
-    pub peer: Id,
+    pub peer: MemberId,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> AuthenticatedStream<S> {
--- a/crates/cluster/src/transport/packet.rs
+++ b/crates/cluster/src/transport/packet.rs
@@ -15,7 +15,7 @@
         stamp: u64,
     },
     /// A message of the leader election.
-    Election(grebespool_leader_election::Word),
+    Election(grebespool_leader_election::Message),
     /// A chunk of a leader's snapshot.
     SnapshotChunk {
         /// The leader's term and the snapshot's number.
@@ -31,7 +31,7 @@
     Request(Request),
     /// The response to it.
     Response(Response),
-    /// Why the sender closes the stream.
+    /// StepDownReason the sender closes the stream.
     Rejected(String),
     /// A message of singleton tasks.
     Task(grebespool_singleton_tasks::Word),
--- a/crates/cluster/src/writer.rs
+++ b/crates/cluster/src/writer.rs
@@ -2,7 +2,7 @@
 
 use crate::store::Store;
 use grebespool_config_consensus::StoredState;
-use grebespool_leader_election::Kept;
+use grebespool_leader_election::HardState;
 use grebespool_singleton_tasks::{Cell, Tally};
 use std::io;
 use std::sync::Arc;
@@ -54,7 +54,7 @@
 
 /// Hands writes to their threads, which end when this is dropped.
 pub(crate) struct DiskWriter {
-    election: Sender<Kept>,
+    election: Sender<HardState>,
     snapshots: Sender<SnapshotWrite>,
     cells: Sender<CellWrites>,
     tallies: Sender<Tally>,
@@ -74,7 +74,7 @@
     }
 
     /// Writes the state of the election.
-    pub(crate) fn write_election(&self, kept: Kept) {
+    pub(crate) fn write_election(&self, kept: HardState) {
         let _ = self.election.send(kept);
     }
 
@@ -115,7 +115,7 @@
     waiting.try_iter().last().unwrap_or(item)
 }
 
-fn write_election(store: &Store, waiting: &Receiver<Kept>, results: &UnboundedSender<WriteResult>) {
+fn write_election(store: &Store, waiting: &Receiver<HardState>, results: &UnboundedSender<WriteResult>) {
     while let Ok(kept) = waiting.recv() {
         let mut kept = newest(waiting, kept);
         let mut failed = false;
@@ -127,7 +127,7 @@
             thread::sleep(WRITE_RETRY_DELAY);
             kept = newest(waiting, kept);
         }
-        if results.send(WriteResult::Election(kept.stamp)).is_err() {
+        if results.send(WriteResult::Election(kept.revision)).is_err() {
             return;
         }
     }
--- a/crates/cluster/tests/cluster.rs
+++ b/crates/cluster/tests/cluster.rs
@@ -6,8 +6,8 @@
 use grebespool_cluster::transport::{
     AuthenticatedStream, Identity, PROTOCOL_VERSION, Packet, TransportError,
 };
-use grebespool_cluster::{Keys, Store, StoreError, fleet_id, seat_id};
-use grebespool_leader_election::{Kept, Memory, Roster, Seat, Word};
+use grebespool_cluster::{Keys, Store, StoreError, fleet_id, voter_id};
+use grebespool_leader_election::{HardState, Membership, MembershipVersion, Message, Snapshot, Voter};
 use rstest::rstest;
 use std::io::Write;
 use std::path::Path;
@@ -15,14 +15,14 @@
 
 const FLEET: u64 = 77;
 
-fn roster() -> Roster {
-    let seat = |n: u64| (n, Seat { name: format!("m{n}"), address: format!("127.0.0.1:{n}") });
-    Roster { epoch: 0, number: 0, seats: (1..=3).map(seat).collect() }
+fn membership() -> Membership {
+    let seat = |n: u64| (n, Voter { name: format!("m{n}"), address: format!("127.0.0.1:{n}") });
+    Membership { version: MembershipVersion::default(), voters: (1..=3).map(seat).collect() }
 }
 
 fn formed() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
-    Store::form(folder.path(), FLEET, 1, roster()).unwrap();
+    Store::form(folder.path(), FLEET, 1, membership()).unwrap();
     folder
 }
 
@@ -30,8 +30,8 @@
 fn finds_the_election_state_again() {
     let folder = formed();
     let (store, first) = Store::open(folder.path(), FLEET).unwrap();
-    assert_eq!((first.id, first.epoch, &first.roster), (1, 0, &roster()));
-    let voted = Kept { epoch: 4, vote: Some(3), stamp: 9, ..first };
+    assert_eq!((first.id, first.term, &first.membership), (1, 0, &membership()));
+    let voted = HardState { term: 4, voted_for: Some(3), revision: 9, ..first };
     store.write_election(&voted).unwrap();
     drop(store);
     assert_eq!(Store::open(folder.path(), FLEET).unwrap().1, voted);
@@ -49,7 +49,7 @@
     let empty = tempfile::tempdir().unwrap();
     assert!(matches!(Store::open(empty.path(), FLEET), Err(StoreError::NotFormed(_))));
     let folder = formed();
-    assert!(matches!(Store::form(folder.path(), FLEET, 1, roster()), Err(StoreError::AlreadyFormed(_))));
+    assert!(matches!(Store::form(folder.path(), FLEET, 1, membership()), Err(StoreError::AlreadyFormed(_))));
     assert!(matches!(
         Store::open(folder.path(), 78),
         Err(StoreError::OtherFleet { found: FLEET, expected: 78, .. })
@@ -65,8 +65,8 @@
     assert!(matches!(spoilt, Err(StoreError::Open { .. } | StoreError::Damaged { .. })), "{spoilt:?}");
 }
 
-fn snapshot(number: u64) -> Memory {
-    Memory { epoch: 3, number, list_version: number, ..Memory::default() }
+fn snapshot(number: u64) -> Snapshot {
+    Snapshot { term: 3, number, list_version: number, ..Snapshot::default() }
 }
 
 #[rstest]
@@ -76,10 +76,10 @@
     let none = |_, _| panic!("none is damaged");
     assert_eq!(store.read_snapshot(none).unwrap(), None);
     for number in 1..=4 {
-        store.write_snapshot((3, number), &snapshot(number).bytes().unwrap()).unwrap();
+        store.write_snapshot((3, number), &snapshot(number).encode().unwrap()).unwrap();
     }
     assert_eq!(store.read_snapshot(none).unwrap(), Some(snapshot(4)));
-    let mut torn = snapshot(5).bytes().unwrap();
+    let mut torn = snapshot(5).encode().unwrap();
     torn.truncate(torn.len() - 1);
     store.write_snapshot((3, 5), &torn).unwrap();
     let mut named = vec![];
@@ -90,8 +90,8 @@
 #[rstest]
 fn ids_differ_by_fleet_and_name() {
     assert_ne!(fleet_id("a"), fleet_id("b"));
-    assert_eq!(seat_id(fleet_id("a"), "m"), seat_id(fleet_id("a"), "m"));
-    assert_ne!(seat_id(fleet_id("a"), "m"), seat_id(fleet_id("b"), "m"));
+    assert_eq!(voter_id(fleet_id("a"), "m"), voter_id(fleet_id("a"), "m"));
+    assert_ne!(voter_id(fleet_id("a"), "m"), voter_id(fleet_id("b"), "m"));
 }
 
 const ONE: &str = "the first of the members' keys";
@@ -149,7 +149,11 @@
     let (mut a, mut b) = (a.unwrap(), b.unwrap());
     assert_eq!((a.peer, b.peer), (2, 1));
     for number in 0..3 {
-        let packet = Packet::Election(Word::Beat { epoch: 1, number, roster: (1, 0) });
+        let packet = Packet::Election(Message::Heartbeat {
+            term: 1,
+            number,
+            membership_version: MembershipVersion { term: 1, number: 0 },
+        });
         a.send(&packet).await.unwrap();
         assert_eq!(b.receive().await.unwrap(), packet);
     }
@@ -184,7 +188,7 @@
     tap_near.write_all(&hello).await.unwrap();
     let (mut a, mut b) = (connect.await.unwrap(), accept.await.unwrap());
     for epoch in 1..=3 {
-        a.send(&Packet::Election(Word::Vote { epoch })).await.unwrap();
+        a.send(&Packet::Election(Message::VoteGranted { term: epoch })).await.unwrap();
     }
     let mut bytes = vec![0; 4096];
     let count = tap_near.read(&mut bytes).await.unwrap();
@@ -199,7 +203,7 @@
 }
 
 fn votes(received: &[Result<Packet, TransportError>]) -> usize {
-    received.iter().take_while(|p| matches!(p, Ok(Packet::Election(Word::Vote { .. })))).count()
+    received.iter().take_while(|p| matches!(p, Ok(Packet::Election(Message::VoteGranted { .. })))).count()
 }
 
 #[rstest]
--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -7,13 +7,16 @@
 use grebespool_cluster::transport::{AuthenticatedStream, Identity, PROTOCOL_VERSION, Packet};
 use grebespool_cluster::{
     AccountAudit, ConfigurationStatus, Keys, MemberStatus, Request, Response, Store, StoredCells, TaskOrder,
-    audit_accounts, fleet_id, initial_roster, seat_id,
+    audit_accounts, fleet_id, initial_membership, voter_id,
 };
 use grebespool_config_consensus::{
     ActiveVersions, Change, ConfigVersion, Configuration, EffectiveConfiguration, Limit, Message, Rack,
     Renewal, Route, Server, ServerState, StoredState,
 };
-use grebespool_leader_election::{Drain, Held, Kept, Listed, Memory, Phase, Roster, Seat, Weight, Word};
+use grebespool_leader_election::{
+    AppliedOrders, EndpointPhase, EndpointRecord, HardState, KnownDrain, LearnedWeight, Membership,
+    MembershipVersion, Message as ElectionMessage, PoolRecord, ProxyBinding, Snapshot, Voter,
+};
 use grebespool_singleton_tasks::{Cell, Counts, Record, Tally, Token};
 use redb::{Database, ReadableTable, TableDefinition};
 use rstest::rstest;
@@ -55,9 +58,9 @@
     Token { epoch: 3, number: 300 }
 }
 
-fn roster() -> Roster {
+fn membership() -> Membership {
     let members = ["a", "b", "c"].map(|name| (name.to_string(), format!("{name}.example:7100")));
-    initial_roster(fleet_id(FLEET), members)
+    initial_membership(fleet_id(FLEET), members)
 }
 
 fn record(ended: bool) -> Record {
@@ -79,21 +82,26 @@
     tally
 }
 
-fn memory(number: u64) -> Memory {
+fn snapshot(number: u64) -> Snapshot {
     let addr = "10.0.0.1:8080".parse().unwrap();
-    let listed =
-        |number, phase| Listed { addr, number, zone: "north".into(), phase, started_ms: 1_700_000_000_000 };
-    Memory {
-        epoch: 3,
+    let listed = |number, phase| EndpointRecord {
+        addr,
+        number,
+        zone: "north".into(),
+        phase,
+        started_ms: 1_700_000_000_000,
+    };
+    Snapshot {
+        term: 3,
         number,
         list_version: 12,
         list_ms: 1_700_000_000_500,
-        list: vec![listed(1, Phase::Ready), listed(2, Phase::Draining)],
-        weights: vec![Weight { addr, number: 1, weight: 1.25 }],
-        drains: vec![Drain { addr, number: 2, known_for_ms: 900 }],
-        held: vec![Held { proxy: "p1".into(), seq: 77 }],
-        pools: vec![("north".into(), vec![0, 1])],
-        bound: vec![("p1".into(), 0)],
+        endpoints: vec![listed(1, EndpointPhase::Ready), listed(2, EndpointPhase::Draining)],
+        weights: vec![LearnedWeight { addr, number: 1, weight: 1.25 }],
+        drains: vec![KnownDrain { addr, number: 2, known_for_ms: 900 }],
+        applied_orders: vec![AppliedOrders { proxy: "p1".into(), sequence: 77 }],
+        pools: vec![PoolRecord { zone: "north".into(), endpoints: vec![0, 1] }],
+        bindings: vec![ProxyBinding { proxy: "p1".into(), pool: 0 }],
     }
 }
 
@@ -134,10 +142,10 @@
     StoredState { committed, pending, newest_token: token() }
 }
 
-fn kept() -> Kept {
-    let id = seat_id(fleet_id(FLEET), "a");
-    let vote = Some(seat_id(fleet_id(FLEET), "b"));
-    Kept { id, fleet: fleet_id(FLEET), epoch: 4, vote, roster: roster(), stamp: 9 }
+fn hard_state() -> HardState {
+    let id = voter_id(fleet_id(FLEET), "a");
+    let vote = Some(voter_id(fleet_id(FLEET), "b"));
+    HardState { id, fleet: fleet_id(FLEET), term: 4, voted_for: vote, membership: membership(), revision: 9 }
 }
 
 const DUTIES: [&str; 2] = ["accounts", "editions"];
@@ -226,14 +234,14 @@
 fn a_folder_is_written_to_the_same_tables_keys_and_bytes() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path();
-    Store::form(path, fleet_id(FLEET), seat_id(fleet_id(FLEET), "a"), roster()).unwrap();
+    Store::form(path, fleet_id(FLEET), voter_id(fleet_id(FLEET), "a"), membership()).unwrap();
     let (store, formed) = Store::open(path, fleet_id(FLEET)).unwrap();
-    assert_eq!(formed.roster, roster());
-    store.write_election(&kept()).unwrap();
-    store.write_snapshot((3, 1), &memory(1).bytes().unwrap()).unwrap();
-    store.write_snapshot((3, 2), &spoil(memory(2).bytes().unwrap())).unwrap();
-    assert_eq!(store.read_snapshot(|order, _| assert_eq!(order, (3, 2))).unwrap(), Some(memory(1)));
-    store.write_snapshot((3, 3), &memory(3).bytes().unwrap()).unwrap();
+    assert_eq!(formed.membership, membership());
+    store.write_election(&hard_state()).unwrap();
+    store.write_snapshot((3, 1), &snapshot(1).encode().unwrap()).unwrap();
+    store.write_snapshot((3, 2), &spoil(snapshot(2).encode().unwrap())).unwrap();
+    assert_eq!(store.read_snapshot(|order, _| assert_eq!(order, (3, 2))).unwrap(), Some(snapshot(1)));
+    store.write_snapshot((3, 3), &snapshot(3).encode().unwrap()).unwrap();
     let cells = DUTIES.map(|name| (name.to_string(), cell(name == "editions")));
     store.write_cells(&cells, Some(true)).unwrap();
     drop(store);
@@ -255,8 +263,8 @@
     let path = folder.path();
     restore(path, include_str!("fixtures/state-folder.txt"));
     let (store, found) = Store::open(path, fleet_id(FLEET)).unwrap();
-    assert_eq!(found, kept());
-    assert_eq!(store.read_snapshot(|order, _| panic!("{order:?} is damaged")).unwrap(), Some(memory(3)));
+    assert_eq!(found, hard_state());
+    assert_eq!(store.read_snapshot(|order, _| panic!("{order:?} is damaged")).unwrap(), Some(snapshot(3)));
     assert_eq!(store.damaged_snapshots().unwrap(), 1);
     let StoredCells { cells, complete } =
         store.read_cells(&duties(), |name, _| panic!("{name} is damaged")).unwrap();
@@ -286,7 +294,7 @@
     let second = keys.by_id(Keys::id_of(&second)).unwrap();
     let derived = [
         format!("fleet {:016x}", fleet_id(FLEET)),
-        format!("seat {:016x}", seat_id(fleet_id(FLEET), "a")),
+        format!("seat {:016x}", voter_id(fleet_id(FLEET), "a")),
         format!("first-key {}", to_hex(keys.first())),
         format!("first-hint {}", to_hex(&Keys::id_of(keys.first()))),
         format!("second-key {}", to_hex(second)),
@@ -396,23 +404,36 @@
     assert_json_fixture(include_str!("fixtures/answers.jsonl"), &responses());
 }
 
-fn election() -> Vec<(&'static str, Word)> {
-    let (epoch, number, version) = (4, 300, (3, 1));
+fn election() -> Vec<(&'static str, ElectionMessage)> {
+    let (epoch, number, version) = (4, 300, MembershipVersion { term: 3, number: 1 });
     vec![
-        ("canvass", Word::Canvass { epoch, roster: version }),
-        ("favour", Word::Favour { epoch }),
-        ("ask", Word::Ask { epoch, roster: version, yielded: true }),
-        ("vote", Word::Vote { epoch }),
-        ("beat", Word::Beat { epoch, number, roster: version }),
-        ("heard", Word::Heard { epoch, number, roster: version }),
-        ("newer", Word::Newer { epoch }),
-        ("seats", Word::Seats { epoch, roster: Roster { epoch: 3, number: 1, seats: seats() } }),
-        ("turn", Word::Turn { epoch }),
+        ("canvass", ElectionMessage::PreVoteRequest { term: epoch, membership_version: version }),
+        ("favour", ElectionMessage::PreVoteGranted { term: epoch }),
+        (
+            "ask",
+            ElectionMessage::VoteRequest {
+                term: epoch,
+                membership_version: version,
+                leadership_transfer: true,
+            },
+        ),
+        ("vote", ElectionMessage::VoteGranted { term: epoch }),
+        ("beat", ElectionMessage::Heartbeat { term: epoch, number, membership_version: version }),
+        ("heard", ElectionMessage::HeartbeatAck { term: epoch, number, membership_version: version }),
+        ("newer", ElectionMessage::NewerTerm { term: epoch }),
+        (
+            "seats",
+            ElectionMessage::MembershipUpdate {
+                term: epoch,
+                membership: Membership { version: MembershipVersion { term: 3, number: 1 }, voters: seats() },
+            },
+        ),
+        ("turn", ElectionMessage::TransferLeadership { term: epoch }),
     ]
 }
 
-fn seats() -> BTreeMap<u64, Seat> {
-    BTreeMap::from([(5, Seat { name: "a".into(), address: "a.example:7100".into() })])
+fn seats() -> BTreeMap<u64, Voter> {
+    BTreeMap::from([(5, Voter { name: "a".into(), address: "a.example:7100".into() })])
 }
 
 /// Of the kinds of messages of duties and editions, of which the packages that own them have all.
@@ -465,7 +486,7 @@
     let connecting = tokio::spawn(async move {
         let mut stream =
             AuthenticatedStream::connect(near, Identity { fleet: 0x0102, id: 0x0304 }, &keys).await.unwrap();
-        stream.send(&Packet::Election(Word::Vote { epoch: 300 })).await.unwrap();
+        stream.send(&Packet::Election(ElectionMessage::VoteGranted { term: 300 })).await.unwrap();
         stream.receive().await.unwrap()
     });
     let mut connecting_hello = [0; 46];
@@ -483,12 +504,12 @@
         frame.update(&0u64.to_be_bytes()).update(body);
         frame.finalize().as_bytes()[..16].to_vec()
     };
-    let body = postcard::to_stdvec(&Packet::Election(Word::Vote { epoch: 300 })).unwrap();
+    let body = postcard::to_stdvec(&Packet::Election(ElectionMessage::VoteGranted { term: 300 })).unwrap();
     let mut frame = vec![0; 4 + body.len() + 16];
     far.read_exact(&mut frame).await.unwrap();
     let length = (body.len() as u32 + 16).to_be_bytes();
     assert_eq!(frame, [&length[..], &body, &code("dialler", &body)].concat());
     far.write_all(&[&length[..], &body, &code("listener", &body)].concat()).await.unwrap();
-    assert_eq!(connecting.await.unwrap(), Packet::Election(Word::Vote { epoch: 300 }));
+    assert_eq!(connecting.await.unwrap(), Packet::Election(ElectionMessage::VoteGranted { term: 300 }));
     assert_eq!(PROTOCOL_VERSION, 2);
 }
--- a/crates/config-consensus/src/coordinator/recovery.rs
+++ b/crates/config-consensus/src/coordinator/recovery.rs
@@ -6,7 +6,7 @@
 use crate::message::{Chunk, VersionHeader};
 use crate::transfer::Download;
 use crate::version::{ConfigVersion, ContentHash, StoredState};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Record;
 
 /// A version that the journal describes and this member does not have.
@@ -79,7 +79,7 @@
     }
 
     /// A chunk was received, maybe of what is recovered.
-    pub(super) fn chunk_recovered(&mut self, cx: &mut Context<impl Host>, from: Id, chunk: &Chunk) {
+    pub(super) fn chunk_recovered(&mut self, cx: &mut Context<impl Host>, from: MemberId, chunk: &Chunk) {
         let Phase::Recovering(recovery) = &mut self.phase else { return };
         if recovery.download.hash != chunk.hash {
             return;
--- a/crates/config-consensus/src/settings.rs
+++ b/crates/config-consensus/src/settings.rs
@@ -1,6 +1,6 @@
 //! Settings that all members of a fleet must state alike.
 
-use grebespool_leader_election::outlasting;
+use grebespool_leader_election::drift_adjusted_wait;
 use std::time::Duration;
 
 /// Duration and renewal of the leases by which replicas apply versions.
@@ -18,7 +18,7 @@
     /// Time from answering a renewal after which that lease has expired by any clock within the drift: the longest that the
     /// activation of a durable version waits for an unreachable member (`agree.within`).
     pub fn expiry_bound(&self) -> Duration {
-        outlasting(self.duration, self.clock_drift)
+        drift_adjusted_wait(self.duration, self.clock_drift)
     }
 }
 
--- a/crates/config-consensus/tests/consensus/test_cluster/journal.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/journal.rs
@@ -2,7 +2,7 @@
 
 use super::network::InFlight;
 use super::{DisabledGuard, MS, TestCluster};
-use grebespool_leader_election::Id;
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Record, Token};
 use rand::Rng;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 impl TestCluster {
     /// The token by which a member owns the journal at this moment.
-    pub(super) fn owned_by(&self, id: Id) -> Option<Token> {
+    pub(super) fn owned_by(&self, id: MemberId) -> Option<Token> {
         let (owner, token) = self.owner?;
         let runs = self.now < self.owned_until || self.disabled == DisabledGuard::JournalOwnership;
         (owner == id && runs).then_some(token)
@@ -35,7 +35,7 @@
         self.grant_ownership();
     }
 
-    fn end_ownership(&mut self, id: Id) {
+    fn end_ownership(&mut self, id: MemberId) {
         if self.is_up(id) && self.disabled != DisabledGuard::JournalOwnership {
             self.call(id, |node, now| node.stop_coordinating(now));
         }
@@ -50,7 +50,8 @@
     }
 
     fn grant_ownership(&mut self) {
-        let candidates: Vec<Id> = self.nodes.keys().copied().filter(|id| self.has_quorum(*id)).collect();
+        let candidates: Vec<MemberId> =
+            self.nodes.keys().copied().filter(|id| self.has_quorum(*id)).collect();
         if candidates.is_empty() {
             return;
         }
@@ -69,11 +70,11 @@
     }
 
     /// Whether the journal takes a write of its owner now.
-    fn is_writable(&self, id: Id) -> bool {
+    fn is_writable(&self, id: MemberId) -> bool {
         self.now < self.owned_until && self.has_quorum(id)
     }
 
-    pub(super) fn deliver_journal_write(&mut self, id: Id, token: Token, content: Vec<u8>) {
+    pub(super) fn deliver_journal_write(&mut self, id: MemberId, token: Token, content: Vec<u8>) {
         if self.owner != Some((id, token)) {
             return;
         }
@@ -86,7 +87,7 @@
         }
     }
 
-    pub(super) fn deliver_journal_finish(&mut self, id: Id, token: Token) {
+    pub(super) fn deliver_journal_finish(&mut self, id: MemberId, token: Token) {
         if self.owner != Some((id, token)) {
             return;
         }
