--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,7 +1,9 @@
 //! Several controllers that follow each other, and the ways between them.
 
 use crate::host::PlannerHost;
-use grebespool_cluster::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
+use grebespool_cluster::{
+    Keys, Request, Response, Store, fleet_id, initial_membership, send_request, voter_id,
+};
 use grebespool_settings::{Deployment, ListSource, member_text};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -94,9 +96,9 @@
         while let Some(leading) = leading.upgrade() {
             for (i, address) in at.iter().enumerate() {
                 let address = address.to_string();
-                let asked = ask(&address, fleet_id("fleet"), keys, Question::Show);
+                let asked = send_request(&address, fleet_id("fleet"), keys, Request::ShowMember);
                 let answer = tokio::time::timeout(Duration::from_millis(200), asked).await;
-                if let Ok(Ok(Answer::Status { standing, .. })) = answer
+                if let Ok(Ok(Response::Status { standing, .. })) = answer
                     && standing == "leads"
                 {
                     *leading.lock().unwrap_or_else(PoisonError::into_inner) = Some(i);
@@ -216,8 +218,8 @@
             std::fs::write(&controller.settings, text)?;
             let fleet = fleet_id("fleet");
             let all = between.iter().enumerate().map(|(n, at)| (format!("m{n}"), at.to_string()));
-            let roster = first_roster(fleet, all);
-            Store::form(&state, fleet, seat_id(fleet, &name), roster).map_err(io::Error::other)?;
+            let roster = initial_membership(fleet, all);
+            Store::form(&state, fleet, voter_id(fleet, &name), roster).map_err(io::Error::other)?;
         }
         let keys = Keys::read(key_file)?;
         let (leading, over) = (Arc::downgrade(&self.leading), listens);
@@ -262,7 +264,7 @@
     }
 
     fn cut_off(&self, i: usize, cut: bool) {
-        let id = seat_id(fleet_id("fleet"), &format!("m{i}"));
+        let id = voter_id(fleet_id("fleet"), &format!("m{i}"));
         for (other, way) in self.ways.iter().enumerate() {
             let mut closed = way.closed.lock().unwrap_or_else(PoisonError::into_inner);
             // Nobody comes to it, and it comes to nobody.
