--- a/crates/scale-bench/src/process.rs
+++ b/crates/scale-bench/src/process.rs
@@ -1,9 +1,9 @@
 //! Real planners: the program as processes on loopback.
 
 use crate::resources::{ProcessUse, process_use};
-use grebespool_cluster::{Answer, Keys, LIMITS, Question, fleet_id};
+use grebespool_cluster::{Keys, LIMITS, Request, Response, fleet_id};
 use grebespool_config_consensus::{ActiveVersions, Change, Limit};
-use grebespool_test_cluster::{Discovery, Program, frame, server, settings};
+use grebespool_test_cluster::{Discovery, PlannerProcess, default_settings, encode_frame, endpoint};
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -96,7 +96,7 @@
     fn join(to: SocketAddr) -> io::Result<TableReader> {
         let mut socket = TcpStream::connect(to)?;
         let join = json!({"msg": "SUBSCRIBE", "node": 0, "locality": "north", "w": 1.0, "cold": true});
-        socket.write_all(&frame(&join))?;
+        socket.write_all(&encode_frame(&join))?;
         socket.set_nonblocking(true)?;
         Ok(TableReader { socket, unread: vec![] })
     }
@@ -125,7 +125,7 @@
             }
         }
         for mark in messages.iter().filter_map(|m| m.get("mark")) {
-            let _ = self.socket.write_all(&frame(&json!({"msg": "ACK", "node": 0, "mark": mark})));
+            let _ = self.socket.write_all(&encode_frame(&json!({"msg": "ACK", "node": 0, "mark": mark})));
         }
         Ok(messages)
     }
@@ -158,10 +158,10 @@
         return Err(Unmeasured::TooMany(planners));
     }
     let discovery = Discovery::new(servers);
-    let settings = settings();
+    let settings = default_settings();
     let path = program.display().to_string();
-    let programs: Vec<Program> =
-        (0..planners).map(|_| Program::start(&path, &discovery, 256, &settings)).collect();
+    let programs: Vec<PlannerProcess> =
+        (0..planners).map(|_| PlannerProcess::start(&path, &discovery, 256, &settings)).collect();
     let mut readers: Vec<TableReader> =
         programs.iter().map(|p| TableReader::join(p.listen)).collect::<Result<_, _>>()?;
     sleep(SETTLING);
@@ -173,7 +173,7 @@
     for k in 0..CHANGES {
         // Servers of the proxies' own zone, which all tables have.
         let number = 2 * k;
-        discovery.change(&[server(number, "DRAINING")]);
+        discovery.publish(&[endpoint(number, "DRAINING")]);
         costs.in_force.push(until_out(&mut readers, &format!("s{number}"))?);
         sleep(Duration::from_millis(500));
     }
@@ -311,7 +311,7 @@
         let pids: Vec<u32> = self.running.iter().map(Child::id).collect();
         let mut costs = measure(&pids, span)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let keys = Keys::read(&self.folder.path().join("members.key"))?;
+        let keys = Keys::read(&self.folder.path().join("members.key")).map_err(io::Error::from)?;
         for change in 0..CHANGES {
             costs.in_force.push(runtime.block_on(self.change(&keys, change))?);
         }
@@ -326,9 +326,11 @@
         let changes = vec![Change::Limit(LIMITS[1].into(), Some(reserve))];
         let before = self.acted_by(keys, 0).await?;
         let began = Instant::now();
-        let question = Question::Propose { changes, forced: false };
-        let answer = grebespool_cluster::ask(&self.addresses[0], fleet, keys, question).await?;
-        if let Answer::Refused(cause) = answer {
+        let request = Request::Propose { changes, forced: false };
+        let answer = grebespool_cluster::send_request(&self.addresses[0], fleet, keys, request)
+            .await
+            .map_err(io::Error::from)?;
+        if let Response::Rejected(cause) = answer {
             return Err(Unmeasured::Planner { planner: 0, cause });
         }
         for member in 0..self.addresses.len() {
@@ -346,9 +348,16 @@
     /// The number of the configuration that a member acts by alone; zero where it acts by none or by two.
     async fn acted_by(&self, keys: &Keys, member: usize) -> io::Result<u64> {
         let fleet = fleet_id(FLEET);
-        match grebespool_cluster::ask(&self.addresses[member], fleet, keys, Question::Editions).await? {
-            Answer::Editions(shown) => {
-                Ok(if let ActiveVersions::Single(number) = shown.acts { number } else { 0 })
+        match grebespool_cluster::send_request(
+            &self.addresses[member],
+            fleet,
+            keys,
+            Request::ShowConfiguration,
+        )
+        .await?
+        {
+            Response::Configuration(shown) => {
+                Ok(if let ActiveVersions::Single(number) = shown.active { number } else { 0 })
             }
             _ => Ok(0),
         }
