--- a/crates/config-consensus/src/coordinator/mod.rs
+++ b/crates/config-consensus/src/coordinator/mod.rs
@@ -7,9 +7,9 @@
 
 use crate::context::Context;
 use crate::host::Host;
-use crate::message::{Chunk, Message, Proposal, ProposalId, ProposalOutcome, VersionHeader};
+use crate::message::{Chunk, Message, Proposal, ProposalOutcome};
 use crate::settings::ConsensusSettings;
-use crate::version::{ConfigVersion, ContentHash, StoredState, VersionId};
+use crate::version::{ConfigVersion, ContentHash, ProposalId, StoredState, VersionHeader, VersionId};
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Record, Token};
 use leases::ReplicaLeases;
--- a/crates/config-consensus/src/coordinator/queue.rs
+++ b/crates/config-consensus/src/coordinator/queue.rs
@@ -3,9 +3,9 @@
 use crate::configuration::Change;
 use crate::context::Context;
 use crate::host::Host;
-use crate::message::{Chunk, Message, Proposal, ProposalBody, ProposalId, ProposalOutcome};
+use crate::message::{Chunk, Message, Proposal, ProposalBody, ProposalOutcome};
 use crate::transfer::Download;
-use crate::version::{ContentHash, DecidedProposals};
+use crate::version::{ContentHash, DecidedProposals, ProposalId};
 use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 
--- a/crates/config-consensus/src/coordinator/recovery.rs
+++ b/crates/config-consensus/src/coordinator/recovery.rs
@@ -3,9 +3,9 @@
 use super::{Coordinator, PendingVersion, Phase};
 use crate::context::Context;
 use crate::host::{Event, Host};
-use crate::message::{Chunk, VersionHeader};
+use crate::message::Chunk;
 use crate::transfer::Download;
-use crate::version::{ConfigVersion, ContentHash, StoredState};
+use crate::version::{ConfigVersion, ContentHash, StoredState, VersionHeader};
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Record;
 
--- a/crates/config-consensus/src/host.rs
+++ b/crates/config-consensus/src/host.rs
@@ -1,8 +1,8 @@
 //! The environment of a [`crate::ConsensusNode`]: network, disk, journal and log.
 
-use crate::message::{Message, ProposalId, ProposalOutcome};
-use crate::replica::ActiveVersions;
-use crate::version::{DecodeError, StoredState, VersionId};
+use crate::active_versions::ActiveVersions;
+use crate::message::{Message, ProposalOutcome};
+use crate::version::{DecodeError, ProposalId, StoredState, VersionId};
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use std::fmt;
--- a/crates/config-consensus/src/lib.rs
+++ b/crates/config-consensus/src/lib.rs
@@ -11,6 +11,7 @@
 //!
 //! It never elects the owner of the journal, and never waits for a member longer than that member's lease.
 
+mod active_versions;
 mod configuration;
 mod context;
 mod coordinator;
@@ -23,19 +24,18 @@
 mod transfer;
 mod version;
 
+pub use active_versions::ActiveVersions;
 pub use configuration::{
     Change, Configuration, EffectiveConfiguration, Limit, Rack, Route, Server, ServerState, ValidationError,
     validate,
 };
 pub use host::{Event, Host};
-pub use message::{
-    Chunk, Message, Proposal, ProposalBody, ProposalId, ProposalOutcome, Renewal, VersionHeader,
-};
+pub use message::{Chunk, Message, Proposal, ProposalBody, ProposalOutcome, Renewal};
 pub use node::{ConsensusNode, NodeStatus};
 pub use proposer::ProposeError;
-pub use replica::{ActiveVersions, CoordinatorRef};
+pub use replica::CoordinatorRef;
 pub use settings::{ConsensusSettings, LeaseParameters, ValidationRules};
 pub use version::{
-    ConfigVersion, ContentHash, DecidedProposals, DecodeError, MAX_VERSION_BYTES, StoredState, VersionBody,
-    VersionId,
+    ConfigVersion, ContentHash, DecidedProposals, DecodeError, MAX_VERSION_BYTES, ProposalId, StoredState,
+    VersionBody, VersionHeader, VersionId,
 };
--- a/crates/config-consensus/src/message.rs
+++ b/crates/config-consensus/src/message.rs
@@ -1,41 +1,13 @@
 //! Messages between members.
 
 use crate::configuration::Change;
-use crate::version::{ContentHash, DecidedProposals, VersionId};
-use grebespool_leader_election::MemberId;
+use crate::version::{ContentHash, ProposalId, VersionHeader, VersionId};
 use grebespool_singleton_tasks::Token;
 use serde::{Deserialize, Serialize};
-use std::collections::BTreeMap;
 
 /// Changes of up to so many encoded bytes travel in one message and in the journal's record; larger ones are fetched.
 pub(crate) const MAX_INLINE_BYTES: usize = 96 << 10;
 
-/// Identifies a proposal of one member; later proposals have higher ids, across restarts of the member.
-pub type ProposalId = u64;
-
-/// Describes a configuration version in the coordinator's journal, and announces it to replicas.
-// stored and on the wire: the order of fields is the format
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct VersionHeader {
-    /// Number of the version.
-    pub number: u64,
-    /// Hash of the version.
-    pub hash: ContentHash,
-    /// Hash of the version before it.
-    pub parent: ContentHash,
-    /// The changes that make the version from its parent, where they are small; otherwise the version is fetched.
-    pub changes: Option<Vec<Change>>,
-    /// Decisions on proposals that are part of the version, by proposer.
-    pub decided: BTreeMap<MemberId, DecidedProposals>,
-}
-
-impl VersionHeader {
-    /// The version that it describes.
-    pub fn id(&self) -> VersionId {
-        VersionId { number: self.number, hash: self.hash }
-    }
-}
-
 /// The changes of a proposal.
 // on the wire: the order of variants is the format
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
--- a/crates/config-consensus/src/node.rs
+++ b/crates/config-consensus/src/node.rs
@@ -1,15 +1,16 @@
 //! One member: replica, proposer, and coordinator while it owns the journal.
 
+use crate::active_versions::ActiveVersions;
 use crate::configuration::{Change, EffectiveConfiguration};
 use crate::context::{Context, Outgoing};
 use crate::coordinator::Coordinator;
 use crate::host::Host;
-use crate::message::{Message, ProposalId};
+use crate::message::Message;
 use crate::proposer::{ProposeError, Proposer};
-use crate::replica::{ActiveVersions, CoordinatorRef, Replica};
+use crate::replica::{CoordinatorRef, Replica};
 use crate::settings::ConsensusSettings;
 use crate::transfer::chunk_of;
-use crate::version::{ContentHash, StoredState, VersionId};
+use crate::version::{ContentHash, ProposalId, StoredState, VersionId};
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Record, Token};
 use std::collections::VecDeque;
--- a/crates/config-consensus/src/proposer.rs
+++ b/crates/config-consensus/src/proposer.rs
@@ -3,8 +3,8 @@
 use crate::configuration::{Change, EffectiveConfiguration};
 use crate::context::Context;
 use crate::host::Host;
-use crate::message::{MAX_INLINE_BYTES, Message, Proposal, ProposalBody, ProposalId};
-use crate::version::{ContentHash, MAX_VERSION_BYTES};
+use crate::message::{MAX_INLINE_BYTES, Message, Proposal, ProposalBody};
+use crate::version::{ContentHash, MAX_VERSION_BYTES, ProposalId};
 use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/config-consensus/src/replica/mod.rs
+++ b/crates/config-consensus/src/replica/mod.rs
@@ -3,50 +3,23 @@
 mod persistence;
 mod versions;
 
+use crate::active_versions::ActiveVersions;
 use crate::configuration::EffectiveConfiguration;
 use crate::context::Context;
 use crate::host::{Event, Host};
-use crate::message::{Message, Renewal, VersionHeader};
+use crate::message::{Message, Renewal};
 use crate::settings::LeaseParameters;
 use crate::transfer::Download;
-use crate::version::{ConfigVersion, ContentHash, StoredState, VersionId};
+use crate::version::{ConfigVersion, ContentHash, StoredState, VersionHeader, VersionId};
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use persistence::Persistence;
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::time::Duration;
 
 /// Renewals whose answers are still accepted.
 const MAX_UNANSWERED_RENEWALS: usize = 32;
 
-/// The versions that a member applies.
-// on the wire, and JSON for operators: do not rename
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ActiveVersions {
-    /// This version alone.
-    #[serde(rename = "Alone")]
-    Single(u64),
-    /// The intersection of the committed and the pending version.
-    #[serde(rename = "Both")]
-    Joint(u64, u64),
-    /// None, without a lease: published weights and known drains are kept, and nothing is raised or placed.
-    Unleased,
-}
-
-impl fmt::Display for ActiveVersions {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ActiveVersions::Single(number) => write!(f, "edition {number}"),
-            ActiveVersions::Joint(committed, pending) => {
-                write!(f, "editions {committed} and {pending}, the stricter of both")
-            }
-            ActiveVersions::Unleased => f.write_str("no edition: the lease ran out"),
-        }
-    }
-}
-
 /// A coordinator: the member, and its ownership of the journal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorRef {
--- a/crates/config-consensus/src/replica/versions.rs
+++ b/crates/config-consensus/src/replica/versions.rs
@@ -3,9 +3,9 @@
 use super::{CoordinatorRef, Missing, Replica};
 use crate::context::Context;
 use crate::host::{Event, Host};
-use crate::message::{Chunk, Message, VersionHeader};
+use crate::message::{Chunk, Message};
 use crate::transfer::Download;
-use crate::version::{ConfigVersion, VersionId};
+use crate::version::{ConfigVersion, VersionHeader, VersionId};
 
 impl Replica {
     /// Whether a message is of the newest coordinator; the journal's token fences older ones.
--- a/crates/config-consensus/src/version.rs
+++ b/crates/config-consensus/src/version.rs
@@ -1,7 +1,6 @@
 //! Configuration versions: their encoding, their hashes, and what a replica stores of them.
 
 use crate::configuration::{Change, Configuration};
-use crate::message::{ProposalId, VersionHeader};
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::Token;
 use serde::{Deserialize, Serialize};
@@ -48,6 +47,9 @@
     pub hash: ContentHash,
 }
 
+/// Identifies a proposal of one member; later proposals have higher ids, across restarts of the member.
+pub type ProposalId = u64;
+
 /// The decisions on one member's proposals that are part of a version.
 // stored and on the wire: the order of fields is the format
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -173,6 +175,29 @@
     }
 }
 
+/// Describes a configuration version in the coordinator's journal, and announces it to replicas.
+// stored and on the wire: the order of fields is the format
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct VersionHeader {
+    /// Number of the version.
+    pub number: u64,
+    /// Hash of the version.
+    pub hash: ContentHash,
+    /// Hash of the version before it.
+    pub parent: ContentHash,
+    /// The changes that make the version from its parent, where they are small; otherwise the version is fetched.
+    pub changes: Option<Vec<Change>>,
+    /// Decisions on proposals that are part of the version, by proposer.
+    pub decided: BTreeMap<MemberId, DecidedProposals>,
+}
+
+impl VersionHeader {
+    /// The version that it describes.
+    pub fn id(&self) -> VersionId {
+        VersionId { number: self.number, hash: self.hash }
+    }
+}
+
 /// What a replica must find again after a restart.
 // stored: the order of fields is the format
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/platform-server/src/lib.rs
+++ b/crates/platform-server/src/lib.rs
@@ -7,6 +7,7 @@
 mod connection;
 mod discovery;
 mod health_check;
+mod health_check_queue;
 mod http;
 mod log;
 mod log_event;
--- a/crates/platform-server/src/shared.rs
+++ b/crates/platform-server/src/shared.rs
@@ -1,6 +1,6 @@
 //! What the tasks of one planner share, and the session manager's effects on them.
 
-use crate::health_check::HealthChecks;
+use crate::health_check_queue::HealthChecks;
 use crate::log_event::log_event;
 use grebespool::host::HealthCheckResult;
 use grebespool_platform_protocol::{
