--- a/crates/cli/src/sites.rs
+++ b/crates/cli/src/sites.rs
@@ -4,7 +4,7 @@
 use clap::Subcommand;
 use grebespool_cluster::Question;
 use grebespool_settings::Day;
-use grebespool_site_failover::{Demand, Plan, Room, Site, plan};
+use grebespool_site_failover::{CapacityPlan, RouteDemand, SiteCapacity, SiteId, plan_capacity};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -70,14 +70,14 @@
 }
 
 /// What each zone's servers are able to, in work a second, and what each route asks there, in the same.
-fn rooms(day: &Day) -> Vec<Room> {
+fn rooms(day: &Day) -> Vec<SiteCapacity> {
     let room = |zone: &String| {
         let able = day.servers.iter().filter(|s| s.zone == *zone);
         let mut asked = vec![0.0; day.deployment.routes.len()];
         for c in day.callers.iter().filter(|c| c.zone == *zone) {
             asked[c.route] += c.rate * c.work.0.as_secs_f64();
         }
-        Room { able: able.map(|s| (s.count * s.cores) as f64 * s.speed).sum(), asked }
+        SiteCapacity { capacity: able.map(|s| (s.count * s.cores) as f64 * s.speed).sum(), demand: asked }
     };
     day.deployment.zones.iter().map(room).collect()
 }
@@ -87,11 +87,14 @@
         format!("{bad}\nA plan needs what there is and what is asked: a day file, as settings state no capacities.")
     })?;
     let rooms = rooms(&day);
-    let demand = |r: &grebespool_settings::Route| Demand { importance: r.importance, stays: r.stays_local };
-    let routes: Vec<Demand> = day.deployment.routes.iter().map(demand).collect();
+    let demand = |r: &grebespool_settings::Route| RouteDemand {
+        priority_weight: r.importance,
+        is_site_local: r.stays_local,
+    };
+    let routes: Vec<RouteDemand> = day.deployment.routes.iter().map(demand).collect();
     let zones = &day.deployment.zones;
-    let all: f64 = rooms.iter().map(|r| r.able).sum();
-    let asked: f64 = rooms.iter().flat_map(|r| &r.asked).sum();
+    let all: f64 = rooms.iter().map(|r| r.capacity).sum();
+    let asked: f64 = rooms.iter().flat_map(|r| &r.demand).sum();
     println!(
         "{}: {} sites able to {all:.1} s of work a second, {asked:.1} asked for ({:.0}%); filled to {:.0}% at the most",
         day.name,
@@ -101,38 +104,39 @@
     );
     let alone = (0..zones.len()).map(|s| BTreeSet::from([s]));
     let both = (0..zones.len()).flat_map(|a| (a + 1..zones.len()).map(move |b| BTreeSet::from([a, b])));
-    let mut losses: Vec<BTreeSet<Site>> = std::iter::once(BTreeSet::new()).chain(alone).collect();
+    let mut losses: Vec<BTreeSet<SiteId>> = std::iter::once(BTreeSet::new()).chain(alone).collect();
     if pairs {
         losses.extend(both.filter(|pair| pair.len() < zones.len()));
     }
     let mut below = false;
     for lost in losses {
         let names: Vec<&str> = lost.iter().map(|s| zones[*s].as_str()).collect();
-        let planned = plan(&rooms, &routes, &lost, fill).map_err(|why| {
+        let planned = plan_capacity(&rooms, &routes, &lost, fill).map_err(|why| {
             let named = zones.iter().enumerate().fold(why.to_string(), |text, (s, name)| {
                 text.replace(&format!("site {s} "), &format!("site {name:?} "))
             });
             format!("{}: {named}", file.display())
         })?;
-        let missing = asked - planned.filled.iter().zip(&rooms).map(|(f, r)| f * r.able).sum::<f64>();
+        let missing =
+            asked - planned.utilization.iter().zip(&rooms).map(|(f, r)| f * r.capacity).sum::<f64>();
         below |= lost.len() == 1 && planned.service < least;
         print(&names, &day, &planned, (missing.max(0.0), least));
     }
     Ok(if below { ExitCode::from(1) } else { ExitCode::SUCCESS })
 }
 
-fn print(lost: &[&str], day: &Day, plan: &Plan, (missing, least): (f64, f64)) {
+fn print(lost: &[&str], day: &Day, plan: &CapacityPlan, (missing, least): (f64, f64)) {
     let title =
         if lost.is_empty() { "nothing lost".into() } else { format!("without {}", lost.join(" and ")) };
     let mark = if plan.service < least { "  BELOW" } else { "" };
     println!("\n{title}: service {:.3}{mark}", plan.service);
-    for (zone, filled) in day.deployment.zones.iter().zip(&plan.filled) {
+    for (zone, filled) in day.deployment.zones.iter().zip(&plan.utilization) {
         let gone = lost.contains(&zone.as_str());
         let bar = "#".repeat((filled * 40.0).round() as usize);
         let note = if gone { "lost".into() } else { format!("{:.0}% full", 100.0 * filled) };
         println!("  {zone:<16} {bar:<40} {note}");
     }
-    for (route, level) in day.deployment.routes.iter().zip(&plan.levels) {
+    for (route, level) in day.deployment.routes.iter().zip(&plan.admitted) {
         let let_in = if *level < 1.0 { format!("let in at {:.0}%", 100.0 * level) } else { "let in".into() };
         println!("  {:<16} importance {}: {let_in}", route.name, route.importance);
     }
--- a/crates/controller-server/src/sites.rs
+++ b/crates/controller-server/src/sites.rs
@@ -1,7 +1,7 @@
 //! Operators' questions and orders on whole sites.
 
 use crate::{Shared, Shell};
-use grebespool_controller::{Engine, Plan, SiteOrder};
+use grebespool_controller::{CapacityPlan, Engine, SiteOrder};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
@@ -38,9 +38,9 @@
         return Err("sites are not watched: deployment.sites.watched is not set".into());
     }
     let SiteWhat::Order { site, order, forced, dry } = what else {
-        let line = |(name, s): &(String, grebespool_controller::Status)| {
+        let line = |(name, s): &(String, grebespool_controller::SiteStatus)| {
             let span = now.saturating_sub(s.since).as_secs_f64();
-            format!("{name}: {} for {span:.1} s ({})", s.standing, s.evidence)
+            format!("{name}: {} for {span:.1} s ({})", s.state, s.evidence)
         };
         return Ok(all.iter().map(line).collect());
     };
@@ -49,8 +49,8 @@
         return Err(format!("there is no site {site:?}; there are {}", names.join(", ")));
     };
     let planned = match (dry, order) {
-        (true, SiteOrder::Out) => Some(engine.site_plan(zone).map_err(|why| why.to_string())?),
-        (true, SiteOrder::Back) => return Ok(vec![format!("{site} would return by steps, from a tenth")]),
+        (true, SiteOrder::TakeOut) => Some(engine.site_plan(zone).map_err(|why| why.to_string())?),
+        (true, SiteOrder::Restore) => return Ok(vec![format!("{site} would return by steps, from a tenth")]),
         (false, _) => engine.order_site(now, zone, *order, *forced).map_err(|why| match why {
             Some(why) => named(&why.to_string(), &names),
             None => "sites are not watched".into(),
@@ -58,8 +58,8 @@
     };
     let done = match (dry, order) {
         (true, _) => format!("{site} would be out"),
-        (false, SiteOrder::Out) => format!("{site} is out"),
-        (false, SiteOrder::Back) => format!("{site} returns by steps"),
+        (false, SiteOrder::TakeOut) => format!("{site} is out"),
+        (false, SiteOrder::Restore) => format!("{site} returns by steps"),
     };
     Ok(std::iter::once(done).chain(planned.iter().flat_map(|p| lines(p, &names))).collect())
 }
@@ -71,9 +71,9 @@
     })
 }
 
-fn lines(plan: &Plan, names: &[&str]) -> Vec<String> {
-    let filled = names.iter().zip(&plan.filled).map(|(n, f)| format!("  {n} {:.0}% full", 100.0 * f));
-    let levels = plan.levels.iter().enumerate().filter(|(_, l)| **l < 1.0);
+fn lines(plan: &CapacityPlan, names: &[&str]) -> Vec<String> {
+    let filled = names.iter().zip(&plan.utilization).map(|(n, f)| format!("  {n} {:.0}% full", 100.0 * f));
+    let levels = plan.admitted.iter().enumerate().filter(|(_, l)| **l < 1.0);
     let levels = levels.map(|(r, l)| format!("  route {r} let in at {:.0}%", 100.0 * l));
     filled.chain(levels).chain([format!("  service {:.3}", plan.service)]).collect()
 }
--- a/crates/controller/src/engine.rs
+++ b/crates/controller/src/engine.rs
@@ -10,7 +10,9 @@
 use grebespool::host::*;
 use grebespool::policy::Policy;
 use grebespool_assignments::{Assignments, ServerIndices, ServerWeight};
-use grebespool_site_failover::{Impossible, Order as SiteOrder, Plan, Refused, Status, Timing};
+use grebespool_site_failover::{
+    CapacityPlan, FailoverParameters, OrderError, PlanError, SiteOrder, SiteStatus,
+};
 use grebespool_wire as wire;
 use grebespool_wire::{Cause, Entry, Level, MetLine, Order, Orders, Reason, ServerId};
 use std::cell::RefCell;
@@ -191,12 +193,12 @@
     }
 
     /// Watches for the loss of whole sites from here on (docs/design/site-failover.md). Without it nothing of that is done.
-    pub fn watch_sites(&mut self, routes: &[Route], timing: Timing) {
+    pub fn watch_sites(&mut self, routes: &[Route], timing: FailoverParameters) {
         self.watch = Some(Watch::new(self.list.zones().to_vec(), routes, timing));
     }
 
     /// What stands of each site, by its name; empty where sites are not watched.
-    pub fn sites(&self, now: Duration) -> Vec<(String, Status)> {
+    pub fn sites(&self, now: Duration) -> Vec<(String, SiteStatus)> {
         let status = self.watch.iter().flat_map(|w| w.status(now));
         self.list.zones().iter().cloned().zip(status).collect()
     }
@@ -206,9 +208,9 @@
     /// # Errors
     ///
     /// Nothing tells what some site is able to, or none would be left.
-    pub fn site_plan(&self, zone: ZoneId) -> Result<Plan, Impossible> {
+    pub fn site_plan(&self, zone: ZoneId) -> Result<CapacityPlan, PlanError> {
         let plan = self.watch.as_ref().map(|w| w.plan_without(zone));
-        plan.unwrap_or(Err(Impossible::Nothing))
+        plan.unwrap_or(Err(PlanError::NoSiteLeft))
     }
 
     /// An operator's order on a site. Gives the plan that is in force with it.
@@ -222,7 +224,7 @@
         zone: ZoneId,
         order: SiteOrder,
         forced: bool,
-    ) -> Result<Option<Plan>, Option<Refused>> {
+    ) -> Result<Option<CapacityPlan>, Option<OrderError>> {
         let Engine { watch, planner, outlet, .. } = self;
         let Some(watch) = watch else { return Err(None) };
         let done = watch.order(now, (zone, order, forced), planner, outlet);
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -20,5 +20,7 @@
 pub use channel::{Channel, Overrun};
 pub use confirm::Confirm;
 pub use engine::{Arrival, Bounds, Dealt, Engine, Outlet, Start, StreamId, Unsupported};
-pub use grebespool_site_failover::{Order as SiteOrder, Pacing, Plan, Refused, Standing, Status, Timing};
+pub use grebespool_site_failover::{
+    CapacityPlan, FailoverParameters, OrderError, RampParameters, SiteOrder, SiteState, SiteStatus,
+};
 pub use trust::{ListSense, ReportSense, Untrusted};
--- a/crates/controller/src/watch.rs
+++ b/crates/controller/src/watch.rs
@@ -3,12 +3,15 @@
 use crate::engine::Outlet;
 use grebespool::host::{EndpointState, LoadReport, PolicyHost, Route, ZoneId};
 use grebespool::policy::Policy;
-use grebespool_site_failover::{Demand, Ground, Impossible, Order, Plan, Refused, Sites, Status, Timing};
+use grebespool_site_failover::{
+    AttemptReport, CapacityPlan, FailoverEvent, FailoverHost, FailoverParameters, OrderError, PlanError,
+    RouteDemand, SiteFailover, SiteOrder, SiteStatus,
+};
 use std::time::Duration;
 
 /// The sites as the engine watches them.
 pub struct Watch {
-    sites: Sites,
+    sites: SiteFailover,
     names: Vec<String>,
     window: Duration,
     looked_at: Duration,
@@ -24,21 +27,16 @@
     names: &'a [String],
 }
 
-impl<H: PolicyHost, O: Outlet> Ground for Act<'_, H, O> {
-    fn part(&mut self, site: usize, part: f64) {
+impl<H: PolicyHost, O: Outlet> FailoverHost for Act<'_, H, O> {
+    fn limit_site_weight(&mut self, site: usize, part: f64) {
         self.planner.limit_zone_share(self.now, site as ZoneId, part);
     }
-    fn levels(&mut self, most: &[f64]) {
+    fn limit_admission(&mut self, most: &[f64]) {
         self.planner.limit_admission(self.now, most);
     }
-    fn say(&mut self, text: String) {
-        // Sites are known by their places there, and by their names to operators.
-        let named = self
-            .names
-            .iter()
-            .enumerate()
-            .fold(text, |text, (i, name)| text.replace(&format!("site {i}:"), &format!("site {name}:")));
-        self.outlet.told(&named);
+    fn log(&mut self, event: FailoverEvent) {
+        let name = &self.names[event.site];
+        self.outlet.told(&format!("site {name}: {}", event.change));
     }
 }
 
@@ -46,11 +44,12 @@
     /// Verdicts are looked at this often within their window.
     const LOOKS: u32 = 8;
 
-    pub fn new(names: Vec<String>, routes: &[Route], timing: Timing) -> Watch {
-        let demand = |r: &Route| Demand { importance: r.priority_weight, stays: r.zone_local };
+    pub fn new(names: Vec<String>, routes: &[Route], timing: FailoverParameters) -> Watch {
+        let demand =
+            |r: &Route| RouteDemand { priority_weight: r.priority_weight, is_site_local: r.zone_local };
         let zones = names.len();
-        let sites = Sites::new(zones, routes.iter().map(demand).collect(), timing);
-        let (window, looked_at, listed) = (timing.window, Duration::ZERO, vec![(0, None); zones]);
+        let sites = SiteFailover::new(zones, routes.iter().map(demand).collect(), timing);
+        let (window, looked_at, listed) = (timing.evidence_window, Duration::ZERO, vec![(0, None); zones]);
         Watch { sites, names, window, looked_at, listed }
     }
 
@@ -58,23 +57,30 @@
         let (tries, answered) =
             (f64::from(met.attempts), f64::from(met.attempts.saturating_sub(met.failures)));
         let waited = met.latency.map_or(0.0, |w| w.as_secs_f64() * answered);
-        self.sites.met(now, usize::from(met.client_zone), usize::from(at), tries, answered, waited);
+        let report = AttemptReport {
+            from: usize::from(met.client_zone),
+            site: usize::from(at),
+            attempts: tries,
+            answered,
+            total_wait_seconds: waited,
+        };
+        self.sites.observations().attempts_reported(now, report);
     }
 
     pub fn heard(&mut self, now: Duration, zone: ZoneId) {
-        self.sites.heard(now, usize::from(zone));
+        self.sites.observations().clients_heard(now, usize::from(zone));
     }
 
     pub fn probed(&mut self, now: Duration, zone: ZoneId, answered: bool) {
-        self.sites.probed(now, usize::from(zone), answered);
+        self.sites.observations().health_check_finished(now, usize::from(zone), answered);
     }
 
     pub fn joined(&mut self, now: Duration, zone: ZoneId) {
-        self.sites.joined(now, usize::from(zone));
+        self.sites.observations().proxy_joined(now, usize::from(zone));
     }
 
     pub fn left(&mut self, now: Duration, zone: ZoneId) {
-        self.sites.left(now, usize::from(zone));
+        self.sites.observations().proxy_left(now, usize::from(zone));
     }
 
     /// The list as it stands now: each server's zone, phase, and start on the planner's clock if that is known.
@@ -89,7 +95,7 @@
             (*ready, *latest) = (*ready + 1, (*latest).max(started));
         }
         for (zone, (ready, latest)) in self.listed.iter().enumerate() {
-            self.sites.listed(now, zone, *ready, *latest);
+            self.sites.observations().endpoints_listed(now, zone, *ready, *latest);
         }
     }
 
@@ -105,20 +111,20 @@
         }
         self.looked_at = now;
         for (zone, capacity) in planner.zone_capacity(now).into_iter().enumerate() {
-            self.sites.room(zone, capacity.capacity_per_s, capacity.received_per_s);
+            self.sites.capacity_reported(zone, capacity.capacity_per_s, capacity.received_per_s);
         }
-        self.sites.look(now, &mut Act { now, planner, outlet, names: &self.names });
+        self.sites.evaluate(now, &mut Act { now, planner, outlet, names: &self.names });
         true
     }
 
     pub fn order<H: PolicyHost>(
         &mut self,
         now: Duration,
-        (zone, order, forced): (ZoneId, Order, bool),
+        (zone, order, forced): (ZoneId, SiteOrder, bool),
         planner: &mut Policy<H>,
         outlet: &mut impl Outlet,
-    ) -> Result<Option<Plan>, Refused> {
-        self.sites.order(
+    ) -> Result<Option<CapacityPlan>, OrderError> {
+        self.sites.execute(
             now,
             usize::from(zone),
             order,
@@ -127,13 +133,13 @@
         )
     }
 
-    pub fn plan_without(&self, zone: ZoneId) -> Result<Plan, Impossible> {
-        let mut lost = self.sites.out();
+    pub fn plan_without(&self, zone: ZoneId) -> Result<CapacityPlan, PlanError> {
+        let mut lost = self.sites.unavailable_sites();
         lost.insert(usize::from(zone));
-        self.sites.plan(&lost)
+        self.sites.plan_without(&lost)
     }
 
-    pub fn status(&self, now: Duration) -> Vec<Status> {
-        self.sites.status(now)
+    pub fn status(&self, now: Duration) -> Vec<SiteStatus> {
+        self.sites.statuses(now)
     }
 }
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -514,25 +514,25 @@
     }
 
     /// How the loss of a whole zone is watched for; unset where it is not.
-    pub fn watch(&self) -> Option<grebespool_controller::Timing> {
+    pub fn watch(&self) -> Option<grebespool_controller::FailoverParameters> {
         let slo = self.routes.iter().map(|r| r.slo.0).min().unwrap_or(Duration::from_secs(1));
-        let pacing = grebespool_controller::Pacing {
+        let pacing = grebespool_controller::RampParameters {
             warm_up: self.servers.warm_up.0,
-            settling: self.channel.worst_transit.0 + self.reports.cycle.0,
-            late: 0.4 * slo.as_secs_f64(),
+            propagation: self.channel.worst_transit.0 + self.reports.cycle.0,
+            late_wait_seconds: 0.4 * slo.as_secs_f64(),
         };
         let sites = &self.sites;
         let (window, confirm, calm) = (sites.window.0, sites.confirm.0, sites.calm.0);
         // Where nothing may be probed, only calls can show that a site is back.
         let trickle = if self.reports.probing { 0.0 } else { 0.02 };
         let fill = sites.fill;
-        sites.watched.then_some(grebespool_controller::Timing {
-            window,
-            confirm,
-            calm,
-            trickle,
-            fill,
-            pacing,
+        sites.watched.then_some(grebespool_controller::FailoverParameters {
+            evidence_window: window,
+            confirmation: confirm,
+            stability_period: calm,
+            failed_weight: trickle,
+            max_utilization: fill,
+            ramp: pacing,
         })
     }
 
--- /dev/null
+++ b/crates/site-failover/src/capacity_plan.rs
@@ -0,0 +1,225 @@
+//! The capacity plan: which load the remaining sites take over while some have failed, and what is rejected.
+
+use crate::SiteId;
+use std::collections::BTreeSet;
+use thiserror::Error;
+
+/// The capacity and the demand of a site, in work per second.
+#[derive(Debug, Clone, PartialEq)]
+pub struct SiteCapacity {
+    /// What its servers can do.
+    pub capacity: f64,
+    /// What its clients ask for, by route.
+    pub demand: Vec<f64>,
+}
+
+/// A route, as far as a plan needs it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct RouteDemand {
+    /// Routes are admitted by this weight, the greatest first.
+    pub priority_weight: f64,
+    /// Whether its requests must stay in the site of their proxy.
+    pub is_site_local: bool,
+}
+
+/// What is done while some sites have failed.
+#[derive(Debug, Clone, PartialEq)]
+pub struct CapacityPlan {
+    /// The failed sites.
+    pub failed: BTreeSet<SiteId>,
+    /// The fraction of each route's requests that is admitted.
+    pub admitted: Vec<f64>,
+    /// The work per second that each site takes over from others.
+    pub taken_over: Vec<f64>,
+    /// The utilization of each site then; 1 is its capacity.
+    pub utilization: Vec<f64>,
+    /// The work per second that is rejected.
+    pub rejected: f64,
+    /// The work per second that could still be taken over within the utilization limit.
+    pub spare: f64,
+    /// The work that is admitted over the work that is asked for, both by priority weight.
+    pub service: f64,
+}
+
+/// Why there is no plan.
+// On the wire: the command socket answers with these texts; do not reword.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum PlanError {
+    /// The capacity of this site is unknown.
+    #[error("nothing tells what site {0} is able to")]
+    UnknownCapacity(SiteId),
+    /// Every site has failed.
+    #[error("every site is lost")]
+    NoSiteLeft,
+}
+
+/// Plans for the failure of some sites, so that no site exceeds `max_utilization`.
+///
+/// Routes are admitted by priority weight, those of equal weight alike: none is rejected while a less important one is
+/// admitted. A site-local route shares only the capacity of its own sites, and is gone where these have failed; the
+/// others are not rejected for its sake.
+///
+/// # Errors
+///
+/// [`PlanError::UnknownCapacity`] or [`PlanError::NoSiteLeft`].
+pub fn plan_capacity(
+    sites: &[SiteCapacity],
+    routes: &[RouteDemand],
+    failed: &BTreeSet<SiteId>,
+    max_utilization: f64,
+) -> Result<CapacityPlan, PlanError> {
+    let is_known = |site: &SiteCapacity| site.capacity > 0.0 && site.capacity.is_finite();
+    if let Some(site) = sites.iter().position(|site| !is_known(site)) {
+        return Err(PlanError::UnknownCapacity(site));
+    }
+    if (0..sites.len()).all(|site| failed.contains(&site)) {
+        return Err(PlanError::NoSiteLeft);
+    }
+    let mut allocation = Allocation::new(sites, routes, failed, max_utilization);
+    let mut by_priority: Vec<usize> = (0..routes.len()).collect();
+    by_priority.sort_by(|a, b| routes[*b].priority_weight.total_cmp(&routes[*a].priority_weight));
+    let is_equal = |a: &usize, b: &usize| routes[*a].priority_weight == routes[*b].priority_weight;
+    for group in by_priority.chunk_by(is_equal) {
+        allocation.admit_site_local(group);
+        allocation.admit_movable(group);
+    }
+    Ok(allocation.into_plan())
+}
+
+/// A plan in progress.
+struct Allocation<'a> {
+    sites: &'a [SiteCapacity],
+    routes: &'a [RouteDemand],
+    failed: &'a BTreeSet<SiteId>,
+    /// What each site can still take, in work per second.
+    free: Vec<f64>,
+    /// What each site takes, in work per second.
+    load: Vec<f64>,
+    /// The admitted fraction of each route.
+    admitted: Vec<f64>,
+}
+
+impl<'a> Allocation<'a> {
+    fn new(
+        sites: &'a [SiteCapacity],
+        routes: &'a [RouteDemand],
+        failed: &'a BTreeSet<SiteId>,
+        max_utilization: f64,
+    ) -> Allocation<'a> {
+        let free = |(id, site): (SiteId, &SiteCapacity)| {
+            if failed.contains(&id) { 0.0 } else { site.capacity * max_utilization }
+        };
+        Allocation {
+            sites,
+            routes,
+            failed,
+            free: sites.iter().enumerate().map(free).collect(),
+            load: vec![0.0; sites.len()],
+            admitted: vec![1.0; routes.len()],
+        }
+    }
+
+    fn demand(&self, site: SiteId, route: usize) -> f64 {
+        self.sites[site].demand.get(route).copied().unwrap_or(0.0).max(0.0)
+    }
+
+    /// Admits the site-local routes of a group: each has only its own sites' capacity, and one fraction holds wherever
+    /// the route is asked for.
+    fn admit_site_local(&mut self, group: &[usize]) {
+        let remaining: Vec<SiteId> =
+            (0..self.sites.len()).filter(|site| !self.failed.contains(site)).collect();
+        for route in group.iter().copied().filter(|route| self.routes[*route].is_site_local) {
+            let asked_at = remaining.iter().copied().filter(|site| self.demand(*site, route) > 0.0);
+            let fits = asked_at.map(|site| self.free[site] / self.demand(site, route));
+            let admitted = fits.fold(1.0, f64::min).clamp(0.0, 1.0);
+            self.admitted[route] = admitted;
+            for site in &remaining {
+                let load = admitted * self.demand(*site, route);
+                self.load[*site] += load;
+                self.free[*site] -= load;
+            }
+        }
+    }
+
+    /// Admits the other routes of a group: each site takes its own clients' requests as far as they fit, and the rest
+    /// goes wherever there is capacity.
+    fn admit_movable(&mut self, group: &[usize]) {
+        let movable: Vec<usize> =
+            group.iter().copied().filter(|route| !self.routes[*route].is_site_local).collect();
+        let total = |route: &usize| (0..self.sites.len()).map(|site| self.demand(site, *route)).sum::<f64>();
+        let wanted: f64 = movable.iter().map(total).sum();
+        let free = self.total_free();
+        let fraction = if wanted > 0.0 { (free / wanted).min(1.0) } else { 1.0 };
+        for route in &movable {
+            self.admitted[*route] = fraction;
+        }
+        let overflow = self.place_locally(&movable, fraction);
+        self.spread(overflow);
+    }
+
+    /// Returns the work that does not fit at the sites of its own clients.
+    fn place_locally(&mut self, routes: &[usize], fraction: f64) -> f64 {
+        let mut overflow = 0.0;
+        for site in 0..self.sites.len() {
+            let own = fraction * routes.iter().map(|route| self.demand(site, *route)).sum::<f64>();
+            let local = own.min(self.free[site].max(0.0));
+            self.load[site] += local;
+            self.free[site] -= local;
+            overflow = overflow + own - local;
+        }
+        overflow
+    }
+
+    /// Spreads work over all sites in proportion to what each can still take.
+    fn spread(&mut self, work: f64) {
+        let free = self.total_free();
+        for site in 0..self.sites.len() {
+            let share = if free > 0.0 { work * self.free[site].max(0.0) / free } else { 0.0 };
+            self.load[site] += share;
+            self.free[site] -= share;
+        }
+    }
+
+    fn total_free(&self) -> f64 {
+        self.free.iter().map(|free| free.max(0.0)).sum()
+    }
+
+    /// The work of a route that is admitted for a site's clients.
+    fn admitted_work(&self, route: usize, site: SiteId) -> f64 {
+        let is_gone = self.routes[route].is_site_local && self.failed.contains(&site);
+        if is_gone { 0.0 } else { self.admitted[route] * self.demand(site, route) }
+    }
+
+    fn sum(&self, of: impl Fn(usize, SiteId) -> f64) -> f64 {
+        let by_route = |route: usize| (0..self.sites.len()).map(|site| of(route, site)).sum::<f64>();
+        (0..self.routes.len()).map(by_route).sum()
+    }
+
+    /// The work that a site takes over from others: what exceeds its own clients' work.
+    fn taken_over(&self, site: SiteId) -> f64 {
+        let own = (0..self.routes.len()).map(|route| self.admitted_work(route, site)).sum::<f64>();
+        (self.load[site] - own.min(self.load[site])).max(0.0)
+    }
+
+    fn service(&self) -> f64 {
+        let weight = |route: usize| self.routes[route].priority_weight;
+        let asked = self.sum(|route, site| weight(route) * self.demand(site, route));
+        if asked > 0.0 {
+            self.sum(|route, site| weight(route) * self.admitted_work(route, site)) / asked
+        } else {
+            1.0
+        }
+    }
+
+    fn into_plan(self) -> CapacityPlan {
+        CapacityPlan {
+            taken_over: (0..self.sites.len()).map(|site| self.taken_over(site)).collect(),
+            utilization: self.load.iter().zip(self.sites).map(|(load, site)| load / site.capacity).collect(),
+            rejected: self.sum(|route, site| self.demand(site, route) - self.admitted_work(route, site)),
+            spare: self.total_free(),
+            service: self.service(),
+            failed: self.failed.clone(),
+            admitted: self.admitted,
+        }
+    }
+}
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,22 +1,32 @@
-//! The loss of a whole site, as one thing: which sites are lost, cut off or held out by an operator, what to do while one
-//! is, and how it returns. Free of I/O; times are spans since the planner's start.
+//! Failover and recovery of whole sites (`docs/design/site-failover.md`): which sites have failed, are partitioned or were
+//! taken out by an operator, what the others take over meanwhile, and how a site returns.
 //!
-//! [`Sites`] is told what happens, one method for each thing, and acts through the [`Ground`] that it is handed. What
-//! tells a loss from a cut, a silent collector or a late list is in [`evidence`], what is left for whom in [`mod@plan`], the
-//! steps of a return in [`pace`]. Servers, weights and levels stay the decisions' own (`src/policy`): a site's
-//! verdict only bounds them.
+//! The crate does no I/O; times are spans since the controller's start. [`SiteFailover`] is told what happens and acts
+//! through a [`FailoverHost`]. What tells a failure from a partition, a silent collector or a late endpoint list is in
+//! [`failure_detection`], what the remaining sites take over in [`capacity_plan`], the steps of a return in
+//! [`recovery_ramp`]. Servers, weights and admission stay the policy's own: a site's state only bounds them.
 
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+pub mod capacity_plan;
+mod event;
+pub mod failure_detection;
+mod host;
+pub mod observations;
+mod order;
+mod parameters;
+pub mod recovery_ramp;
+mod site_failover;
+mod state;
 
-pub mod evidence;
-pub mod pace;
-pub mod plan;
-mod sites;
+pub use capacity_plan::{CapacityPlan, PlanError, RouteDemand, SiteCapacity, plan_capacity};
+pub use event::{FailoverEvent, SiteChange, TransitionReason};
+pub use failure_detection::{Evidence, Verdict};
+pub use host::FailoverHost;
+pub use observations::{AttemptReport, Observations, WaitSample};
+pub use order::{OrderError, SiteOrder};
+pub use parameters::FailoverParameters;
+pub use recovery_ramp::{HoldReason, RampDecision, RampParameters, RecoveryRamp};
+pub use site_failover::SiteFailover;
+pub use state::{SiteState, SiteStatus};
 
-pub use evidence::{Evidence, Signs, Verdict};
-pub use pace::{Pace, Pacing, Step};
-pub use plan::{Demand, Impossible, Plan, Room, plan};
-pub use sites::{Ground, Order, Refused, Sites, Standing, Status, Timing};
-
-/// A site, by its place in the settings.
-pub type Site = usize;
+/// A site, by its index in the settings.
+pub type SiteId = usize;
