--- a/crates/singleton-tasks/src/election.rs
+++ b/crates/singleton-tasks/src/election.rs
@@ -14,7 +14,7 @@
 
 /// The state of the election as this member knows it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Election {
+pub struct ElectionState {
     /// All voters.
     pub members: Vec<MemberId>,
     /// Who leads.
--- a/crates/singleton-tasks/src/lib.rs
+++ b/crates/singleton-tasks/src/lib.rs
@@ -31,7 +31,7 @@
 pub use balance::balance_tasks;
 pub use config::{StoredTasks, TaskManagerConfig, TaskSet};
 pub use counts::{CountRow, Counts, NO_ROUTE, Rows, Tally, TrafficKey};
-pub use election::{Election, Leader};
+pub use election::{ElectionState, Leader};
 pub use error::TaskError;
 pub use fence::{Fence, FenceDecision};
 pub use host::{Host, LeaseLossReason, TaskEvent};
--- a/crates/singleton-tasks/src/task_manager/mod.rs
+++ b/crates/singleton-tasks/src/task_manager/mod.rs
@@ -7,7 +7,7 @@
 use crate::config::{StoredTasks, TaskManagerConfig};
 use crate::context::Context;
 use crate::counts::Tally;
-use crate::election::{Election, Leader};
+use crate::election::{ElectionState, Leader};
 use crate::error::TaskError;
 use crate::host::Host;
 use crate::journal::TaskJournal;
@@ -99,7 +99,7 @@
     }
 
     /// Handles a change of the voters, the leader, or this member's lease as leader.
-    pub fn election_changed(&mut self, now: Duration, election: Election) {
+    pub fn election_changed(&mut self, now: Duration, election: ElectionState) {
         self.context.now = now;
         self.context.members = election.members;
         self.leader_lease_expires_at = election.lease_expires_at;
--- a/crates/singleton-tasks/tests/tasks/cluster.rs
+++ b/crates/singleton-tasks/tests/tasks/cluster.rs
@@ -249,7 +249,7 @@
             self.own_lease_expires_at = lease_expires_at;
         }
         let leader = known_leader.map(|(term, id)| Leader { term, id });
-        let election = Election { members, leader, lease_expires_at };
+        let election = ElectionState { members, leader, lease_expires_at };
         self.call(id, |d, now| d.election_changed(now, election));
     }
 
--- a/crates/singleton-tasks/tests/tasks/unknown_tasks.rs
+++ b/crates/singleton-tasks/tests/tasks/unknown_tasks.rs
@@ -13,7 +13,7 @@
     let stored = StoredTasks { is_copied: true, ..StoredTasks::default() };
     let mut tasks = TaskManager::new(host.clone(), config(1, 2, 1), stored);
     let leader = Some(Leader { term: 3, id: 1 });
-    tasks.election_changed(S(1), Election { members: vec![1, 2], leader, lease_expires_at: S(60) });
+    tasks.election_changed(S(1), ElectionState { members: vec![1, 2], leader, lease_expires_at: S(60) });
     let token = FencingToken { term: 3, number: 1 };
     let record = StepRecord { token, step: 1, completed: false, content: vec![] };
     for message in [
