--- a/crates/cluster/src/accounts/audit.rs
+++ b/crates/cluster/src/accounts/audit.rs
@@ -73,7 +73,7 @@
     for (index, file) in files.iter().enumerate() {
         let next = files.get(index + 1);
         if next.is_none_or(|next| next.account.period != file.account.period) {
-            audit.calls += file.account.rows.iter().map(|(_, counts)| counts.calls).sum::<u64>();
+            audit.calls += file.account.rows.iter().map(|(_, counts)| counts.requests).sum::<u64>();
         }
     }
 }
--- a/crates/cluster/src/listener.rs
+++ b/crates/cluster/src/listener.rs
@@ -91,7 +91,7 @@
     match packet {
         Packet::Election(message) => core.call_election(|election, now| election.receive(now, from, message)),
         Packet::Task(message) => {
-            core.call_tasks(|tasks, now| tasks.heard(now, from, message));
+            core.call_tasks(|tasks, now| tasks.receive(now, from, message));
         }
         Packet::Configuration(message) => {
             core.call_configuration(|node, now| node.message_received(now, from, message));
--- a/crates/cluster/src/task_host.rs
+++ b/crates/cluster/src/task_host.rs
@@ -4,7 +4,10 @@
 use crate::store::Store;
 use grebespool_config_consensus::ConsensusSettings;
 use grebespool_leader_election::MemberId;
-use grebespool_singleton_tasks::{Cell, Duties, Duty, Host, Lost, Record, Rows, Terms, Token, Word};
+use grebespool_singleton_tasks::{
+    FencingToken, Host, LeaseLossReason, Message, RegisterEntry, Rows, StepRecord, StoredTasks, TaskEvent,
+    TaskId, TaskLeaseParameters, TaskManager, TaskManagerConfig, TaskSet,
+};
 use std::cell::{Cell as Flag, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -32,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct TaskSettings {
     /// Leases of tasks.
-    pub terms: Terms,
+    pub terms: TaskLeaseParameters,
     /// The task of accounts.
     pub accounts: Option<AccountSettings>,
     /// The task of coordinating configuration versions.
@@ -49,24 +52,24 @@
 
 /// A change of an ownership: gained, or lost for this reason.
 pub(crate) struct OwnershipChange {
-    pub task: Duty,
-    pub token: Token,
-    pub lost: Option<Lost>,
+    pub task: TaskId,
+    pub token: FencingToken,
+    pub lost: Option<LeaseLossReason>,
 }
 
 /// A step of a journal that is durable.
 pub(crate) struct DurableStep {
-    pub task: Duty,
-    pub token: Token,
-    pub record: Option<Record>,
+    pub task: TaskId,
+    pub token: FencingToken,
+    pub record: Option<StepRecord>,
     /// Whether it is the first of an ownership.
     pub first: bool,
 }
 
 /// A journal entry to be written.
 pub(crate) struct CellRequest {
-    pub task: Duty,
-    pub cell: Cell,
+    pub task: TaskId,
+    pub cell: RegisterEntry,
     pub stamp: u64,
 }
 
@@ -79,7 +82,7 @@
 /// What tasks ask for during a call.
 #[derive(Default)]
 pub(crate) struct TaskRequests {
-    pub outbox: Vec<(MemberId, Word)>,
+    pub outbox: Vec<(MemberId, Message)>,
     pub writes: Vec<CellRequest>,
     /// The journal is complete now.
     pub complete: bool,
@@ -91,8 +94,8 @@
 /// The last durable step of a task that may be continued.
 #[derive(Clone)]
 pub(crate) struct Continuation {
-    pub token: Token,
-    pub last: Option<Record>,
+    pub token: FencingToken,
+    pub last: Option<StepRecord>,
 }
 
 /// Collects what tasks ask for.
@@ -100,44 +103,44 @@
 pub(crate) struct TaskRecorder {
     pub requests: TaskRequests,
     /// Tasks whose journal takes a new step.
-    pub ready: BTreeMap<Duty, Continuation>,
+    pub ready: BTreeMap<TaskId, Continuation>,
 }
 
 impl TaskRecorder {
-    fn step_durable(&mut self, task: Duty, token: Token, record: Option<Record>, first: bool) {
+    fn step_durable(&mut self, task: TaskId, token: FencingToken, record: Option<StepRecord>, first: bool) {
         self.requests.durable.push(DurableStep { task, token, record: record.clone(), first });
         self.ready.insert(task, Continuation { token, last: record });
     }
 }
 
 impl Host for TaskRecorder {
-    fn say(&mut self, to: MemberId, word: Word) {
+    fn send(&mut self, to: MemberId, word: Message) {
         self.requests.outbox.push((to, word));
     }
-    fn keep(&mut self, duty: Duty, cell: &Cell, stamp: u64) {
+    fn persist(&mut self, duty: TaskId, cell: &RegisterEntry, stamp: u64) {
         self.requests.writes.push(CellRequest { task: duty, cell: cell.clone(), stamp });
     }
-    fn copied(&mut self) {
+    fn copy_completed(&mut self) {
         self.requests.complete = true;
     }
-    fn take(&mut self, duty: Duty, token: Token) {
+    fn lease_acquired(&mut self, duty: TaskId, token: FencingToken) {
         self.requests.changes.push(OwnershipChange { task: duty, token, lost: None });
     }
-    fn lose(&mut self, duty: Duty, token: Token, why: Lost) {
+    fn lease_lost(&mut self, duty: TaskId, token: FencingToken, why: LeaseLossReason) {
         self.ready.remove(&duty);
         self.requests.changes.push(OwnershipChange { task: duty, token, lost: Some(why) });
     }
-    fn ready(&mut self, duty: Duty, token: Token, last: Option<&Record>) {
+    fn ready(&mut self, duty: TaskId, token: FencingToken, last: Option<&StepRecord>) {
         self.step_durable(duty, token, last.cloned(), true);
     }
-    fn stands(&mut self, duty: Duty, token: Token, record: &Record) {
+    fn step_durable(&mut self, duty: TaskId, token: FencingToken, record: &StepRecord) {
         self.step_durable(duty, token, Some(record.clone()), false);
     }
-    fn counted(&mut self, from: MemberId, periods: Vec<(u64, Rows)>) {
+    fn counts_received(&mut self, from: MemberId, periods: Vec<(u64, Rows)>) {
         self.requests.reports.push(CountReport { member: from, periods });
     }
-    fn note(&mut self, text: &str) {
-        info!("{text}");
+    fn log(&mut self, event: TaskEvent) {
+        info!("{event}");
     }
 }
 
@@ -145,7 +148,7 @@
 pub(crate) struct TaskHost {
     pub settings: TaskSettings,
     names: Vec<String>,
-    pub tasks: RefCell<Duties<TaskRecorder>>,
+    pub tasks: RefCell<TaskManager<TaskRecorder>>,
     /// Its timer may have changed.
     pub timer: Notify,
     /// A task may be continued, or counts were reported.
@@ -172,17 +175,15 @@
         let stored = store.read_cells(&names, |task, error| {
             warn!(task, %error, "sets a damaged journal record aside; copying the others' before answering");
         })?;
-        let known = (task_names_id(&names), names.len());
-        let tasks = Duties::start(
-            TaskRecorder::default(),
-            own,
-            settings.terms,
-            known,
-            start_count,
-            stored.cells,
-            stored.complete,
-            store.read_tally()?,
-        );
+        let config = TaskManagerConfig {
+            own_id: own,
+            parameters: settings.terms,
+            task_set: TaskSet { digest: task_names_id(&names), count: names.len() },
+            restarts: start_count,
+        };
+        let stored =
+            StoredTasks { entries: stored.cells, is_copied: stored.complete, tally: store.read_tally()? };
+        let tasks = TaskManager::new(TaskRecorder::default(), config, stored);
         Ok(TaskHost {
             settings,
             names,
@@ -200,33 +201,33 @@
     }
 
     /// A task's name.
-    pub(crate) fn name(&self, task: Duty) -> &str {
+    pub(crate) fn name(&self, task: TaskId) -> &str {
         &self.names[task as usize]
     }
 
     /// The task of this name.
-    pub(crate) fn find(&self, name: &str) -> Option<Duty> {
-        self.names.iter().position(|known| known == name).map(|index| index as Duty)
+    pub(crate) fn find(&self, name: &str) -> Option<TaskId> {
+        self.names.iter().position(|known| known == name).map(|index| index as TaskId)
     }
 
     /// The task of coordinating configuration versions.
-    pub(crate) fn configuration_task(&self) -> Option<Duty> {
+    pub(crate) fn configuration_task(&self) -> Option<TaskId> {
         self.find(CONFIGURATION_TASK)
     }
 
     /// The task of accounts.
-    pub(crate) fn accounts_task(&self) -> Option<Duty> {
+    pub(crate) fn accounts_task(&self) -> Option<TaskId> {
         self.find(ACCOUNTS_TASK)
     }
 
     /// The last durable step of a task, if its journal takes a new one.
-    pub(crate) fn continuation(&self, task: Duty) -> Option<Continuation> {
+    pub(crate) fn continuation(&self, task: TaskId) -> Option<Continuation> {
         self.tasks.borrow_mut().host().ready.get(&task).cloned()
     }
 
     /// The token by which this member may work on a task at this time.
-    pub(crate) fn token(&self, now: Duration, task: Duty) -> Option<Token> {
-        self.tasks.borrow().may(now, task)
+    pub(crate) fn token(&self, now: Duration, task: TaskId) -> Option<FencingToken> {
+        self.tasks.borrow().current_token(now, task)
     }
 
     /// The number of the period before this time by the wall clock, which all members have to agree on. None without
@@ -241,9 +242,9 @@
 /// Writes a step of a task's journal, if it takes one. The task is not continued until the step is durable. Returns whether
 /// the step was written.
 pub(crate) fn write_step(
-    tasks: &mut Duties<TaskRecorder>,
-    task: Duty,
-    write: impl FnOnce(&mut Duties<TaskRecorder>) -> bool,
+    tasks: &mut TaskManager<TaskRecorder>,
+    task: TaskId,
+    write: impl FnOnce(&mut TaskManager<TaskRecorder>) -> bool,
 ) -> bool {
     let Some(before) = tasks.host().ready.remove(&task) else { return false };
     let written = write(tasks);
--- a/crates/cluster/src/writer.rs
+++ b/crates/cluster/src/writer.rs
@@ -3,7 +3,7 @@
 use crate::store::Store;
 use grebespool_config_consensus::StoredState;
 use grebespool_leader_election::HardState;
-use grebespool_singleton_tasks::{Cell, Tally};
+use grebespool_singleton_tasks::{RegisterEntry, Tally};
 use std::io;
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -31,7 +31,7 @@
 pub(crate) struct CellWrite {
     /// Name of the task.
     pub name: String,
-    pub cell: Cell,
+    pub cell: RegisterEntry,
     pub stamp: u64,
 }
 
