--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -2,7 +2,6 @@
 //! name and JSON.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_cluster::transport::{AuthenticatedStream, Identity, PROTOCOL_VERSION, Packet};
 use grebespool_cluster::{
--- a/crates/config-distribution/src/digest.rs
+++ b/crates/config-distribution/src/digest.rs
@@ -12,7 +12,7 @@
 impl Digest {
     /// Of what serializes to the same bytes everywhere.
     pub fn of<T: Serialize>(value: &T) -> Digest {
-        let bytes = postcard::to_stdvec(value).expect("memory takes all");
+        let bytes = postcard::to_stdvec(value).expect("encoding into memory does not fail");
         let mut digest = [0; BYTES];
         digest.copy_from_slice(&blake3::hash(&bytes).as_bytes()[..BYTES]);
         Digest(digest)
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -1,14 +1,14 @@
 //! Distribution of configuration by scope: from a quorum of control machines over relays in each zone to planners
-//! (`docs/design/config-distribution.md`). No I/O and no clock: a [`ControlMachine`] and a [`Planner`] are told what happens and
-//! when by their own clocks, and give what is to be sent and written.
+//! (`docs/design/config-distribution.md`).
 //!
-//! Whatever clocks do: a scope has one history, and nobody goes back in it or applies a link over a gap. With clocks within
-//! the stated drift, of all planners that act on a scope at one time some version is among those that each of them acts by.
+//! No I/O and no clock: the caller reports events to a [`ControlMachine`] and a [`Planner`] with the time of their own
+//! clocks, and takes what is to be sent and written.
 //!
-//! What it never does: it does not decide who leads, judge servers, or wait for a single planner longer than its lease.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-#![warn(missing_docs)]
+//! Guarantees, whatever clocks do: a scope has one history, and nobody goes back in it or applies a link over a gap. With
+//! clocks within the stated drift, of all planners that apply a scope at one time some version is among those that each of
+//! them applies.
+//!
+//! It never decides who leads, judges servers, or waits for a single planner longer than its lease.
 
 mod budget;
 mod chain;
@@ -30,14 +30,14 @@
 };
 pub use control::{Authority, ControlMachine};
 pub use digest::Digest;
-pub use distributor::{Distributor, Grantable, Limits};
+pub use distributor::{Distributor, GrantAuthority, GrantLimits};
 pub use message::{
-    Control, Downward, Entry, Fact, Message, Proposal, Record, RecordId, Refusal, SessionId, SnapshotPart,
-    Term, Upward,
+    Downward, LogEntry, LogMessage, LogPosition, LogRecord, Message, Proposal, ProposalKey, Refusal,
+    ScopeStatus, SessionId, SnapshotPart, Term, Upward,
 };
-pub use planner::{Acts, Planner, PlannerConfig, Refused};
+pub use planner::{ActiveVersions, Planner, PlannerConfig, PlannerEvent, RejectCause, RejectionCounts};
 pub use rendezvous::{candidates, is_relay, relay_order, relays_wanted};
-pub use replica::{Durable, Replica, Write};
-pub use settings::{BadSettings, Settings};
+pub use replica::{LogReplica, LogWrite, StoredLog};
+pub use settings::{Settings, SettingsError};
 pub use store::Store;
-pub use subscriber::{Manner, Subscriber};
+pub use subscriber::{SessionPolicy, Subscriber};
--- a/crates/config-distribution/src/message.rs
+++ b/crates/config-distribution/src/message.rs
@@ -1,4 +1,6 @@
-//! What nodes say to one another.
+//! Messages between nodes.
+//!
+//! On the wire, and in part stored: variants and fields must not be reordered.
 
 use crate::chain::{Link, Position, Priority, Revision, ScopeId};
 use crate::digest::Digest;
@@ -10,23 +12,23 @@
 /// A leader's term; a later leader's is higher.
 pub type Term = u64;
 
-/// One attachment of a holder to a distributor: later ones are higher, over all starts of the holder.
+/// A session of a holder with a distributor; later ones are higher, across restarts of the holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId {
     /// How often the holder was started.
     pub start: u32,
-    /// Attachments since that start.
+    /// Sessions since that start.
     pub number: u32,
 }
 
 /// What a holder has of a scope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fact {
+pub struct ScopeStatus {
     /// The scope.
     pub scope: ScopeId,
-    /// What it holds.
+    /// The last link that it has.
     pub held: Position,
-    /// Up to which revision it, and everybody whose lease it answers for, is ready: nobody among them acts by an older one.
+    /// Up to which revision it, and everybody whose lease it answers for, is ready: none of them applies an older one.
     pub ready: Revision,
 }
 
@@ -35,47 +37,47 @@
 pub struct SnapshotPart {
     /// The scope.
     pub scope: ScopeId,
-    /// Where its chain stands.
+    /// Position of its chain.
     pub position: Position,
-    /// The hash of the link before that.
+    /// Hash of the link before that position.
     pub parent: Digest,
-    /// This part, from zero.
+    /// Index of this part, from zero.
     pub part: u32,
-    /// How many there are.
+    /// How many parts there are.
     pub parts: u32,
-    /// Its bytes.
+    /// The bytes of this part.
     pub bytes: Vec<u8>,
 }
 
-/// From a holder of configuration to who distributes it: a planner to its relays, a relay to the leader.
+/// From a holder of configuration to its distributor: a planner to its relays, a relay to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Upward {
-    /// Begins a session. Everything that is subscribed to is listed, with what is held of it.
+    /// Begins a session, with the status of every scope that is subscribed to.
     Attach {
         /// The session.
         session: SessionId,
         /// The newest term that the holder has seen.
         term: Term,
-        /// What is subscribed to; revision zero where nothing is held.
-        facts: Vec<Fact>,
+        /// The status of each scope; revision zero where nothing is held.
+        statuses: Vec<ScopeStatus>,
     },
-    /// Goes on with a session: asks for the lease, and tells what changed since the last answer.
+    /// Asks to renew the lease, with the statuses that changed since the last answer.
     Renew {
         /// The session.
         session: SessionId,
         /// Counts renewals of the session.
         count: u64,
         /// Scopes that are new or have advanced.
-        facts: Vec<Fact>,
+        statuses: Vec<ScopeStatus>,
     },
-    /// Ends a session and gives its lease back: nobody acts by it any more.
+    /// Ends a session and gives its lease back: nobody applies anything by it any more.
     Release {
         /// The session.
         session: SessionId,
     },
 }
 
-/// From who distributes to a holder.
+/// From a distributor to a holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Downward {
     /// The session has begun.
@@ -85,7 +87,7 @@
         /// The leader's term.
         term: Term,
     },
-    /// The facts up to this renewal are known. With a lease: it runs on from when that renewal was sent.
+    /// The statuses up to this renewal are known. A lease runs from when that renewal was sent.
     Granted {
         /// The session.
         session: SessionId,
@@ -103,30 +105,30 @@
     },
     /// A part of a snapshot.
     Part(SnapshotPart),
-    /// Another leads, or nobody that this node knows.
+    /// Another machine leads, or none that this node knows.
     NotLeading {
         /// The session that was asked for.
         session: SessionId,
-        /// Who leads, where it is known.
+        /// The leader, where it is known.
         leader: Option<MemberId>,
     },
-    /// There is no such session, or no room for it.
+    /// The session is refused.
     Refused {
         /// The session.
         session: SessionId,
         /// Why.
         why: Refusal,
     },
-    /// The distributor is about to stop: its leases are not to be acted by any more.
-    Leaving,
+    /// The distributor shuts down: nothing may be applied by its leases any more.
+    ShuttingDown,
 }
 
 /// Why a session is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// It is not known here, after a restart say.
+    /// It is not known here, for instance after a restart.
     UnknownSession,
-    /// The distributor has as many as it takes.
+    /// The distributor has as many sessions as it takes.
     Full,
     /// The holder has another history of this scope.
     OtherHistory(ScopeId),
@@ -134,12 +136,21 @@
     OtherZone,
 }
 
+/// Identifies a proposal among those of all proposers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProposalKey {
+    /// The proposer.
+    pub proposer: MemberId,
+    /// The proposal's number.
+    pub number: u64,
+}
+
 /// Changes that are proposed for a scope.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Who proposes.
+    /// The proposer.
     pub proposer: MemberId,
-    /// Counts its proposals; it is proposed again until it is answered, and takes effect once.
+    /// Counts its proposals. A proposal is retransmitted until it is answered, and takes effect once.
     pub number: u64,
     /// The scope.
     pub scope: ScopeId,
@@ -148,43 +159,54 @@
 }
 
 impl Proposal {
+    /// Its proposer and number.
+    pub fn key(&self) -> ProposalKey {
+        ProposalKey { proposer: self.proposer, number: self.number }
+    }
+
     /// How urgent it is.
     pub fn priority(&self) -> Priority {
         Priority::of(&self.changes)
     }
 }
 
-/// Something that a majority of control machines has fixed.
+/// An entry of the log of control machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
-    /// A leader has begun; what is before it is fixed with it.
+pub enum LogEntry {
+    /// A leader has begun; what is before it is committed with it.
     Begin,
     /// A link of a scope, and the proposals that are part of it.
-    Link(Link, Vec<(MemberId, u64)>),
-    /// A relay may be granted leases; its start tells it from a former life.
+    Link(Link, Vec<ProposalKey>),
+    /// A relay, with its start, may be granted leases.
     Register(MemberId, u32),
-    /// Its leases are over, and it is granted none.
+    /// A relay's leases are over, and it is granted none.
     Unregister(MemberId),
 }
 
-/// An entry of the log of control machines.
+/// A record of the log of control machines.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Record {
-    /// The leader that wrote it.
+pub struct LogRecord {
+    /// The term of the leader that wrote it.
     pub term: Term,
-    /// What it says.
-    pub entry: Entry,
+    /// Its entry.
+    pub entry: LogEntry,
 }
 
-/// The term and place of a record; places begin with one.
-pub type RecordId = (Term, u64);
+/// The term and the index of a record; indices begin with one. A later record is greater.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct LogPosition {
+    /// The record's term.
+    pub term: Term,
+    /// The record's index.
+    pub index: u64,
+}
 
 /// Among control machines, from and to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Control {
-    /// A leader has begun: nothing of a former one is taken any more. What do you have?
+pub enum LogMessage {
+    /// A leader has begun: nothing of a former one is accepted any more. Asks for the last record.
     Recover {
-        /// Its term.
+        /// The leader's term.
         term: Term,
     },
     /// The last record that is on this machine's disk.
@@ -192,52 +214,52 @@
         /// The leader's term.
         term: Term,
         /// The last record.
-        last: RecordId,
+        last: LogPosition,
     },
-    /// Hand over the records from this place on.
+    /// Asks for the records from this index on.
     Fetch {
         /// The leader's term.
         term: Term,
-        /// The first place.
+        /// The first index.
         from: u64,
     },
-    /// Records from a place on.
+    /// Records from an index on.
     Fetched {
         /// The leader's term.
         term: Term,
-        /// The first place.
+        /// The first index.
         from: u64,
         /// The records; fewer than there are where they are many.
-        records: Vec<Record>,
+        records: Vec<LogRecord>,
     },
-    /// Write these after that record.
+    /// Append these after that record.
     Append {
         /// The leader's term.
         term: Term,
         /// The record before them.
-        previous: RecordId,
+        previous: LogPosition,
         /// The records.
-        records: Vec<Record>,
-        /// How many records are fixed.
+        records: Vec<LogRecord>,
+        /// How many records are committed.
         committed: u64,
     },
-    /// All up to this place is on this machine's disk, as the leader has it.
+    /// All records up to this index are on this machine's disk, as the leader has them.
     Appended {
         /// The leader's term.
         term: Term,
-        /// The last place.
+        /// The last index.
         last: u64,
     },
-    /// The record before is not here: so many are that may be the same.
+    /// The record before is not here; up to this index the records may be the same.
     Missing {
         /// The leader's term.
         term: Term,
-        /// The last place that may be the same.
+        /// The last index that may be the same.
         last: u64,
     },
 }
 
-/// Everything that nodes say.
+/// Any message between nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// To a relay or the leader.
@@ -245,14 +267,14 @@
     /// To a planner or a relay.
     Downward(Downward),
     /// Among control machines.
-    Control(Control),
-    /// To a control machine, which passes it on to the leader.
+    Log(LogMessage),
+    /// To a control machine, which forwards it to the leader.
     Propose(Proposal),
-    /// What became of a proposal: it is in force, or why not.
+    /// A proposal is active, or rejected.
     Proposed {
         /// The proposal.
         number: u64,
-        /// Why it came to nothing.
+        /// Why it was rejected.
         refused: Option<String>,
     },
 }
--- /dev/null
+++ b/crates/config-distribution/src/planner/relay.rs
@@ -0,0 +1,126 @@
+//! A planner as a relay: it answers for the leases of its planners, and has a session with the leader.
+
+use super::Planner;
+use crate::chain::ScopeId;
+use crate::distributor::{GrantAuthority, HolderRenewal};
+use crate::message::{Downward, Message, Refusal, ScopeStatus, SessionId, Upward};
+use crate::subscriber::{Outgoing, SessionPolicy, Subscriber};
+use grebespool_leader_election::MemberId;
+use std::time::Duration;
+
+impl Planner {
+    /// Whether it is a relay that has not turned to a leader.
+    pub(super) fn lacks_leader(&self) -> bool {
+        self.leader.is_none() && (self.is_relay || !self.distributor.is_empty())
+    }
+
+    /// Whether it serves as a relay in place of others that were lost.
+    pub(super) fn stands_in(&self) -> bool {
+        self.leader.is_some() && !self.is_relay
+    }
+
+    /// Begins sessions with the leader, and tells it of all scopes.
+    pub(super) fn turn_to_leader(&mut self, now: Duration) {
+        let settings = &self.config.settings;
+        let policy = SessionPolicy {
+            renew_interval: settings.renew,
+            silence_timeout: settings.relay_lease,
+            sessions: 1,
+        };
+        let mut control = self.config.control.clone();
+        // Each relay asks another machine first.
+        let first = self.config.own as usize % control.len().max(1);
+        control.rotate_left(first);
+        self.leader = Some(Subscriber::new(policy, self.config.start, self.leader_sessions, control));
+        let scopes: Vec<ScopeId> =
+            self.config.scopes.iter().copied().chain(self.distributor.scopes()).collect();
+        for scope in scopes {
+            self.report_readiness(now, scope);
+        }
+    }
+
+    pub(super) fn stop_standing_in(&mut self, upward: &mut Outgoing) {
+        if let Some(mut leader) = self.leader.take() {
+            leader.release(upward);
+            self.leader_sessions = leader.sessions();
+        }
+        self.reported.clear();
+    }
+
+    /// Tells the leader up to which revision of a scope this relay and its planners are ready. From then on nobody who is
+    /// behind that is granted a lease.
+    pub(super) fn report_readiness(&mut self, now: Duration, scope: ScopeId) {
+        let held = self.store.position(scope);
+        let Some(leader) = &mut self.leader else {
+            self.lagging.remove(&scope);
+            return;
+        };
+        let ready = held.revision.min(self.distributor.ready(now, scope));
+        let reported = self.reported.entry(scope).or_default();
+        *reported = (*reported).max(ready);
+        self.distributor.promise(scope, *reported);
+        leader.set_status(ScopeStatus { scope, held, ready: *reported });
+        if *reported < held.revision {
+            self.lagging.insert(scope);
+        } else {
+            self.lagging.remove(&scope);
+        }
+    }
+
+    /// The newest term that was seen.
+    pub(super) fn term(&self) -> u64 {
+        self.relays.term().max(self.leader.as_ref().map_or(0, Subscriber::term))
+    }
+
+    pub(super) fn upward_received(&mut self, now: Duration, from: MemberId, message: Upward) {
+        match message {
+            Upward::Attach { session, term, statuses } => {
+                if !self.config.zone_planners.contains(&from) {
+                    self.rejections.other_zone += 1;
+                    let why = Refusal::OtherZone;
+                    return self.outbox.push((from, Message::Downward(Downward::Refused { session, why })));
+                }
+                self.relays.see_term(term);
+                self.attach_planner(now, from, session, &statuses);
+            }
+            Upward::Renew { session, count, statuses } => {
+                let renewal = HolderRenewal { holder: from, session, count, statuses: &statuses };
+                self.renew_planner(now, &renewal);
+            }
+            Upward::Release { session } => self.distributor.release(from, session),
+        }
+    }
+
+    fn attach_planner(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        session: SessionId,
+        statuses: &[ScopeStatus],
+    ) {
+        let mut out = vec![];
+        let term = self.term();
+        self.distributor.attach(now, &self.store, (from, session, term), statuses, &mut out);
+        self.report_all(now, statuses);
+        self.send_downward(out);
+    }
+
+    /// Grants a lease that lasts no longer than this relay's own.
+    fn renew_planner(&mut self, now: Duration, renewal: &HolderRenewal) {
+        let mut out = vec![];
+        let leader = self.leader.as_ref();
+        let left = leader.map(|leader| leader.any_leased_until().saturating_sub(now));
+        let lease_left = left.filter(|left| !left.is_zero());
+        let covers = |scope| leader.is_some_and(|leader| leader.leased_until(scope) > now);
+        let authority = GrantAuthority { term: self.term(), lease_left, covers: &covers };
+        self.distributor.renew(now, &self.store, renewal, &authority, &mut out);
+        self.report_all(now, renewal.statuses);
+        self.send_downward(out);
+    }
+
+    fn report_all(&mut self, now: Duration, statuses: &[ScopeStatus]) {
+        for status in statuses {
+            self.report_readiness(now, status.scope);
+        }
+    }
+}
--- /dev/null
+++ b/crates/config-distribution/src/replica/leader.rs
@@ -0,0 +1,232 @@
+//! What a control machine does with its log while it leads.
+
+use super::{LogReplica, MAX_RECORDS, RETRANSMIT_AFTER};
+use crate::message::{LogEntry, LogMessage, LogPosition, LogRecord, Term};
+use grebespool_leader_election::MemberId;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+#[derive(Debug, Clone)]
+enum Phase {
+    /// Asks the others for their last records.
+    Asking { answers: BTreeMap<MemberId, LogPosition> },
+    /// Fetches a more advanced log: from whom, the next index, and the last.
+    Fetching { from: MemberId, next: u64, last: u64 },
+    /// Appends records.
+    Leading,
+}
+
+/// What was sent to another machine last.
+#[derive(Debug, Clone, Copy)]
+struct SentRecords {
+    until: u64,
+    at: Duration,
+}
+
+/// One term in which this machine leads.
+#[derive(Debug, Clone)]
+pub(super) struct Leadership {
+    term: Term,
+    phase: Phase,
+    /// Up to which index each other's log is the leader's.
+    matched: BTreeMap<MemberId, u64>,
+    sent: BTreeMap<MemberId, SentRecords>,
+    retransmit_at: Duration,
+}
+
+impl Leadership {
+    pub(super) fn retransmit_at(&self) -> Duration {
+        self.retransmit_at
+    }
+
+    fn is_leading(&self) -> bool {
+        matches!(self.phase, Phase::Leading)
+    }
+}
+
+impl LogReplica {
+    /// The term that this machine leads in, once it may append.
+    pub fn leading_term(&self) -> Option<Term> {
+        self.leadership
+            .as_ref()
+            .filter(|leadership| leadership.is_leading())
+            .map(|leadership| leadership.term)
+    }
+
+    /// This machine leads from now on.
+    pub fn lead(&mut self, now: Duration, term: Term) {
+        if term < self.term {
+            return;
+        }
+        self.term = term;
+        self.write(self.log.len(), vec![]);
+        self.leadership = Some(Leadership {
+            term,
+            phase: Phase::Asking { answers: BTreeMap::new() },
+            matched: BTreeMap::new(),
+            sent: BTreeMap::new(),
+            retransmit_at: now,
+        });
+        self.timer_fired(now);
+    }
+
+    /// This machine leads no longer.
+    pub fn follow(&mut self) {
+        self.leadership = None;
+    }
+
+    /// Retransmits what was not answered, if it is time.
+    pub fn timer_fired(&mut self, now: Duration) {
+        let Some(leadership) = self.leadership.as_mut().filter(|leadership| now >= leadership.retransmit_at)
+        else {
+            return;
+        };
+        leadership.retransmit_at = now + RETRANSMIT_AFTER;
+        let term = leadership.term;
+        match &leadership.phase {
+            Phase::Asking { answers } => {
+                for other in self.others.iter().filter(|other| !answers.contains_key(other)) {
+                    self.outbox.push((*other, LogMessage::Recover { term }));
+                }
+            }
+            Phase::Fetching { from, next, .. } => {
+                self.outbox.push((*from, LogMessage::Fetch { term, from: *next }));
+            }
+            Phase::Leading => self.append_to_all(now, true),
+        }
+    }
+
+    /// Continues with the most advanced log, once a quorum has answered and this machine's disk has the term.
+    pub(super) fn choose_log(&mut self, now: Duration) {
+        let (own, persisted) = (self.last(), self.all_persisted());
+        let Some(leadership) = &mut self.leadership else { return };
+        let Phase::Asking { answers } = &leadership.phase else { return };
+        let quorum = (answers.len() + 1) * 2 > self.others.len() + 1;
+        if !quorum || !persisted {
+            return;
+        }
+        let best = answers.iter().max_by_key(|(_, last)| **last).map(|(id, last)| (*id, *last));
+        match best.filter(|(_, last)| *last > own) {
+            Some((from, last)) => {
+                // Committed records are the same in both.
+                leadership.phase = Phase::Fetching { from, next: self.committed + 1, last: last.index };
+                leadership.retransmit_at = now;
+                self.timer_fired(now);
+            }
+            None => self.begin(now),
+        }
+    }
+
+    fn begin(&mut self, now: Duration) {
+        if let Some(leadership) = &mut self.leadership {
+            leadership.phase = Phase::Leading;
+            self.append(now, vec![LogEntry::Begin]);
+        }
+    }
+
+    /// Appends entries, as the leader.
+    pub fn append(&mut self, now: Duration, entries: Vec<LogEntry>) {
+        let Some(term) = self.leading_term().filter(|_| !entries.is_empty()) else { return };
+        let records = entries.into_iter().map(|entry| LogRecord { term, entry }).collect();
+        self.write(self.log.len(), records);
+        self.append_to_all(now, false);
+        self.commit(now);
+    }
+
+    fn append_to_all(&mut self, now: Duration, retransmit: bool) {
+        for other in self.others.clone() {
+            self.append_to(now, other, retransmit);
+        }
+    }
+
+    /// Sends another machine what it lacks; with `retransmit` also what was sent before.
+    fn append_to(&mut self, now: Duration, other: MemberId, retransmit: bool) {
+        let (end, committed) = (self.log.len() as u64, self.committed);
+        let Some(leadership) = &mut self.leadership else { return };
+        let matched = leadership.matched.get(&other).copied().unwrap_or(committed.min(end));
+        let unsent = SentRecords { until: matched, at: Duration::ZERO };
+        let sent = leadership.sent.get(&other).copied().unwrap_or(unsent);
+        let overdue = retransmit && now >= sent.at + RETRANSMIT_AFTER;
+        let from = if overdue { matched } else { sent.until.max(matched) };
+        if from == end && !retransmit {
+            return;
+        }
+        let until = end.min(from + MAX_RECORDS as u64);
+        leadership.sent.insert(other, SentRecords { until, at: now });
+        let term = leadership.term;
+        let records = self.log[from as usize..until as usize].to_vec();
+        let previous = LogPosition { term: self.term_at(from).unwrap_or(0), index: from };
+        self.outbox.push((other, LogMessage::Append { term, previous, records, committed }));
+    }
+
+    /// Commits what a quorum has on its disks. A record of a former term is committed only with one of this term.
+    pub(super) fn commit(&mut self, now: Duration) {
+        let Some(leadership) = self.leadership.as_ref().filter(|leadership| leadership.is_leading()) else {
+            return;
+        };
+        let matched = |other: &MemberId| leadership.matched.get(other).copied().unwrap_or(0);
+        let mut ends: Vec<u64> = self.others.iter().map(matched).collect();
+        ends.push(self.durable);
+        ends.sort_unstable_by(|a, b| b.cmp(a));
+        let index = ends[ends.len() / 2];
+        if index > self.committed && self.term_at(index) == Some(leadership.term) {
+            self.committed = index;
+            self.append_to_all(now, true);
+        }
+    }
+
+    /// The leadership in this term.
+    fn leadership_in(&mut self, term: Term) -> Option<&mut Leadership> {
+        self.leadership.as_mut().filter(|leadership| leadership.term == term)
+    }
+
+    pub(super) fn recovered_received(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        term: Term,
+        last: LogPosition,
+    ) {
+        if let Some(Leadership { phase: Phase::Asking { answers }, .. }) = self.leadership_in(term) {
+            answers.insert(from, last);
+            self.choose_log(now);
+        }
+    }
+
+    pub(super) fn fetched_received(
+        &mut self,
+        now: Duration,
+        from: MemberId,
+        term: Term,
+        index: u64,
+        records: Vec<LogRecord>,
+    ) {
+        let Some(leadership) = self.leadership_in(term) else { return };
+        let Phase::Fetching { from: source, next, last } = &mut leadership.phase else { return };
+        if *source != from || *next != index || records.is_empty() {
+            return;
+        }
+        *next = index + records.len() as u64;
+        let complete = *next > *last;
+        leadership.retransmit_at = now;
+        self.write(index as usize - 1, records);
+        if complete { self.begin(now) } else { self.timer_fired(now) }
+    }
+
+    pub(super) fn appended_received(&mut self, now: Duration, from: MemberId, term: Term, last: u64) {
+        if let Some(leadership) = self.leadership_in(term) {
+            let matched = leadership.matched.entry(from).or_default();
+            *matched = (*matched).max(last);
+            self.commit(now);
+            self.append_to(now, from, false);
+        }
+    }
+
+    pub(super) fn missing_received(&mut self, now: Duration, from: MemberId, term: Term, last: u64) {
+        if let Some(leadership) = self.leadership_in(term) {
+            leadership.matched.insert(from, last);
+            leadership.sent.insert(from, SentRecords { until: last, at: Duration::ZERO });
+            self.append_to(now, from, false);
+        }
+    }
+}
--- a/crates/config-distribution/src/settings.rs
+++ b/crates/config-distribution/src/settings.rs
@@ -50,18 +50,18 @@
     }
 }
 
-/// Settings that cannot be.
+/// A setting that is not valid.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("{field}: {cause}")]
-pub struct BadSettings {
+pub struct SettingsError {
     /// The field.
     pub field: &'static str,
     /// What is wrong with it.
     pub cause: String,
 }
 
-fn bad(field: &'static str, cause: impl Into<String>) -> Result<(), BadSettings> {
-    Err(BadSettings { field, cause: cause.into() })
+fn invalid(field: &'static str, cause: impl Into<String>) -> Result<(), SettingsError> {
+    Err(SettingsError { field, cause: cause.into() })
 }
 
 impl Settings {
@@ -73,38 +73,44 @@
     /// # Errors
     ///
     /// The first field that cannot be, and why.
-    pub fn check(&self) -> Result<(), BadSettings> {
+    pub fn check(&self) -> Result<(), SettingsError> {
         if self.fan_out == 0 {
-            return bad("fan_out", "0: a relay has one planner at least");
+            return invalid("fan_out", "0: a relay has one planner at least");
         }
         if self.most_planners < 2 * self.fan_out {
             let cause =
                 format!("{} is less than two relays' planners of {} each", self.most_planners, self.fan_out);
-            return bad("most_planners", cause);
+            return invalid("most_planners", cause);
         }
         if !(0.0..0.2).contains(&self.drift) {
-            return bad("drift", format!("{}: 0 to 0.2 can be", self.drift));
+            return invalid("drift", format!("{}: 0 to 0.2 can be", self.drift));
         }
         if self.planner_lease < self.renew * 2 {
-            return bad("planner_lease", format!("{:?} is shorter than two renewals", self.planner_lease));
+            return invalid(
+                "planner_lease",
+                format!("{:?} is shorter than two renewals", self.planner_lease),
+            );
         }
         if self.relay_lease < self.planner_lease {
-            return bad("relay_lease", format!("{:?} is shorter than planner_lease", self.relay_lease));
+            return invalid("relay_lease", format!("{:?} is shorter than planner_lease", self.relay_lease));
         }
         if self.relay_patience < self.planner_patience + self.planner_lease {
             let cause = format!("{:?} does not let a relay wait for a planner's lease", self.relay_patience);
-            return bad("relay_patience", cause);
+            return invalid("relay_patience", cause);
         }
         for (field, rate) in [("planner_budget", self.planner_budget), ("relay_budget", self.relay_budget)] {
             if !(rate.bytes_per_second > 0.0 && rate.burst >= Self::LEAST_BURST) {
-                return bad(
+                return invalid(
                     field,
                     format!("{rate:?} does not let one link of {} bytes through", Self::LEAST_BURST),
                 );
             }
         }
         if self.part_bytes == 0 || self.part_bytes as f64 > self.planner_budget.burst {
-            return bad("part_bytes", format!("{}: a part has to fit into planner_budget", self.part_bytes));
+            return invalid(
+                "part_bytes",
+                format!("{}: a part has to fit into planner_budget", self.part_bytes),
+            );
         }
         Ok(())
     }
--- a/crates/config-distribution/tests/fixtures.rs
+++ b/crates/config-distribution/tests/fixtures.rs
@@ -1,7 +1,6 @@
 //! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_config_consensus::{Change, Limit, ServerState};
 use grebespool_config_distribution::*;
@@ -60,8 +59,8 @@
     SessionId { start: 5, number: 300 }
 }
 
-fn fact() -> Fact {
-    Fact { scope: SCOPE, held: chain().0.position(), ready: 2 }
+fn status() -> ScopeStatus {
+    ScopeStatus { scope: SCOPE, held: chain().0.position(), ready: 2 }
 }
 
 fn part() -> SnapshotPart {
@@ -74,22 +73,25 @@
 }
 
 /// Every kind of entry of the log.
-fn records() -> Vec<Record> {
+fn records() -> Vec<LogRecord> {
     let link = chain().1[0].clone();
     let entries = [
-        Entry::Begin,
-        Entry::Link(link, vec![(11, 1 << 40), (12, 3)]),
-        Entry::Register(21, 4),
-        Entry::Unregister(22),
+        LogEntry::Begin,
+        LogEntry::Link(
+            link,
+            vec![ProposalKey { proposer: 11, number: 1 << 40 }, ProposalKey { proposer: 12, number: 3 }],
+        ),
+        LogEntry::Register(21, 4),
+        LogEntry::Unregister(22),
     ];
-    entries.into_iter().map(|entry| Record { term: 9, entry }).collect()
+    entries.into_iter().map(|entry| LogRecord { term: 9, entry }).collect()
 }
 
 fn upward() -> Vec<(&'static str, Upward)> {
     let session = session();
     vec![
-        ("attach", Upward::Attach { session, term: 9, facts: vec![fact()] }),
-        ("renew", Upward::Renew { session, count: 1000, facts: vec![fact()] }),
+        ("attach", Upward::Attach { session, term: 9, statuses: vec![status()] }),
+        ("renew", Upward::Renew { session, count: 1000, statuses: vec![status()] }),
         ("release", Upward::Release { session }),
     ]
 }
@@ -109,20 +111,28 @@
         ("refused-full", refused(Refusal::Full)),
         ("refused-other-history", refused(Refusal::OtherHistory(SCOPE))),
         ("refused-other-zone", refused(Refusal::OtherZone)),
-        ("leaving", Downward::Leaving),
+        ("leaving", Downward::ShuttingDown),
     ]
 }
 
-fn control() -> Vec<(&'static str, Control)> {
+fn control() -> Vec<(&'static str, LogMessage)> {
     let (term, last) = (9, 300);
     vec![
-        ("recover", Control::Recover { term }),
-        ("recovered", Control::Recovered { term, last: (8, 299) }),
-        ("fetch", Control::Fetch { term, from: 17 }),
-        ("fetched", Control::Fetched { term, from: 17, records: records() }),
-        ("append", Control::Append { term, previous: (8, 299), records: records(), committed: 298 }),
-        ("appended", Control::Appended { term, last }),
-        ("missing", Control::Missing { term, last }),
+        ("recover", LogMessage::Recover { term }),
+        ("recovered", LogMessage::Recovered { term, last: LogPosition { term: 8, index: 299 } }),
+        ("fetch", LogMessage::Fetch { term, from: 17 }),
+        ("fetched", LogMessage::Fetched { term, from: 17, records: records() }),
+        (
+            "append",
+            LogMessage::Append {
+                term,
+                previous: LogPosition { term: 8, index: 299 },
+                records: records(),
+                committed: 298,
+            },
+        ),
+        ("appended", LogMessage::Appended { term, last }),
+        ("missing", LogMessage::Missing { term, last }),
     ]
 }
 
@@ -130,7 +140,7 @@
 fn messages_between_nodes_keep_their_bytes() {
     let upward = upward().into_iter().map(|(name, message)| (name, Message::Upward(message)));
     let downward = downward().into_iter().map(|(name, message)| (name, Message::Downward(message)));
-    let control = control().into_iter().map(|(name, message)| (name, Message::Control(message)));
+    let control = control().into_iter().map(|(name, message)| (name, Message::Log(message)));
     let refused = Some("a limit that is not known".to_string());
     let proposals = [
         ("propose", Message::Propose(proposal())),
--- a/crates/config-distribution/tests/parts.rs
+++ b/crates/config-distribution/tests/parts.rs
@@ -1,7 +1,6 @@
 //! The parts by themselves: chains and snapshots that are wrong, budgets, settings, and who is a relay.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_config_consensus::{Change, Limit};
 use grebespool_config_distribution::*;
@@ -10,8 +9,8 @@
 
 const SCOPE: ScopeId = ScopeId(7);
 
-fn prepare(most: f64) -> Step {
-    Step::Prepare(vec![Change::Limit("draw".into(), Some(Limit::AtMost(most)))])
+fn prepare(watts: f64) -> Step {
+    Step::Prepare(vec![Change::Limit("draw".into(), Some(Limit::AtMost(watts)))])
 }
 
 /// A chain of so many links, and the links.
@@ -46,7 +45,7 @@
 #[case::an_older_one(|l: &[Link]| l[0].clone(), ChainError::GoesBack { found: 1, held: 4 })]
 #[case::of_another_scope(|l: &[Link]| Link { scope: ScopeId(8), ..l[4].clone() }, ChainError::OtherScope { found: ScopeId(8), wanted: SCOPE })]
 #[case::nothing_to_activate(|l: &[Link]| Link { step: Step::Activate, ..l[4].clone() }, ChainError::NothingPrepared)]
-fn a_link_that_does_not_follow_is_refused(#[case] link: fn(&[Link]) -> Link, #[case] why: ChainError) {
+fn rejects_a_link_that_does_not_follow(#[case] link: fn(&[Link]) -> Link, #[case] why: ChainError) {
     let links = chain(8).1;
     let (mut held, _) = chain(4);
     let before = held.clone();
@@ -56,7 +55,7 @@
 }
 
 #[rstest]
-fn another_history_and_another_content_are_told_apart() {
+fn tells_another_history_from_another_state() {
     let (mut held, links) = chain(4);
     assert!(matches!(held.apply(other_link(4)), Err(ChainError::OtherHistory { revision: 5, .. })));
     let next = chain(5).1[4].clone();
@@ -68,7 +67,7 @@
 #[rstest]
 #[case::whole(1 << 20)]
 #[case::in_parts(5)]
-fn a_snapshot_brings_who_is_behind_up_to_date(#[case] part_bytes: usize) {
+fn updates_a_store_from_a_snapshot(#[case] part_bytes: usize) {
     let (newer, links) = chain(9);
     let snapshot = newer.snapshot();
     let parts: Vec<&[u8]> = snapshot.state.chunks(part_bytes).collect();
@@ -98,7 +97,7 @@
 #[case::cut_short(|p: &mut SnapshotPart| p.bytes.truncate(3), true)]
 #[case::older_than_what_is_held(|p: &mut SnapshotPart| p.position.revision = 2, true)]
 #[case::as_it_was(|_: &mut SnapshotPart| (), false)]
-fn a_snapshot_that_is_wrong_is_refused(#[case] alter: fn(&mut SnapshotPart), #[case] refused: bool) {
+fn rejects_a_wrong_snapshot(#[case] alter: fn(&mut SnapshotPart), #[case] refused: bool) {
     let snapshot = chain(9).0.snapshot();
     let (scope, position, parent, bytes) = (SCOPE, snapshot.position, snapshot.parent, snapshot.state);
     let mut part = SnapshotPart { scope, position, parent, part: 0, parts: 1, bytes };
@@ -109,7 +108,7 @@
 }
 
 #[rstest]
-fn links_are_kept_for_who_is_a_little_behind_only() {
+fn keeps_the_newest_links_only() {
     let (long, links) = chain(2 * LINKS_KEPT as u64);
     let position = |k: usize| Position { revision: links[k].revision, hash: links[k].hash };
     let last = links.len() - 1;
@@ -121,7 +120,7 @@
 }
 
 #[rstest]
-fn a_bucket_lets_its_rate_through_and_no_more_than_its_burst_at_once() {
+fn limits_bytes_to_the_rate_and_the_burst() {
     let rate = Rate { bytes_per_second: 3000.0, burst: 6000.0 };
     let mut bucket = TokenBucket::new(rate, Duration::ZERO);
     let (mut sent, mut now) = (0usize, Duration::ZERO);
@@ -149,7 +148,7 @@
 #[case::no_budget(|s: &mut Settings| s.relay_budget.bytes_per_second = 0.0, "relay_budget")]
 #[case::parts_beyond_the_budget(|s: &mut Settings| s.part_bytes = 1 << 20, "part_bytes")]
 #[case::a_wild_clock(|s: &mut Settings| s.drift = 0.5, "drift")]
-fn settings_that_cannot_be_are_refused_by_field(#[case] alter: fn(&mut Settings), #[case] field: &str) {
+fn rejects_invalid_settings_by_field(#[case] alter: fn(&mut Settings), #[case] field: &str) {
     let mut settings = Settings::default();
     assert_eq!(settings.check(), Ok(()));
     alter(&mut settings);
@@ -162,7 +161,7 @@
 #[case(2, 2)]
 #[case(9, 2)]
 #[case(88, 11)]
-fn relays_are_the_same_for_all_and_shared_out(#[case] planners: u64, #[case] wanted: usize) {
+fn chooses_the_same_relays_everywhere_and_spreads_planners(#[case] planners: u64, #[case] wanted: usize) {
     let all: Vec<u64> = (1..=planners).map(|k| k * 7919).collect();
     let fan_out = Settings::default().fan_out;
     let relays: Vec<u64> = all.iter().copied().filter(|own| is_relay(3, &all, *own, fan_out)).collect();
--- a/crates/config-distribution/tests/schedules/size.rs
+++ b/crates/config-distribution/tests/schedules/size.rs
@@ -2,7 +2,7 @@
 //! planner spends. `cargo test --release -p grebespool-config-distribution size -- --nocapture` prints the figures;
 //! `DISTRIBUTION_PLANNERS=4000` before it has another size.
 
-use crate::world::*;
+use crate::fleet::*;
 use grebespool_config_distribution::ScopeId;
 use rand::Rng;
 use rstest::rstest;
@@ -34,51 +34,51 @@
 #[case::as_planned(1.0, 1.0, 120)]
 #[case::ten_times_the_restarts(10.0, 1.0, 60)]
 #[case::a_hundred_changes_at_once(1.0, 0.0, 20)]
-fn a_change_is_in_force_in_time_at_size(#[case] restarts: f64, #[case] changes: f64, #[case] seconds: u64) {
-    let mut world = World::sized(CONTROL, zones(), planners(), 3);
-    world.slowest = MS(150);
-    world.run(S(10));
+fn activates_changes_in_time_at_size(#[case] restarts: f64, #[case] changes: f64, #[case] seconds: u64) {
+    let mut fleet = TestFleet::sized(CONTROL, zones(), planners(), 3);
+    fleet.max_delay = MS(150);
+    fleet.run(S(10));
     let part = planners() as f64 / PLANNED;
-    let began = world.now;
-    let first = world.answered.len() + world.open.len();
+    let began = fleet.now;
+    let first = fleet.answered.len() + fleet.open.len();
     let (mut restarted, mut changed) = (0.0, 0.0);
     let mut down: Vec<(Duration, u64)> = vec![];
     if changes == 0.0 {
         for k in 0..100 {
-            let scope = world.some_scope();
-            world.propose(scope, draw(f64::from(k) + 0.25));
+            let scope = fleet.random_scope();
+            fleet.propose(scope, draw_limit(f64::from(k) + 0.25));
         }
     }
-    world.count_bytes();
-    while world.now < began + S(seconds) {
-        let passed = (world.now - began).as_secs_f64();
+    fleet.count_bytes();
+    while fleet.now < began + S(seconds) {
+        let passed = (fleet.now - began).as_secs_f64();
         // At least some happen in a small fleet too.
         while restarted < passed / RESTART_EVERY * (restarts * part).max(0.5) {
             restarted += 1.0;
-            let planners = world.planners();
-            let id = planners[world.rng.random_range(0..planners.len())];
-            if world.rng.random_bool(FAILURES) {
-                world.crash(id)
+            let planners = fleet.planners();
+            let id = planners[fleet.rng.random_range(0..planners.len())];
+            if fleet.rng.random_bool(FAILURES) {
+                fleet.crash(id)
             } else {
-                world.leave(id)
+                fleet.shut_down(id)
             }
-            down.push((world.now + DOWN, id));
+            down.push((fleet.now + DOWN, id));
         }
         while changed < passed / CHANGE_EVERY * changes {
             changed += 1.0;
-            let scope = world.some_scope();
-            world.propose(scope, draw(changed));
+            let scope = fleet.random_scope();
+            fleet.propose(scope, draw_limit(changed));
         }
-        world.run(STEP);
-        let now = world.now;
+        fleet.run(STEP);
+        let now = fleet.now;
         let up: Vec<u64> = down.iter().filter(|d| d.0 <= now).map(|d| d.1).collect();
         down.retain(|d| d.0 > now);
-        up.into_iter().for_each(|id| world.boot(id));
+        up.into_iter().for_each(|id| fleet.start(id));
     }
-    let bytes = world.bytes_per_second(S(seconds));
-    world.run(S(4));
-    assert!(world.open.is_empty(), "{:?}", world.open);
-    let mut took: Vec<Duration> = world.took.iter().skip(first).copied().collect();
+    let bytes = fleet.take_sent_bytes(S(seconds));
+    fleet.run(S(4));
+    assert!(fleet.open.is_empty(), "{:?}", fleet.open);
+    let mut took: Vec<Duration> = fleet.took.iter().skip(first).copied().collect();
     took.sort();
     let at = |part: f64| took[(part * (took.len() - 1) as f64).round() as usize];
     println!(
@@ -91,49 +91,49 @@
         at(0.9),
         at(0.99),
         at(1.0),
-        bytes.0,
-        bytes.1,
-        bytes.2
+        bytes.planner,
+        bytes.busiest_planner,
+        bytes.leader
     );
-    assert_eq!(world.broken, Vec::<String>::new());
+    assert_eq!(fleet.violations, Vec::<String>::new());
     assert!(at(1.0) < S(3), "{took:?}");
 }
 
-fn relays_of_ten_zones(world: &mut World) {
-    let relays: Vec<u64> = (0..zones().min(10)).filter_map(|zone| world.relay_of(zone)).collect();
+fn relays_of_ten_zones(fleet: &mut TestFleet) {
+    let relays: Vec<u64> = (0..zones().min(10)).filter_map(|zone| fleet.relay_of(zone)).collect();
     assert_eq!(relays.len(), zones().min(10) as usize);
-    relays.into_iter().for_each(|id| world.crash(id));
+    relays.into_iter().for_each(|id| fleet.crash(id));
 }
 
-fn leader(world: &mut World) {
-    let (id, _) = world.leader.unwrap();
-    world.crash(id);
+fn leader(fleet: &mut TestFleet) {
+    let (id, _) = fleet.leader.unwrap();
+    fleet.crash(id);
 }
 
-fn a_minority_of_control(world: &mut World) {
-    let control = world.control();
-    control.into_iter().take(CONTROL / 2).for_each(|id| world.crash(id));
+fn a_minority_of_control(fleet: &mut TestFleet) {
+    let control = fleet.control();
+    control.into_iter().take(CONTROL / 2).for_each(|id| fleet.crash(id));
 }
 
 #[rstest]
 #[case::a_relay_of_each_of_ten_zones(relays_of_ten_zones)]
 #[case::the_leader(leader)]
 #[case::seven_of_fifteen_control_machines(a_minority_of_control)]
-fn a_change_is_in_force_in_time_after_a_loss_at_size(#[case] loss: fn(&mut World)) {
-    let mut world = World::sized(CONTROL, zones(), planners(), 5);
-    world.slowest = MS(150);
-    world.run(S(10));
-    let before = world.took.len();
-    loss(&mut world);
+fn activates_changes_in_time_after_a_loss_at_size(#[case] loss: fn(&mut TestFleet)) {
+    let mut fleet = TestFleet::sized(CONTROL, zones(), planners(), 5);
+    fleet.max_delay = MS(150);
+    fleet.run(S(10));
+    let before = fleet.took.len();
+    loss(&mut fleet);
     for service in 100..104 {
-        world.propose(ScopeId(service), draw(42.0));
+        fleet.propose(ScopeId(service), draw_limit(42.0));
     }
-    world.run(S(6));
-    let worst = world.took[before..].iter().max().copied();
+    fleet.run(S(6));
+    let worst = fleet.took[before..].iter().max().copied();
     println!("{} planners: in force after {worst:?}", planners());
-    assert!(world.open.is_empty() && worst < Some(S(3)), "{worst:?}");
-    world.heal();
-    world.run(S(8));
-    assert_eq!(world.broken, Vec::<String>::new());
-    assert!(world.agreed().is_some());
+    assert!(fleet.open.is_empty() && worst < Some(S(3)), "{worst:?}");
+    fleet.heal();
+    fleet.run(S(8));
+    assert_eq!(fleet.violations, Vec::<String>::new());
+    assert!(fleet.active_everywhere().is_some());
 }
