--- a/crates/cluster/src/commands/configuration.rs
+++ b/crates/cluster/src/commands/configuration.rs
@@ -1,7 +1,7 @@
 //! Commands on the shared configuration.
 
-use super::{ConfigurationStatus, Response};
 use crate::core::Core;
+use crate::request::{ConfigurationStatus, Response};
 use grebespool_config_consensus::{Change, ProposalOutcome, VersionId};
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/crates/cluster/src/commands/election.rs
+++ b/crates/cluster/src/commands/election.rs
@@ -1,7 +1,7 @@
 //! Commands on the members and their election.
 
-use super::{MemberStatus, Response};
 use crate::core::Core;
+use crate::request::{MemberStatus, Response};
 use grebespool_leader_election::{MemberId, MemberRole, MembershipError, Voter};
 
 /// The state of this member and its election.
--- a/crates/cluster/src/commands/sites.rs
+++ b/crates/cluster/src/commands/sites.rs
@@ -1,7 +1,7 @@
 //! Commands on sites, which whoever plans while this member leads answers.
 
-use super::{Request, Response, SiteRequest};
 use crate::core::Core;
+use crate::request::{Request, Response, SiteRequest};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
--- a/crates/cluster/src/commands/tasks.rs
+++ b/crates/cluster/src/commands/tasks.rs
@@ -1,7 +1,7 @@
 //! Commands on singleton tasks.
 
-use super::{Response, TaskOrder};
 use crate::core::Core;
+use crate::request::{Response, TaskOrder};
 use crate::task_host::{TaskHost, TaskRecorder};
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Duties, Duty, LateOwner, Refused, Shown};
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -1,10 +1,10 @@
 //! What the tasks of a running member share.
 
-use crate::commands::SiteRequest;
 use crate::configuration_host::ConfigurationHost;
 use crate::election_host::ElectionHost;
 use crate::endpoint::LocalEndpoint;
 use crate::peer_link::{EncodedSnapshot, PeerLink};
+use crate::request::SiteRequest;
 use crate::snapshots::ReceivedSnapshot;
 use crate::task_host::TaskHost;
 use grebespool_leader_election::{Member as Election, MemberId, Snapshot, SnapshotError, Voter};
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -9,6 +9,7 @@
 //! [`Role`] says so.
 
 mod accounts;
+mod client;
 mod commands;
 mod configuration_host;
 mod core;
@@ -20,6 +21,7 @@
 mod listener;
 mod member;
 mod peer_link;
+mod request;
 mod snapshots;
 mod store;
 mod task_host;
@@ -27,13 +29,12 @@
 mod writer;
 
 pub use accounts::{AccountAudit, audit_accounts};
-pub use commands::{
-    ConfigurationStatus, MemberStatus, Request, Response, SiteRequest, TaskOrder, send_request,
-};
+pub use client::send_request;
 pub use configuration_host::LIMITS;
 pub use election_host::Role;
 pub use ids::{fleet_id, initial_membership, voter_id};
 pub use keys::{KeyFileError, Keys};
 pub use member::{Member, MemberConfig, StartError, run_member};
+pub use request::{ConfigurationStatus, MemberStatus, Request, Response, SiteRequest, TaskOrder};
 pub use store::{RecordError, Store, StoreError, StoredCells};
 pub use task_host::{AccountSettings, TaskSettings};
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -1,13 +1,13 @@
 //! Starting a member, and the handle to it.
 
 use crate::accounts::PeriodCloser;
-use crate::commands::SiteRequest;
 use crate::configuration_host::ConfigurationHost;
 use crate::core::{Core, TimedSnapshot};
 use crate::election_host::{ElectionHost, Role};
 use crate::endpoint::LocalEndpoint;
 use crate::keys::{KeyFile, KeyFileError};
 use crate::listener::accept_loop;
+use crate::request::SiteRequest;
 use crate::store::Store;
 use crate::task_host::{TaskHost, TaskSettings};
 use crate::transport::Identity;
--- a/crates/cluster/src/transport/error.rs
+++ b/crates/cluster/src/transport/error.rs
@@ -1,6 +1,6 @@
 //! StepDownReason a stream between members fails.
 
-use super::PROTOCOL_VERSION;
+use super::identity::PROTOCOL_VERSION;
 use grebespool_leader_election::MemberId;
 use std::io;
 use thiserror::Error;
--- a/crates/cluster/src/transport/handshake.rs
+++ b/crates/cluster/src/transport/handshake.rs
@@ -1,6 +1,7 @@
 //! The first bytes of a stream: both sides say who they are, and derive the keys of the stream.
 
-use super::TransportError;
+use super::error::TransportError;
+use super::identity::{Identity, PROTOCOL_VERSION};
 use crate::keys::Keys;
 use grebespool_leader_election::MemberId;
 use rand::RngCore;
@@ -12,18 +13,6 @@
 const ACCEPTING: &str = "listener";
 const HELLO_BYTES: usize = 4 + 2 + 8 + 8 + 8 + 16;
 
-/// The protocol version of this program; a member of another version is told so and closed.
-pub const PROTOCOL_VERSION: u16 = 2;
-
-/// Who one side of a stream is.
-#[derive(Debug, Clone, Copy)]
-pub struct Identity {
-    /// Its fleet.
-    pub fleet: u64,
-    /// The member; 0 for an operator.
-    pub id: MemberId,
-}
-
 /// A side of a stream.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Side {
--- a/crates/cluster/src/transport/mod.rs
+++ b/crates/cluster/src/transport/mod.rs
@@ -6,10 +6,11 @@
 
 mod error;
 mod handshake;
+mod identity;
 mod packet;
 
 pub use error::TransportError;
-pub use handshake::{Identity, PROTOCOL_VERSION};
+pub use identity::{Identity, PROTOCOL_VERSION};
 pub use packet::Packet;
 
 use crate::keys::Keys;
--- a/crates/cluster/src/transport/packet.rs
+++ b/crates/cluster/src/transport/packet.rs
@@ -1,6 +1,6 @@
 //! The body of a frame.
 
-use crate::commands::{Request, Response};
+use crate::request::{Request, Response};
 use serde::{Deserialize, Serialize};
 
 /// What is sent in one frame.
--- a/crates/config-distribution/src/chain/error.rs
+++ b/crates/config-distribution/src/chain/error.rs
@@ -7,7 +7,7 @@
 /// Why a link or a snapshot is not applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ChainError {
-    /// It belongs to another scope.
+    /// The link or snapshot is of another scope.
     #[error("it is of scope {found:?} and not of {wanted:?}")]
     OtherScope {
         /// The scope of the link.
@@ -15,49 +15,49 @@
         /// The scope of the chain.
         wanted: ScopeId,
     },
-    /// What is held is as new or newer.
+    /// The chain has this revision already, or a newer one.
     #[error("revision {found} comes after {held} is held")]
     GoesBack {
-        /// The revision that came.
+        /// The revision that was received.
         found: Revision,
-        /// The revision that is held.
+        /// The chain's revision.
         held: Revision,
     },
-    /// Links between are missing.
+    /// Links are missing before this one.
     #[error("revision {found} comes while {held} is held: links between are missing")]
     Gap {
-        /// The revision that came.
+        /// The revision that was received.
         found: Revision,
-        /// The revision that is held.
+        /// The chain's revision.
         held: Revision,
     },
-    /// The link before it is another one.
+    /// The link names another parent than the chain's last link.
     #[error("revision {revision} follows {found}, and {held} is held: two histories")]
     OtherHistory {
-        /// The revision that came.
+        /// The revision that was received.
         revision: Revision,
-        /// The parent that it names.
+        /// The parent that the link names.
         found: Digest,
-        /// The hash that is held.
+        /// The hash of the chain's last link.
         held: Digest,
     },
-    /// The state after it has another hash than it says.
+    /// The state that results has another hash than the link claims.
     #[error("revision {revision} comes to {found} and says {told}")]
     WrongState {
-        /// The revision that came.
+        /// The revision that was received.
         revision: Revision,
-        /// The hash of the state after it.
+        /// The hash of the state that results.
         found: Digest,
-        /// The hash that it names.
+        /// The hash that the link claims.
         told: Digest,
     },
-    /// It prepares a version beside one that is prepared already.
+    /// The link prepares a version while another is pending.
     #[error("it prepares a version while another is pending")]
     PreparedTwice,
-    /// It activates a version, and none is prepared.
+    /// The link activates a version, and none is pending.
     #[error("it activates a version and none is prepared")]
     NothingPrepared,
-    /// The bytes of a snapshot are none.
+    /// The state of a snapshot cannot be decoded.
     #[error("the bytes of a snapshot cannot be read")]
     Unreadable,
     /// A part of a snapshot does not follow the parts before it.
--- a/crates/config-distribution/src/settings.rs
+++ b/crates/config-distribution/src/settings.rs
@@ -1,4 +1,4 @@
-//! What all nodes of a fleet state alike.
+//! Settings that all nodes of a fleet must state alike.
 
 use crate::budget::Rate;
 use std::time::Duration;
@@ -7,25 +7,25 @@
 /// Leases, fan-out and budgets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// A planner acts so long after sending the newest renewal that its relay answered.
+    /// How long a planner may apply scopes after it sent the last renewal that its relay answered.
     pub planner_lease: Duration,
-    /// A relay answers for its planners so long after sending the newest renewal that the leader answered.
+    /// How long a relay may grant leases after it sent the last renewal that the leader answered.
     pub relay_lease: Duration,
-    /// Between two renewals.
+    /// Time between two renewals.
     pub renew: Duration,
-    /// By how much of the time a clock may be fast or slow.
+    /// Maximum relative error of a clock's rate, as a fraction.
     pub drift: f64,
-    /// A planner that has not confirmed a link so long after its relay had it is not renewed until it has.
+    /// How long after its relay has a link a planner may be without it and still be granted a lease.
     pub planner_patience: Duration,
     /// The same for a relay and the leader. Longer, since a relay waits for its planners' leases.
     pub relay_patience: Duration,
     /// Planners of one relay; each planner has two relays.
     pub fan_out: usize,
-    /// Planners that a relay takes at the most, when others of its zone are lost.
+    /// The most planners of one relay, while others of its zone are lost.
     pub most_planners: usize,
-    /// Bytes to one planner, in the long run and at once.
+    /// Rate and burst of bytes to one planner.
     pub planner_budget: Rate,
-    /// Bytes to one relay.
+    /// Rate and burst of bytes to one relay.
     pub relay_budget: Rate,
     /// Bytes of one part of a snapshot.
     pub part_bytes: usize,
@@ -65,14 +65,14 @@
 }
 
 impl Settings {
-    /// The least bytes that a budget has to let through at once: one link of some entries.
+    /// The smallest burst of a budget, in bytes: one link of some entries.
     pub const LEAST_BURST: f64 = 1024.0;
 
-    /// Checks what depends on one another.
+    /// Validates the settings, and those that depend on one another.
     ///
     /// # Errors
     ///
-    /// The first field that cannot be, and why.
+    /// The first field that is not valid, and why.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.fan_out == 0 {
             return invalid("fan_out", "0: a relay has one planner at least");
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    /// How long after the last answer a lease is surely over, by the clock of who granted it.
+    /// Time from granting a lease after which it has expired, by the clock of the node that granted it.
     pub fn outlasting(&self, lease: Duration) -> Duration {
         // Once for the holder's clock, and once for a relay's, by which a planner's lease ends with its relay's.
         let once = |lease| grebespool_leader_election::drift_adjusted_wait(lease, self.drift);
--- a/crates/config-distribution/tests/schedules/fleet/proposals.rs
+++ b/crates/config-distribution/tests/schedules/fleet/proposals.rs
@@ -1,7 +1,7 @@
 //! The proposer: an operator's tool beside the first control machine.
 
 use super::network::Event;
-use super::{MS, TestFleet};
+use super::{Id, MS, TestFleet};
 use grebespool_config_consensus::Change;
 use grebespool_config_distribution::*;
 use rand::Rng;
