--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -1,6 +1,7 @@
-//! `compare`: the same day on sockets and in the model.
+//! `compare`: the same day on sockets and in the simulation, side by side.
 
-use crate::rehearse::{BAD_DAY, Runs, host};
+use crate::error::CommandError;
+use crate::rehearse::{BAD_DAY, PlannerMode, planner_host};
 use clap::Args;
 use grebespool_emulator::rehearse;
 use grebespool_server_model::Service;
@@ -10,7 +11,7 @@
 use std::process::ExitCode;
 
 #[derive(Args)]
-pub struct CompareArguments {
+pub(crate) struct CompareArguments {
     /// A day file; the built-in bad day if left out
     day: Option<PathBuf>,
     /// Days on sockets, one after another, and seeds in the model
@@ -24,74 +25,124 @@
     worst_tolerance: f64,
     /// Run the planner as a process of its own, or as a thread of this one
     #[arg(long, value_enum, default_value = "process")]
-    planner: Runs,
+    planner: PlannerMode,
 }
 
-type Figure = (&'static str, fn(&Service) -> f64);
+/// One row of the table.
+struct Metric {
+    name: &'static str,
+    of: fn(&Service) -> f64,
+}
 
-/// What is shown of both.
-const FIGURES: [Figure; 10] = [
-    ("service", |s| s.whole),
-    ("worst 10 s", |s| s.worst),
-    ("p50 ms", |s| s.p50_ms),
-    ("p99 ms", |s| s.p99_ms),
-    ("turned away", |s| s.throttled() as f64),
-    ("late", |s| s.late() as f64),
-    ("failed", |s| s.failed() as f64),
-    ("tries a call", |s| s.tries),
-    ("connections", |s| s.connections as f64),
-    ("lines ordered", |s| s.lines as f64),
+/// The rows, in order.
+const METRICS: [Metric; 10] = [
+    Metric { name: "service", of: |service| service.whole },
+    Metric { name: "worst 10 s", of: |service| service.worst },
+    Metric { name: "p50 ms", of: |service| service.p50_ms },
+    Metric { name: "p99 ms", of: |service| service.p99_ms },
+    Metric { name: "turned away", of: |service| service.throttled() as f64 },
+    Metric { name: "late", of: |service| service.late() as f64 },
+    Metric { name: "failed", of: |service| service.failed() as f64 },
+    Metric { name: "tries a call", of: |service| service.tries },
+    Metric { name: "connections", of: |service| service.connections as f64 },
+    Metric { name: "lines ordered", of: |service| service.lines as f64 },
 ];
 
-pub fn compare(a: &CompareArguments) -> Result<ExitCode, String> {
-    let day = match &a.day {
+/// The days that were played.
+#[derive(Default)]
+struct PlayedDays {
+    on_sockets: Vec<Service>,
+    simulated: Vec<Service>,
+    /// No rule was broken on any of them.
+    rules_kept: bool,
+}
+
+/// Mean, least and greatest value of a metric.
+struct Spread {
+    mean: f64,
+    min: f64,
+    max: f64,
+}
+
+impl Spread {
+    fn of(days: &[Service], metric: fn(&Service) -> f64) -> Self {
+        let values = days.iter().map(metric);
+        let min = values.clone().fold(f64::MAX, f64::min);
+        let max = values.clone().fold(f64::MIN, f64::max);
+        Spread { mean: values.sum::<f64>() / days.len() as f64, min, max }
+    }
+}
+
+/// Runs the command.
+///
+/// # Errors
+///
+/// The day cannot be used or breaks off.
+pub(crate) fn compare(arguments: &CompareArguments) -> Result<ExitCode, CommandError> {
+    let day = match &arguments.day {
         Some(file) => Day::read(file),
         None => Day::parse(BAD_DAY, "the built-in bad day"),
-    };
-    let mut day = day.map_err(|bad| bad.to_string())?;
-    if a.seeds == 0 {
-        return Err("--seeds 0: at least one".into());
+    }?;
+    if arguments.seeds == 0 {
+        return Err(CommandError::argument("--seeds 0", "at least one"));
     }
-    let (mut sockets, mut modelled, mut kept) = (vec![], vec![], true);
-    for seed in (0..a.seeds).map(|i| day.seed + i).collect::<Vec<_>>() {
-        day.seed = seed;
-        let accounts = tempfile::tempdir().map_err(|e| e.to_string())?;
-        let played = rehearse(&day, host(a.planner, &day, accounts.path())?, None, None)
-            .map_err(|e| format!("the day broke off: {e}"))?;
-        kept &= played.kept();
-        sockets.push(played.service);
-        let played = model(&day, PlannedBy::Planner, None, &mut |_, _| {}).map_err(|why| why.to_string())?;
-        kept &= played.kept();
-        modelled.push(played.service);
+    let played = play(arguments, day)?;
+    print_table(arguments.seeds, &played);
+    let are_alike = print_differences(arguments, &played);
+    Ok(if are_alike { ExitCode::SUCCESS } else { ExitCode::from(1) })
+}
+
+fn play(arguments: &CompareArguments, mut day: Day) -> Result<PlayedDays, CommandError> {
+    let mut days = PlayedDays { rules_kept: true, ..PlayedDays::default() };
+    let first_seed = day.seed;
+    for offset in 0..arguments.seeds {
+        day.seed = first_seed + offset;
+        let accounts = tempfile::tempdir()?;
+        let host = planner_host(arguments.planner, &day, accounts.path())?;
+        let played = rehearse(&day, host, None, None).map_err(CommandError::DayBrokeOff)?;
+        days.rules_kept &= played.kept();
+        days.on_sockets.push(played.service);
+        let played = model(&day, PlannedBy::Planner, None, &mut |_, _| {})?;
+        days.rules_kept &= played.kept();
+        days.simulated.push(played.service);
     }
-    let spread = |all: &[Service], of: fn(&Service) -> f64| {
-        let values = all.iter().map(of);
-        let (least, most) = values.clone().fold((f64::MAX, f64::MIN), |(l, m), v| (l.min(v), m.max(v)));
-        (values.sum::<f64>() / all.len() as f64, least, most)
-    };
-    println!("| {} seeds | on sockets | least to most | in the model | least to most |", a.seeds);
+    Ok(days)
+}
+
+fn print_table(seeds: u64, days: &PlayedDays) {
+    println!("| {seeds} seeds | on sockets | least to most | in the model | least to most |");
     println!("| --- | --- | --- | --- | --- |");
-    let shown = |v: f64| if v.abs() < 10.0 { format!("{v:.4}") } else { format!("{v:.0}") };
-    for (name, of) in FIGURES {
-        let ((s, s0, s1), (m, m0, m1)) = (spread(&sockets, of), spread(&modelled, of));
+    for Metric { name, of } in METRICS {
+        let sockets = Spread::of(&days.on_sockets, of);
+        let simulated = Spread::of(&days.simulated, of);
         println!(
             "| {name} | {} | {} to {} | {} | {} to {} |",
-            shown(s),
-            shown(s0),
-            shown(s1),
-            shown(m),
-            shown(m0),
-            shown(m1)
+            rounded(sockets.mean),
+            rounded(sockets.min),
+            rounded(sockets.max),
+            rounded(simulated.mean),
+            rounded(simulated.min),
+            rounded(simulated.max)
         );
     }
-    let apart = |of: fn(&Service) -> f64| (spread(&sockets, of).0 - spread(&modelled, of).0).abs();
-    let (whole, worst) = (apart(|s| s.whole), apart(|s| s.worst));
+}
+
+fn rounded(value: f64) -> String {
+    if value.abs() < 10.0 { format!("{value:.4}") } else { format!("{value:.0}") }
+}
+
+/// Whether the differences are within the tolerances and no rule was broken.
+fn print_differences(arguments: &CompareArguments, days: &PlayedDays) -> bool {
+    let difference = |of: fn(&Service) -> f64| {
+        (Spread::of(&days.on_sockets, of).mean - Spread::of(&days.simulated, of).mean).abs()
+    };
+    let service = difference(|service| service.whole);
+    let worst = difference(|service| service.worst);
     println!(
-        "\nservice {whole:.4} apart (at most {}), worst ten seconds {worst:.4} (at most {}); rules {}",
-        a.tolerance,
-        a.worst_tolerance,
-        if kept { "kept in both" } else { "BROKEN" }
+        "\nservice {service:.4} apart (at most {}), worst ten seconds {worst:.4} (at most {}); rules {}",
+        arguments.tolerance,
+        arguments.worst_tolerance,
+        if days.rules_kept { "kept in both" } else { "BROKEN" }
     );
-    let alike = whole <= a.tolerance && worst <= a.worst_tolerance && kept;
-    Ok(if alike { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    service <= arguments.tolerance && worst <= arguments.worst_tolerance && days.rules_kept
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,21 +1,28 @@
-//! The command line.
+//! The command line `grebespool-cli`: parses arguments, runs one command, and turns its outcome into an exit code.
+//!
+//! Results go to standard output; the log, progress and errors to standard error.
 
 #![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
 
 mod compare;
 mod duties;
 mod editions;
+mod error;
+mod experiment;
 mod members;
 mod record;
 mod rehearse;
 mod replay;
 mod serve;
+mod simulated_days;
 mod sites;
 mod trace;
 
 use clap::{Parser, Subcommand, ValueEnum};
+use error::CommandError;
+use grebespool_settings::{Day, Planned};
 use std::io::IsTerminal;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tracing_subscriber::EnvFilter;
 
@@ -58,23 +65,11 @@
     /// Run a planner as the platform starts it: GW_CONFIG names its file (docs/operators/platform.md)
     Platform,
     /// Play a day on loopback and check the five rules; exit 0: kept, 1: one broken, 2: bad input
-    Rehearse {
-        /// A day file; the built-in bad day if left out
-        day: Option<PathBuf>,
-        /// Run the planner as a process of its own, or as a thread of this one
-        #[arg(long, value_enum, default_value = "process")]
-        planner: rehearse::Runs,
-        /// Another seed than the day's
-        #[arg(long)]
-        seed: Option<u64>,
-        /// Record the day in this file, to be replayed
-        #[arg(long, value_name = "FILE")]
-        record: Option<PathBuf>,
-    },
+    Rehearse(rehearse::RehearseArguments),
     /// Play a day in the model under other settings and compare; exit 0: rules kept, 1: one broken, 2: bad input
     Replay(Box<replay::ReplayArguments>),
     /// Sweep variants over days and seeds in the model; exit 0: rules kept, 1: one broken, 2: bad input
-    Experiment(replay::ExperimentArguments),
+    Experiment(experiment::ExperimentArguments),
     /// Play a day on sockets and in the model, side by side; exit 0: alike, 1: further apart than the tolerance
     Compare(compare::CompareArguments),
     /// Look at recordings, and make recordings of recordings or logs
@@ -127,70 +122,75 @@
     Show { file: PathBuf },
 }
 
-const BAD_INPUT: u8 = 2;
+/// The exit code of a command that cannot do what it was asked.
+const EXIT_BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    if let Err(what) = log_to_stderr(&cli) {
-        return bad_input(&what);
-    }
-    let done = match cli.command {
+    let result = log_to_stderr(&cli).and_then(|()| run(cli.command));
+    result.unwrap_or_else(|error| {
+        eprintln!("grebespool: {error}");
+        ExitCode::from(EXIT_BAD_INPUT)
+    })
+}
+
+fn run(command: Command) -> Result<ExitCode, CommandError> {
+    match command {
         Command::Serve { settings, listen, record, cloak } => {
-            serve::serve(&settings, listen, record.as_deref(), cloak.as_deref())
+            serve::serve(&settings, listen, record.as_deref(), cloak.as_deref()).map_err(CommandError::Usage)
         }
         Command::Platform => Ok(grebespool_platform_server::run()),
-        Command::Rehearse { day, planner, seed, record } => {
-            rehearse::rehearse(day.as_deref(), planner, seed, record.as_deref())
-        }
-        Command::Replay(arguments) => replay::replay(*arguments),
-        Command::Experiment(arguments) => replay::experiment(&arguments),
+        Command::Rehearse(arguments) => rehearse::rehearse(&arguments),
+        Command::Replay(arguments) => replay::replay(&arguments),
+        Command::Experiment(arguments) => experiment::experiment(&arguments),
         Command::Compare(arguments) => compare::compare(&arguments),
         Command::Trace { command } => trace::trace(command),
-        Command::Members { command } => members::members(command),
-        Command::Duties { command } => duties::duties(command),
-        Command::Editions { command } => editions::editions(command),
-        Command::Sites { command } => sites::sites(command),
-        Command::Settings { command: SettingsCommand::Check { file, kind } } => check(&file, kind),
-        Command::Settings { command: SettingsCommand::Show { file } } => {
-            grebespool_settings::Planned::read(&file)
-                .and_then(|_| grebespool_settings::show(&file, "Settings"))
-                .map(|text| {
-                    println!("{text}");
-                    ExitCode::SUCCESS
-                })
-                .map_err(|bad| bad.to_string())
-        }
-    };
-    done.unwrap_or_else(|what| bad_input(&what))
+        Command::Members { command } => members::members(command).map_err(CommandError::Usage),
+        Command::Duties { command } => duties::duties(command).map_err(CommandError::Usage),
+        Command::Editions { command } => editions::editions(command).map_err(CommandError::Usage),
+        Command::Sites { command } => sites::sites(command).map_err(CommandError::Usage),
+        Command::Settings { command } => settings(&command),
+    }
 }
 
-fn bad_input(what: &str) -> ExitCode {
-    eprintln!("grebespool: {what}");
-    ExitCode::from(BAD_INPUT)
+fn settings(command: &SettingsCommand) -> Result<ExitCode, CommandError> {
+    match command {
+        SettingsCommand::Check { file, kind } => check(file, *kind)?,
+        SettingsCommand::Show { file } => {
+            Planned::read(file)?;
+            println!("{}", grebespool_settings::show(file, "Settings")?);
+        }
+    }
+    Ok(ExitCode::SUCCESS)
 }
 
-fn check(file: &std::path::Path, kind: Kind) -> Result<ExitCode, String> {
-    let checked = match kind {
-        Kind::Settings => grebespool_settings::Planned::read(file).map(|_| ()),
-        Kind::Day => grebespool_settings::Day::read(file).map(|_| ()),
-    };
-    checked.map_err(|bad| bad.to_string())?;
+fn check(file: &Path, kind: Kind) -> Result<(), CommandError> {
+    match kind {
+        Kind::Settings => drop(Planned::read(file)?),
+        Kind::Day => drop(Day::read(file)?),
+    }
     println!("{}: no fault found", file.display());
-    Ok(ExitCode::SUCCESS)
+    Ok(())
+}
+
+/// A planner's log is for its operators; the other commands show their own progress.
+fn default_log_filter(command: &Command) -> &'static str {
+    match command {
+        Command::Serve { .. } | Command::Platform => "info",
+        _ => "error",
+    }
 }
 
-fn log_to_stderr(cli: &Cli) -> Result<(), String> {
-    // A rehearsal shows its own progress; a planner's log is for its operators.
-    let usual =
-        if matches!(cli.command, Command::Serve { .. } | Command::Platform) { "info" } else { "error" };
-    let text = cli.log.as_deref().unwrap_or(usual);
-    let filter = EnvFilter::try_new(text).map_err(|e| format!("--log {text:?}: {e}"))?;
-    // Where the log's reader is gone, the formatter's own complaint could only end what serves.
-    let logs = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
-    let logs = logs.log_internal_errors(false);
+fn log_to_stderr(cli: &Cli) -> Result<(), CommandError> {
+    let filter = cli.log.as_deref().unwrap_or_else(|| default_log_filter(&cli.command));
+    let env_filter = EnvFilter::try_new(filter)
+        .map_err(|cause| CommandError::LogFilter { filter: filter.into(), cause })?;
+    let log = tracing_subscriber::fmt().with_env_filter(env_filter).with_writer(std::io::stderr);
+    // Where the log's reader is gone, the formatter's own error messages could only end the service.
+    let log = log.log_internal_errors(false);
     match cli.log_format {
-        LogFormat::Json => logs.json().init(),
-        LogFormat::Text => logs.with_ansi(std::io::stderr().is_terminal()).init(),
+        LogFormat::Json => log.json().init(),
+        LogFormat::Text => log.with_ansi(std::io::stderr().is_terminal()).init(),
     }
     Ok(())
 }
--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -1,5 +1,6 @@
 //! Recording what a running planner hears.
 
+use crate::error::CommandError;
 use grebespool_controller_server::Watch;
 use grebespool_emulator::listed;
 use grebespool_settings::{Deployment, deployment_text};
@@ -39,25 +40,21 @@
 /// A recording that is written while a planner runs: its lists, who joined and left, and the calls that proxies
 /// count for it. Cheap to clone: all write the same.
 #[derive(Clone)]
-pub struct Recording(Rc<RefCell<Option<Open>>>);
+pub(crate) struct Recording(Rc<RefCell<Option<Open>>>);
 
 impl Recording {
-    pub fn none() -> Recording {
+    pub(crate) fn none() -> Recording {
         Recording(Rc::default())
     }
 
-    pub fn begin(
+    pub(crate) fn begin(
         path: &Path,
         cloak: Option<&Path>,
         planner: u64,
         deployment: &Deployment,
-    ) -> Result<Recording, String> {
-        let at = |path: &Path| {
-            let path = path.display().to_string();
-            move |e: std::io::Error| format!("{path}: {e}")
-        };
-        let cloak = cloak.map(|key| std::fs::read(key).map_err(at(key))).transpose()?;
-        let recorder = File::create_new(path).and_then(Recorder::new).map_err(at(path))?;
+    ) -> Result<Recording, CommandError> {
+        let cloak = cloak.map(|key| std::fs::read(key).map_err(CommandError::file(key))).transpose()?;
+        let recorder = File::create_new(path).and_then(Recorder::new).map_err(CommandError::file(path))?;
         let cloak = cloak.map(|key| Cloak::new(&key));
         let mut open = Open { recorder, cloak, proxies: BTreeMap::new(), planner };
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
@@ -74,12 +71,12 @@
     }
 
     /// Ends it; gives how many events did not go in, the disk being slower than they came.
-    pub fn finish(&self, now: Duration) -> Result<u64, String> {
+    pub(crate) fn finish(&self, now: Duration) -> Result<u64, CommandError> {
         self.put(now, |open| Event::PlannerLost { planner: open.planner });
         match self.0.borrow_mut().take() {
             Some(open) => {
                 let lost = open.recorder.lost();
-                open.recorder.finish().map(|()| lost).map_err(|e| format!("the recording: {e}"))
+                open.recorder.finish().map(|()| lost).map_err(CommandError::Recording)
             }
             None => Ok(0),
         }
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,6 +1,7 @@
 //! `rehearse`: a day on loopback.
 
-use clap::ValueEnum;
+use crate::error::CommandError;
+use clap::{Args, ValueEnum};
 use grebespool_cluster::audit;
 use grebespool_emulator::{
     FleetHost, PlannerHost, Played, ProcessHost, Progress, SeveralHost, ThreadHost, rehearse as play,
@@ -9,15 +10,24 @@
 use grebespool_settings::{Day, What};
 use grebespool_trace::Recorder;
 use indicatif::{ProgressBar, ProgressStyle};
+use std::fs::File;
 use std::io::{self, IsTerminal};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
-pub const BAD_DAY: &str = include_str!("../../../examples/bad-day.ncl");
+/// The day that is played where no file is given.
+pub(crate) const BAD_DAY: &str = include_str!("../../../examples/bad-day.ncl");
+/// How much of the grace for drains a stream may leave updates unconfirmed before the planner disconnects it.
+const STALL_PART_OF_GRACE: f64 = 0.75;
+/// The least such time: no planner could keep to none at all.
+const MIN_STALL: Duration = Duration::from_millis(500);
+/// Controllers of a fleet, or planners that share nothing.
+const PLANNERS: usize = 3;
 
+/// What runs the planner of a day.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum Runs {
+pub(crate) enum PlannerMode {
     Process,
     Thread,
     /// Three controllers, a process each; what befalls the planner befalls the one that leads
@@ -26,40 +36,64 @@
     Several,
 }
 
+#[derive(Args)]
+pub(crate) struct RehearseArguments {
+    /// A day file; the built-in bad day if left out
+    day: Option<PathBuf>,
+    /// Run the planner as a process of its own, or as a thread of this one
+    #[arg(long, value_enum, default_value = "process")]
+    planner: PlannerMode,
+    /// Another seed than the day's
+    #[arg(long)]
+    seed: Option<u64>,
+    /// Record the day in this file, to be replayed
+    #[arg(long, value_name = "FILE")]
+    record: Option<PathBuf>,
+}
+
 /// What runs the day's planner. `accounts`: where the members of a fleet write theirs.
-pub fn host(runs: Runs, day: &Day, accounts: &Path) -> Result<Box<dyn PlannerHost>, String> {
-    // Orders have to be known in force within the grace; none at all could not be kept by anybody.
-    let stall = day.rules.grace.0.mul_f64(0.75).max(Duration::from_millis(500));
-    Ok(match runs {
-        Runs::Thread => Box::new(ThreadHost::new(day.seed, stall)),
-        Runs::Process | Runs::Fleet | Runs::Several => {
-            let program = std::env::current_exe().map_err(|e| e.to_string())?;
-            let host: io::Result<Box<dyn PlannerHost>> = match runs {
-                Runs::Several => {
-                    SeveralHost::new(&program, stall, 3).map(|h| Box::new(h) as Box<dyn PlannerHost>)
-                }
-                Runs::Fleet => FleetHost::new(program, stall, 3, accounts.into())
-                    .map(|h| Box::new(h) as Box<dyn PlannerHost>),
-                _ => ProcessHost::new(program, stall).map(|h| Box::new(h) as Box<dyn PlannerHost>),
-            };
-            host.map_err(|e| e.to_string())?
-        }
+///
+/// # Errors
+///
+/// This program cannot be found, or a folder cannot be made.
+pub(crate) fn planner_host(
+    mode: PlannerMode,
+    day: &Day,
+    accounts: &Path,
+) -> Result<Box<dyn PlannerHost>, CommandError> {
+    let stall = day.rules.grace.0.mul_f64(STALL_PART_OF_GRACE).max(MIN_STALL);
+    let program = std::env::current_exe;
+    Ok(match mode {
+        PlannerMode::Thread => Box::new(ThreadHost::new(day.seed, stall)),
+        PlannerMode::Process => Box::new(ProcessHost::new(program()?, stall)?),
+        PlannerMode::Fleet => Box::new(FleetHost::new(program()?, stall, PLANNERS, accounts.into())?),
+        PlannerMode::Several => Box::new(SeveralHost::new(&program()?, stall, PLANNERS)?),
     })
 }
 
-pub fn rehearse(
-    file: Option<&Path>,
-    runs: Runs,
-    seed: Option<u64>,
-    record: Option<&Path>,
-) -> Result<ExitCode, String> {
-    let mut day = match file {
-        Some(file) => Day::read(file).map_err(|bad| bad.to_string())?,
-        None => Day::parse(BAD_DAY, "the built-in bad day").map_err(|bad| bad.to_string())?,
-    };
-    day.seed = seed.unwrap_or(day.seed);
-    let accounts = tempfile::tempdir().map_err(|e| e.to_string())?;
-    let host = host(runs, &day, accounts.path())?;
+/// Runs the command.
+///
+/// # Errors
+///
+/// The day cannot be used or breaks off.
+pub(crate) fn rehearse(arguments: &RehearseArguments) -> Result<ExitCode, CommandError> {
+    let mut day = match &arguments.day {
+        Some(file) => Day::read(file),
+        None => Day::parse(BAD_DAY, "the built-in bad day"),
+    }?;
+    day.seed = arguments.seed.unwrap_or(day.seed);
+    let accounts = tempfile::tempdir()?;
+    let host = planner_host(arguments.planner, &day, accounts.path())?;
+    print_day(&day);
+    let recorder = arguments.record.as_deref().map(create_recording).transpose()?;
+    let played = play(&day, host, Some(Box::new(ProgressDisplay::new())), recorder)
+        .map_err(CommandError::DayBrokeOff)?;
+    print_played(&played);
+    let tasks_kept = arguments.planner != PlannerMode::Fleet || print_singleton_tasks(accounts.path())?;
+    Ok(if played.kept() && tasks_kept { ExitCode::SUCCESS } else { ExitCode::from(1) })
+}
+
+fn print_day(day: &Day) {
     println!(
         "{}: {} servers, {} proxies, {} zones, {} troubles, {:.0} s",
         day.name,
@@ -69,50 +103,42 @@
         day.troubles.len(),
         day.length.0.as_secs_f64()
     );
-    let recorder = match record {
-        Some(path) => {
-            let made = std::fs::File::create(path).and_then(Recorder::new);
-            Some(made.map_err(|e| format!("{}: {e}", path.display()))?)
-        }
-        None => None,
-    };
-    let played = play(&day, host, Some(Box::new(Shown::new())), recorder)
-        .map_err(|e| format!("the day broke off: {e}"))?;
-    print(&played);
-    let duties = runs != Runs::Fleet || duties(accounts.path())?;
-    Ok(if played.kept() && duties { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-/// Says what became of the fleet's duties; whether each step took place once, by the newest owner.
-fn duties(accounts: &Path) -> Result<bool, String> {
-    let a = audit(accounts).map_err(|e| format!("the accounts: {e}"))?;
+fn create_recording(path: &Path) -> Result<Recorder, CommandError> {
+    File::create(path).and_then(Recorder::new).map_err(CommandError::file(path))
+}
+
+/// Says what became of the fleet's singleton tasks. Whether each step took place once, by the latest lease holder.
+fn print_singleton_tasks(accounts: &Path) -> Result<bool, CommandError> {
+    let audit = audit(accounts).map_err(CommandError::Accounts)?;
     println!(
         "duties: {} steps, twice {}, by a former owner {}, left out {}, longest without an owner {:.1} s",
-        a.steps,
-        a.twice,
-        a.former,
-        a.left_out,
-        a.longest.as_secs_f64()
+        audit.steps,
+        audit.twice,
+        audit.former,
+        audit.left_out,
+        audit.longest.as_secs_f64()
     );
-    Ok(a.steps > 0 && a.twice + a.former + a.left_out == 0)
+    Ok(audit.steps > 0 && audit.twice + audit.former + audit.left_out == 0)
 }
 
-/// Progress: a bar on a terminal, else a line for each trouble.
-struct Shown {
+/// Shows the progress of a day: a bar on a terminal, else a line for each fault.
+struct ProgressDisplay {
     bar: ProgressBar,
 }
 
-impl Shown {
-    fn new() -> Shown {
+impl ProgressDisplay {
+    fn new() -> Self {
         let bar = if io::stderr().is_terminal() { ProgressBar::new(1) } else { ProgressBar::hidden() };
         if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} s  {msg}") {
             bar.set_style(style);
         }
-        Shown { bar }
+        ProgressDisplay { bar }
     }
 }
 
-impl Progress for Shown {
+impl Progress for ProgressDisplay {
     fn at(&mut self, now: Duration, of: Duration) {
         self.bar.set_length(of.as_secs());
         self.bar.set_position(now.as_secs().min(of.as_secs()));
@@ -127,21 +153,27 @@
     }
 }
 
-fn print(played: &Played) {
-    let s = &played.service;
-    println!("\nservice {:.3}, worst ten seconds {:.3}", s.whole, s.worst);
-    for r in &s.routes {
+fn print_played(played: &Played) {
+    let service = &played.service;
+    println!("\nservice {:.3}, worst ten seconds {:.3}", service.whole, service.worst);
+    for route in &service.routes {
         println!(
             "  {:<16} {:>6} calls  {:>6} answered  {:>6} in time  {:>5} throttled  p50 {:.0} ms  p99 {:.0} ms",
-            r.name, r.asked, r.answered, r.in_time, r.throttled, r.p50_ms, r.p99_ms
+            route.name,
+            route.asked,
+            route.answered,
+            route.in_time,
+            route.throttled,
+            route.p50_ms,
+            route.p99_ms
         );
     }
-    println!("orders: {} messages, {} lines; {} joins", s.messages, s.lines, s.joins);
+    println!("orders: {} messages, {} lines; {} joins", service.messages, service.lines, service.joins);
     println!(
         "work wasted {:.1}%, to other zones {:.1}%, {} connections\n",
-        100.0 * s.wasted,
-        100.0 * s.crossings,
-        s.connections
+        100.0 * service.wasted,
+        100.0 * service.crossings,
+        service.connections
     );
     for verdict in &played.verdicts {
         print_verdict(verdict);
@@ -151,7 +183,7 @@
 fn print_verdict(verdict: &Verdict) {
     let Verdict { rule, first, breaches, checked } = verdict;
     match first {
-        // What nothing put to the test was not kept either.
+        // A rule that nothing tested was not kept either.
         None if *checked == 0 => println!("rule {rule}: not put to the test"),
         None => println!("rule {rule}: kept ({checked} checked)"),
         Some(breach) => {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -52,7 +52,9 @@
     }
     let start = start_in(0);
     let recording = match record {
-        Some(path) => Recording::begin(path, cloak, start.id, &planned.deployment)?,
+        Some(path) => {
+            Recording::begin(path, cloak, start.id, &planned.deployment).map_err(|e| e.to_string())?
+        }
         None => Recording::none(),
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -78,7 +80,7 @@
             ended = serving => ended?,
             stopped = told_to_stop() => stopped.map_err(|e| e.to_string())?,
         }
-        let lost = recording.finish(began.elapsed())?;
+        let lost = recording.finish(began.elapsed()).map_err(|e| e.to_string())?;
         if lost > 0 {
             warn!(lost, "events are missing in the recording: its disk did not keep up");
         }
--- /dev/null
+++ b/crates/cli/src/simulated_days.rs
@@ -0,0 +1,81 @@
+//! What `replay` and `experiment` share: days with values put in place, recordings fitted to them, and progress.
+
+use crate::error::CommandError;
+use crate::rehearse::BAD_DAY;
+use grebespool_replay::{Recorded, Variant};
+use grebespool_settings::{Day, Deployment};
+use indicatif::{ProgressBar, ProgressStyle};
+use std::io::IsTerminal;
+use std::path::Path;
+
+/// The day of a file, or the built-in one, with another deployment and values put in place.
+///
+/// # Errors
+///
+/// The day, the settings or a value cannot be used.
+pub(crate) fn read_day(
+    file: Option<&Path>,
+    settings: Option<&Path>,
+    values: &[String],
+) -> Result<Day, CommandError> {
+    let day = match file {
+        Some(file) => Day::read_with(file, settings, values),
+        None => Day::parse_with(BAD_DAY, "the built-in bad day", settings, values),
+    };
+    Ok(day?)
+}
+
+/// Reads a recording for a day, and fits the variants to it: they last as long as it, without the faults that it holds
+/// itself, and within what its deployment allows.
+///
+/// # Errors
+///
+/// The recording cannot be used, or a variant goes beyond its deployment.
+pub(crate) fn read_recording(
+    file: &Path,
+    salvage: bool,
+    variants: &mut [Variant],
+) -> Result<Recorded, CommandError> {
+    let recorded = Recorded::read(file, salvage, &variants[0].day).map_err(CommandError::file(file))?;
+    let recorded_deployment = match &recorded.found.site {
+        Some(text) => Some(Deployment::parse(text, &format!("{}: the settings in it", file.display()))?),
+        None => None,
+    };
+    for variant in variants {
+        if let Some(deployment) = &recorded_deployment {
+            variant.day.deployment.within(deployment, &variant.name)?;
+        }
+        variant.day = recorded.found.beside(&variant.day);
+    }
+    Ok(recorded)
+}
+
+/// The lines at the head of a report.
+pub(crate) fn describe(day: &Day, seeds: u64, recorded: Option<&Recorded>) -> Vec<String> {
+    let mut lines = vec![format!(
+        "{}: {} servers, {} proxies, {} s, {} troubles, {seeds} seeds. Simulated: the real engine and module, \
+         modelled servers.",
+        day.name,
+        day.server_count(),
+        day.proxy_count(),
+        day.length.0.as_secs_f64(),
+        day.troubles.len(),
+    )];
+    lines.extend(recorded.map(|recorded| recorded.found.lines()).unwrap_or_default());
+    lines
+}
+
+/// Runs at a time: as many as asked for, or as there are cores.
+pub(crate) fn thread_count(threads: Option<usize>) -> usize {
+    threads.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from))
+}
+
+/// A bar for so many runs, where standard error is a terminal.
+pub(crate) fn progress_bar(runs: usize) -> ProgressBar {
+    let is_shown = std::io::stderr().is_terminal();
+    let bar = if is_shown { ProgressBar::new(runs as u64) } else { ProgressBar::hidden() };
+    if let Ok(style) = ProgressStyle::with_template("{bar:40} {pos}/{len} runs  {eta}") {
+        bar.set_style(style);
+    }
+    bar
+}
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,14 +1,15 @@
 //! `trace`: recordings of days.
 
+use crate::error::CommandError;
 use clap::{Args, Subcommand, ValueEnum};
-use grebespool_trace::{Cloak, End, Form, Mapping, Reader, cut, import, merge, summary};
+use grebespool_trace::{Cloak, End, Form, Mapping, Reader, Summary, cut, import, merge, summary};
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub enum TraceCommand {
+pub(crate) enum TraceCommand {
     /// What a recording holds, in figures
     Show {
         file: PathBuf,
@@ -42,20 +43,20 @@
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-pub enum LogForm {
+pub(crate) enum LogForm {
     Csv,
     JsonLines,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-pub enum Unit {
+pub(crate) enum Unit {
     Us,
     Ms,
     S,
 }
 
 #[derive(Args)]
-pub struct ImportArguments {
+pub(crate) struct ImportArguments {
     file: PathBuf,
     to: PathBuf,
     #[arg(long, value_enum)]
@@ -89,127 +90,168 @@
     cloak: Option<PathBuf>,
 }
 
-fn at(path: &Path) -> impl Fn(std::io::Error) -> String + '_ {
-    move |e| format!("{}: {e}", path.display())
-}
+/// A silence that is reported, in microseconds.
+const MIN_SILENCE_REPORTED_US: u64 = 5_000_000;
+const US_PER_S: f64 = 1e6;
+const US_PER_MS: f64 = 1e3;
 
-fn open(path: &Path, salvage: bool) -> Result<Reader<BufReader<File>>, String> {
-    let file = File::open(path).map_err(at(path))?;
-    Reader::new(BufReader::new(file), salvage).map_err(|flaw| format!("{}: {flaw}", path.display()))
+fn open(path: &Path, salvage: bool) -> Result<Reader<BufReader<File>>, CommandError> {
+    let file = File::open(path).map_err(CommandError::file(path))?;
+    Reader::new(BufReader::new(file), salvage).map_err(CommandError::file(path))
 }
 
-fn create(path: &Path) -> Result<BufWriter<File>, String> {
-    File::create(path).map(BufWriter::new).map_err(at(path))
+fn create(path: &Path) -> Result<BufWriter<File>, CommandError> {
+    File::create(path).map(BufWriter::new).map_err(CommandError::file(path))
 }
 
-fn us(seconds: f64) -> Result<u64, String> {
-    match seconds.is_finite() && seconds >= 0.0 {
-        true => Ok((seconds * 1e6) as u64),
-        false => Err(format!("{seconds} is no time in a recording")),
+fn microseconds(seconds: f64) -> Result<u64, CommandError> {
+    if seconds.is_finite() && seconds >= 0.0 {
+        return Ok((seconds * US_PER_S) as u64);
     }
+    Err(CommandError::Usage(format!("{seconds} is no time in a recording")))
 }
 
-pub fn trace(command: TraceCommand) -> Result<ExitCode, String> {
+/// Runs the command.
+///
+/// # Errors
+///
+/// A recording or a log cannot be used, or the new one cannot be written.
+pub(crate) fn trace(command: TraceCommand) -> Result<ExitCode, CommandError> {
     match command {
         TraceCommand::Show { file, salvage } => show(&file, salvage)?,
         TraceCommand::Cut { file, to, from, until, salvage } => {
-            let span = (us(from)?, until.map_or(Ok(u64::MAX), us)?);
-            if span.0 >= span.1 {
-                return Err("--from is not before --until".into());
-            }
-            let count = cut(open(&file, salvage)?, create(&to)?, span)
-                .map_err(|flaw| format!("{}: {flaw}", file.display()))?;
-            println!("{}: {count} events", to.display());
-        }
-        TraceCommand::Merge { to, files, shift_ms } => {
-            if shift_ms.len() > files.len() {
-                return Err(format!("{} shifts for {} files", shift_ms.len(), files.len()));
-            }
-            let shift = |i: usize| (shift_ms.get(i).copied().unwrap_or(0.0) * 1000.0) as i64;
-            let parts = files.iter().enumerate().map(|(i, f)| Ok((open(f, false)?, shift(i))));
-            let parts = parts.collect::<Result<Vec<_>, String>>()?;
-            let (count, doubled) = merge(parts, create(&to)?).map_err(|flaw| flaw.to_string())?;
-            println!("{}: {count} events; {doubled} calls were in two recordings", to.display());
+            let span = (microseconds(from)?, until.map_or(Ok(u64::MAX), microseconds)?);
+            cut_file(&file, &to, span, salvage)?;
         }
+        TraceCommand::Merge { to, files, shift_ms } => merge_files(&to, &files, &shift_ms)?,
         TraceCommand::Import(arguments) => import_log(*arguments)?,
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn show(file: &Path, salvage: bool) -> Result<(), String> {
-    let s = summary(open(file, salvage)?).map_err(|flaw| format!("{}: {flaw}", file.display()))?;
-    let seconds = |us: Option<u64>| us.unwrap_or(0) as f64 / 1e6;
-    println!("{} events from {:.3} to {:.3} s", s.events, seconds(s.first_us), seconds(s.last_us));
-    println!("{} calls, {} of them repeats; by route {:?}", s.calls, s.repeats, s.by_route);
-    if s.anonymous > 0 {
-        println!("{} calls without a client: whether these are repeats can't be known", s.anonymous);
-    }
-    if s.counted > 0 {
-        println!("{} calls told as counts: their times, keys and clients can't be known", s.counted);
+fn cut_file(file: &Path, to: &Path, span: (u64, u64), salvage: bool) -> Result<(), CommandError> {
+    if span.0 >= span.1 {
+        return Err(CommandError::Usage("--from is not before --until".into()));
     }
-    if s.longest_silence_us > 5_000_000 {
-        println!("nothing for {:.1} s at the longest", s.longest_silence_us as f64 / 1e6);
+    let count = cut(open(file, salvage)?, create(to)?, span).map_err(CommandError::file(file))?;
+    println!("{}: {count} events", to.display());
+    Ok(())
+}
+
+fn merge_files(to: &Path, files: &[PathBuf], shift_ms: &[f64]) -> Result<(), CommandError> {
+    if shift_ms.len() > files.len() {
+        return Err(CommandError::Usage(format!("{} shifts for {} files", shift_ms.len(), files.len())));
     }
-    println!(
-        "{} proxies, {} joins, {} leaves; {} servers, {} lists",
-        s.proxies, s.joins, s.lefts, s.servers, s.lists
-    );
-    if s.out_of_order + s.gaps > 0 {
-        println!("{} events out of order, {} gaps", s.out_of_order, s.gaps);
+    let mut parts = vec![];
+    for (position, file) in files.iter().enumerate() {
+        let shift_us = shift_ms.get(position).copied().unwrap_or(0.0) * US_PER_MS;
+        parts.push((open(file, false)?, shift_us as i64));
     }
-    match s.end {
+    let (count, doubled) = merge(parts, create(to)?).map_err(CommandError::Merge)?;
+    println!("{}: {count} events; {doubled} calls were in two recordings", to.display());
+    Ok(())
+}
+
+fn show(file: &Path, salvage: bool) -> Result<(), CommandError> {
+    let summary = summary(open(file, salvage)?).map_err(CommandError::file(file))?;
+    print_events(&summary);
+    print_calls(&summary);
+    print_fleet(&summary);
+    match summary.end {
         Some(End::CutOff { at }) => {
-            println!("cut off at byte {at}; what is above is all up to the last whole block")
+            println!("cut off at byte {at}; what is above is all up to the last whole block");
         }
         _ => println!("whole"),
     }
     Ok(())
 }
 
-fn import_log(a: ImportArguments) -> Result<(), String> {
-    let route = |text: &String| {
-        let (name, importance) = text.split_once('=').unwrap_or((text, "1"));
-        let importance: f32 = importance.parse().map_err(|_| format!("--routes {text:?}: no importance"))?;
-        Ok((name.to_string(), importance))
-    };
-    let mapping = Mapping {
-        due: a.due,
-        unit_us: match a.unit {
+fn print_events(summary: &Summary) {
+    let seconds = |us: Option<u64>| us.unwrap_or(0) as f64 / US_PER_S;
+    println!(
+        "{} events from {:.3} to {:.3} s",
+        summary.events,
+        seconds(summary.first_us),
+        seconds(summary.last_us)
+    );
+}
+
+fn print_calls(summary: &Summary) {
+    println!("{} calls, {} of them repeats; by route {:?}", summary.calls, summary.repeats, summary.by_route);
+    if summary.anonymous > 0 {
+        println!("{} calls without a client: whether these are repeats can't be known", summary.anonymous);
+    }
+    if summary.counted > 0 {
+        println!("{} calls told as counts: their times, keys and clients can't be known", summary.counted);
+    }
+    if summary.longest_silence_us > MIN_SILENCE_REPORTED_US {
+        println!("nothing for {:.1} s at the longest", summary.longest_silence_us as f64 / US_PER_S);
+    }
+}
+
+fn print_fleet(summary: &Summary) {
+    println!(
+        "{} proxies, {} joins, {} leaves; {} servers, {} lists",
+        summary.proxies, summary.joins, summary.lefts, summary.servers, summary.lists
+    );
+    if summary.out_of_order + summary.gaps > 0 {
+        println!("{} events out of order, {} gaps", summary.out_of_order, summary.gaps);
+    }
+}
+
+/// A route's name and its priority weight, from `NAME=WEIGHT`.
+fn parse_route(text: &str) -> Result<(String, f32), CommandError> {
+    let (name, weight) = text.split_once('=').unwrap_or((text, "1"));
+    let weight =
+        weight.parse().map_err(|_| CommandError::argument(format!("--routes {text:?}"), "no importance"))?;
+    Ok((name.to_string(), weight))
+}
+
+fn mapping(arguments: &ImportArguments) -> Result<Mapping, CommandError> {
+    let routes = arguments.routes.iter().map(|text| parse_route(text));
+    Ok(Mapping {
+        due: arguments.due.clone(),
+        unit_us: match arguments.unit {
             Unit::Us => 1.0,
-            Unit::Ms => 1e3,
-            Unit::S => 1e6,
+            Unit::Ms => US_PER_MS,
+            Unit::S => US_PER_S,
         },
-        route: a.route,
-        routes: a.routes.iter().map(route).collect::<Result<_, String>>()?,
-        proxy: a.proxy,
-        key: a.key,
-        client: a.client,
-        work_us: a.work,
-        repeat: a.repeat,
-    };
-    let cloak = match &a.cloak {
-        Some(path) => Some(Cloak::new(&std::fs::read(path).map_err(at(path))?)),
+        route: arguments.route.clone(),
+        routes: routes.collect::<Result<_, CommandError>>()?,
+        proxy: arguments.proxy.clone(),
+        key: arguments.key.clone(),
+        client: arguments.client.clone(),
+        work_us: arguments.work.clone(),
+        repeat: arguments.repeat.clone(),
+    })
+}
+
+fn import_log(arguments: ImportArguments) -> Result<(), CommandError> {
+    let mapping = mapping(&arguments)?;
+    let cloak = match &arguments.cloak {
+        Some(path) => Some(Cloak::new(&std::fs::read(path).map_err(CommandError::file(path))?)),
         None => None,
     };
-    let form = match a.form {
+    let form = match arguments.form {
         LogForm::Csv => Form::Csv,
         LogForm::JsonLines => Form::JsonLines,
     };
-    let log = BufReader::new(File::open(&a.file).map_err(at(&a.file))?);
-    let told = import(log, form, &mapping, cloak.as_ref(), create(&a.to)?)
-        .map_err(|bad| format!("{}: {bad}", a.file.display()))?;
+    let ImportArguments { file, to, .. } = arguments;
+    let log = BufReader::new(File::open(&file).map_err(CommandError::file(&file))?);
+    let imported =
+        import(log, form, &mapping, cloak.as_ref(), create(&to)?).map_err(CommandError::file(&file))?;
     println!(
         "{}: {} calls, {} of them repeats, at {} proxies",
-        a.to.display(),
-        told.calls,
-        told.repeats,
-        told.proxies
+        to.display(),
+        imported.calls,
+        imported.repeats,
+        imported.proxies
     );
-    if told.anonymous > 0 {
-        println!("{} rows without a client: whether these are repeats can't be known", told.anonymous);
+    if imported.anonymous > 0 {
+        println!("{} rows without a client: whether these are repeats can't be known", imported.anonymous);
     }
-    if told.out_of_order > 0 {
-        println!("{} rows out of order", told.out_of_order);
+    if imported.out_of_order > 0 {
+        println!("{} rows out of order", imported.out_of_order);
     }
     Ok(())
 }
