--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -137,7 +137,7 @@
 fn run(command: Command) -> Result<ExitCode, CommandError> {
     match command {
         Command::Serve { settings, listen, record, cloak } => {
-            serve::serve(&settings, listen, record.as_deref(), cloak.as_deref()).map_err(CommandError::Usage)
+            serve::serve(&settings, listen, record.as_deref(), cloak.as_deref())
         }
         Command::Platform => Ok(grebespool_platform_server::run()),
         Command::Rehearse(arguments) => rehearse::rehearse(&arguments),
@@ -145,10 +145,10 @@
         Command::Experiment(arguments) => experiment::experiment(&arguments),
         Command::Compare(arguments) => compare::compare(&arguments),
         Command::Trace { command } => trace::trace(command),
-        Command::Members { command } => members::members(command).map_err(CommandError::Usage),
-        Command::Duties { command } => duties::duties(command).map_err(CommandError::Usage),
-        Command::Editions { command } => editions::editions(command).map_err(CommandError::Usage),
-        Command::Sites { command } => sites::sites(command).map_err(CommandError::Usage),
+        Command::Members { command } => members::members(command),
+        Command::Duties { command } => duties::duties(command),
+        Command::Editions { command } => editions::editions(command),
+        Command::Sites { command } => sites::sites(command),
         Command::Settings { command } => settings(&command),
     }
 }
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,14 +1,17 @@
 //! `members`: state folders, and what operators ask of the controllers of a fleet.
 
+use crate::error::CommandError;
 use clap::Subcommand;
-use grebespool_cluster::{Answer, Keys, Question, Store, ask, first_roster, fleet_id, seat_id};
+use grebespool_cluster::{
+    Keys, Request, Response, Store, fleet_id, initial_membership, send_request, voter_id,
+};
 use grebespool_leader_election::Membership;
 use grebespool_settings::{Members, Planned};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub enum MembersCommand {
+pub(crate) enum MembersCommand {
     /// Make this member's state for a new fleet of all that its settings name; once in a member's life
     Form { settings: PathBuf },
     /// Make this member's state, to be added to a fleet that runs
@@ -30,127 +33,148 @@
     StepDown { settings: PathBuf },
 }
 
-pub fn members_of(file: &Path) -> Result<Members, String> {
-    let planned = Planned::read(file).map_err(|bad| bad.to_string())?;
-    planned.members.ok_or_else(|| format!("{}: members: the settings name none", file.display()))
+/// The members' part of a settings file.
+///
+/// # Errors
+///
+/// The file cannot be used, or has no such part.
+pub(crate) fn read_members(file: &Path) -> Result<Members, CommandError> {
+    Planned::read(file)?.members.ok_or_else(|| CommandError::NoMembers { settings: file.to_path_buf() })
 }
 
 /// Who takes part from the beginning, by a member's settings.
-pub fn formed_roster(m: &Members) -> Membership {
-    let own = (m.name.clone(), m.address.to_string());
-    let all = m.peers.iter().map(|p| (p.name.clone(), p.address.to_string())).chain([own]);
-    first_roster(fleet_id(&m.fleet), all)
+pub(crate) fn formed_membership(members: &Members) -> Membership {
+    let own = (members.name.clone(), members.address.to_string());
+    let peers = members.peers.iter().map(|peer| (peer.name.clone(), peer.address.to_string()));
+    initial_membership(fleet_id(&members.fleet), peers.chain([own]))
 }
 
-pub fn members(command: MembersCommand) -> Result<ExitCode, String> {
-    let said = |why: grebespool_cluster::Unusable| why.to_string();
+/// Runs the command.
+///
+/// # Errors
+///
+/// The settings cannot be used, a state folder cannot be made, or a member does not do what was asked.
+pub(crate) fn members(command: MembersCommand) -> Result<ExitCode, CommandError> {
     match command {
-        MembersCommand::Form { settings } => {
-            let m = members_of(&settings)?;
-            let fleet = fleet_id(&m.fleet);
-            Store::form(&m.folder, fleet, seat_id(fleet, &m.name), formed_roster(&m)).map_err(said)?;
-            println!(
-                "{}: {} of fleet {}, {} members",
-                m.folder.display(),
-                m.name,
-                m.fleet,
-                m.peers.len() + 1
-            );
-        }
-        MembersCommand::Join { settings } => {
-            let m = members_of(&settings)?;
-            let id = rand::random::<u64>().max(1);
-            Store::form(&m.folder, fleet_id(&m.fleet), id, Membership::default()).map_err(said)?;
-            println!("{}: {} of fleet {}, to be added", m.folder.display(), m.name, m.fleet);
-            println!("start it, then: members add SETTINGS {} {}", m.name, m.address);
-        }
+        MembersCommand::Form { settings } => form(&read_members(&settings)?)?,
+        MembersCommand::Join { settings } => join(&read_members(&settings)?)?,
         MembersCommand::Show { settings, at, json } => {
-            let m = members_of(&settings)?;
-            let answer = question(&m, at, Question::Show)?;
+            let status = send(&read_members(&settings)?, at, Request::ShowMember)?;
             if json {
-                println!("{}", serde_json::to_string_pretty(&answer).map_err(|e| e.to_string())?);
+                println!("{}", serde_json::to_string_pretty(&status)?);
             } else {
-                show(&answer);
+                show(&status);
             }
         }
         MembersCommand::Add { settings, name, address } => {
-            return of_leader(&members_of(&settings)?, &Question::Add { name, address });
+            send_to_leader(&read_members(&settings)?, &Request::Add { name, address })?;
         }
         MembersCommand::Remove { settings, name } => {
-            return of_leader(&members_of(&settings)?, &Question::Remove { name });
+            send_to_leader(&read_members(&settings)?, &Request::Remove { name })?;
         }
         MembersCommand::StepDown { settings } => {
-            return of_leader(&members_of(&settings)?, &Question::StepDown);
+            send_to_leader(&read_members(&settings)?, &Request::StepDown)?;
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
-pub fn question(m: &Members, at: Option<String>, question: Question) -> Result<Answer, String> {
-    let keys = Keys::read(&m.key_file).map_err(|e| format!("{}: {e}", m.key_file.display()))?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let address = at.unwrap_or_else(|| m.listen.unwrap_or(m.address).to_string());
-    let asked = ask(&address, fleet_id(&m.fleet), &keys, question);
-    runtime.map_err(|e| e.to_string())?.block_on(asked).map_err(|e| format!("{address}: {e}"))
+fn form(members: &Members) -> Result<(), CommandError> {
+    let fleet = fleet_id(&members.fleet);
+    let id = voter_id(fleet, &members.name);
+    Store::form(&members.folder, fleet, id, formed_membership(members))?;
+    println!(
+        "{}: {} of fleet {}, {} members",
+        members.folder.display(),
+        members.name,
+        members.fleet,
+        members.peers.len() + 1
+    );
+    Ok(())
+}
+
+fn join(members: &Members) -> Result<(), CommandError> {
+    let id = rand::random::<u64>().max(1);
+    Store::form(&members.folder, fleet_id(&members.fleet), id, Membership::default())?;
+    println!("{}: {} of fleet {}, to be added", members.folder.display(), members.name, members.fleet);
+    println!("start it, then: members add SETTINGS {} {}", members.name, members.address);
+    Ok(())
 }
 
-/// Asks the settings' own member who leads, and then that one.
-pub fn of_leader(m: &Members, wanted: &Question) -> Result<ExitCode, String> {
-    let at = match question(m, None, Question::Show)? {
-        Answer::Status { leader: Some(leader), members, .. } => {
-            members.into_iter().find(|s| s.name == leader).map(|s| s.address)
+/// Sends a request to a member: the one at an address, or that of the settings.
+///
+/// # Errors
+///
+/// The key file cannot be used, or the member does not answer.
+pub(crate) fn send(
+    members: &Members,
+    address: Option<String>,
+    request: Request,
+) -> Result<Response, CommandError> {
+    let keys = Keys::read(&members.key_file).map_err(CommandError::file(&members.key_file))?;
+    let address = address.unwrap_or_else(|| members.listen.unwrap_or(members.address).to_string());
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime
+        .block_on(send_request(&address, fleet_id(&members.fleet), &keys, request))
+        .map_err(|cause| CommandError::Member { address, cause: cause.into() })
+}
+
+/// Asks the settings' own member who leads, sends the request to that one, and prints its answer.
+///
+/// # Errors
+///
+/// No leader is known, or it does not do what was asked.
+pub(crate) fn send_to_leader(members: &Members, request: &Request) -> Result<(), CommandError> {
+    let address = match send(members, None, Request::ShowMember)? {
+        Response::Status { leader: Some(leader), members, .. } => {
+            members.into_iter().find(|member| member.name == leader).map(|member| member.address)
         }
-        _ => return Err("no leader is known; nothing is changed without one".into()),
+        _ => return Err(CommandError::NoLeader),
     };
-    match question(m, at, wanted.clone())? {
-        Answer::Done(what) => {
-            println!("{what}");
-            Ok(ExitCode::SUCCESS)
-        }
-        Answer::Lines(lines) => {
-            lines.iter().for_each(|line| println!("{line}"));
-            Ok(ExitCode::SUCCESS)
-        }
-        Answer::Refused(why) => Err(why),
-        Answer::Status { .. } | Answer::Editions(_) => Err("it answered something else".into()),
+    match send(members, address, request.clone())? {
+        Response::Done(text) => println!("{text}"),
+        Response::Lines(lines) => lines.iter().for_each(|line| println!("{line}")),
+        Response::Rejected(reason) => return Err(CommandError::Rejected(reason)),
+        Response::Status { .. } | Response::Configuration(_) => return Err(CommandError::UnexpectedAnswer),
     }
+    Ok(())
 }
 
-fn show(answer: &Answer) {
-    let Answer::Status {
+fn show(answer: &Response) {
+    let Response::Status {
         name,
         standing,
         leader,
-        epoch,
+        term,
         since_ms,
-        stood_down,
+        stepped_down,
         members,
         settled,
-        memory,
-        refused,
+        snapshot,
+        rejections,
     } = answer
     else {
         return println!("{answer:?}");
     };
-    println!("{name} {standing}, epoch {epoch}, for {:.1} s", *since_ms as f64 / 1000.0);
+    println!("{name} {standing}, epoch {term}, for {:.1} s", *since_ms as f64 / 1000.0);
     println!("leader: {}", leader.as_deref().unwrap_or("none is known"));
-    if let Some(why) = stood_down {
+    if let Some(why) = stepped_down {
         println!("it last led until {why}");
     }
-    for m in members {
+    for member in members {
         println!(
             "  {:<16} {:<22} {:016x}{}",
-            m.name,
-            m.address,
-            m.id,
-            if m.missing { "  missing" } else { "" }
+            member.name,
+            member.address,
+            member.id,
+            if member.missing { "  missing" } else { "" }
         );
     }
     if standing == "leads" && !settled {
         println!("the last change of members is not yet known to a majority");
     }
-    if let Some((epoch, number, age_ms)) = memory {
-        println!("memory: epoch {epoch}, number {number}, {:.1} s old", *age_ms as f64 / 1000.0);
+    if let Some((term, number, age_ms)) = snapshot {
+        println!("memory: epoch {term}, number {number}, {:.1} s old", *age_ms as f64 / 1000.0);
     }
-    println!("refused since its start: {refused}");
+    println!("refused since its start: {rejections}");
 }
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CommandError;
 use clap::{Args, ValueEnum};
-use grebespool_cluster::audit;
+use grebespool_cluster::audit_accounts;
 use grebespool_emulator::{
     FleetHost, PlannerHost, Played, ProcessHost, Progress, SeveralHost, ThreadHost, rehearse as play,
 };
@@ -111,16 +111,16 @@
 
 /// Says what became of the fleet's singleton tasks. Whether each step took place once, by the latest lease holder.
 fn print_singleton_tasks(accounts: &Path) -> Result<bool, CommandError> {
-    let audit = audit(accounts).map_err(CommandError::Accounts)?;
+    let audit = audit_accounts(accounts).map_err(CommandError::Accounts)?;
     println!(
         "duties: {} steps, twice {}, by a former owner {}, left out {}, longest without an owner {:.1} s",
         audit.steps,
-        audit.twice,
-        audit.former,
-        audit.left_out,
-        audit.longest.as_secs_f64()
+        audit.duplicates,
+        audit.by_stale_holders,
+        audit.missing,
+        audit.longest_gap.as_secs_f64()
     );
-    Ok(audit.steps > 0 && audit.twice + audit.former + audit.left_out == 0)
+    Ok(audit.steps > 0 && audit.duplicates + audit.by_stale_holders + audit.missing == 0)
 }
 
 /// Shows the progress of a day: a bar on a terminal, else a line for each fault.
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,9 +1,10 @@
 //! `serve`: a planner until it is told to stop.
 
+use crate::error::CommandError;
 use crate::record::Recording;
 use grebespool_cluster::{
-    Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
-    run as run_member,
+    AccountSettings, LIMITS, Member, MemberConfig, Request, Response, Role, SiteRequest, Store, TaskSettings,
+    fleet_id, run_member,
 };
 use grebespool_config_consensus::{ConsensusSettings, LeaseParameters, ValidationRules};
 use grebespool_controller::{SiteOrder, Start};
@@ -27,6 +28,9 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
+/// Bytes of the shortest key that is accepted.
+const MIN_KEY_LENGTH: usize = 16;
+
 /// An interrupt, or what service managers send.
 async fn told_to_stop() -> std::io::Result<()> {
     let mut terminated = signal(SignalKind::terminate())?;
@@ -42,45 +46,37 @@
     listen: Option<SocketAddr>,
     record: Option<&Path>,
     cloak: Option<&Path>,
-) -> Result<ExitCode, String> {
-    let planned = Planned::read(file).map_err(|bad| bad.to_string())?;
+) -> Result<ExitCode, CommandError> {
+    let planned = Planned::read(file)?;
     let key_file = &planned.listen.key_file;
-    let key = std::fs::read(key_file)
-        .map_err(|e| format!("{}: listen.key_file: {}: {e}", file.display(), key_file.display()))?;
-    if key.len() < 16 {
-        return Err(format!("{}: a key has at least 16 bytes; this has {}", key_file.display(), key.len()));
-    }
+    let key = read_key(file, key_file)?;
     let start = start_in(0);
     let recording = match record {
-        Some(path) => {
-            Recording::begin(path, cloak, start.id, &planned.deployment).map_err(|e| e.to_string())?
-        }
+        Some(path) => Recording::begin(path, cloak, start.id, &planned.deployment)?,
         None => Recording::none(),
     };
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|e| format!("no runtime: {e}"))?;
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CommandError::Runtime)?;
     LocalSet::new().block_on(&runtime, async {
         let address = listen.unwrap_or(planned.listen.address);
         let listener = std::net::TcpListener::bind(address)
             .and_then(|l| l.set_nonblocking(true).map(|()| l))
-            .map_err(|e| format!("cannot listen at {address}: {e}"))?;
+            .map_err(|cause| CommandError::Listen { whom: "", address, cause })?;
         let began = Instant::now();
         let serving = async {
             match planned.members.clone() {
                 Some(members) => lead_or_follow(file, listener, planned, members, &key, &recording).await,
                 None => {
-                    let listener = told_open(listener).map_err(|e| e.to_string())?;
+                    let listener = told_open(listener)?;
                     plan(file, listener, start, &planned, &key, Untouched, recording.clone()).await
                 }
             }
         };
         tokio::select! {
             ended = serving => ended?,
-            stopped = told_to_stop() => stopped.map_err(|e| e.to_string())?,
+            stopped = told_to_stop() => stopped?,
         }
-        let lost = recording.finish(began.elapsed()).map_err(|e| e.to_string())?;
+        let lost = recording.finish(began.elapsed())?;
         if lost > 0 {
             warn!(lost, "events are missing in the recording: its disk did not keep up");
         }
@@ -88,6 +84,20 @@
     })
 }
 
+/// The key that proxies and planners share.
+fn read_key(settings: &Path, key_file: &Path) -> Result<Vec<u8>, CommandError> {
+    let key = std::fs::read(key_file).map_err(|cause| CommandError::KeyFile {
+        settings: settings.to_path_buf(),
+        key_file: key_file.to_path_buf(),
+        cause,
+    })?;
+    if key.len() < MIN_KEY_LENGTH {
+        let (key_file, length) = (key_file.to_path_buf(), key.len());
+        return Err(CommandError::ShortKey { key_file, min: MIN_KEY_LENGTH, length });
+    }
+    Ok(key)
+}
+
 fn start_in(epoch: u64) -> Start {
     Start { id: rand::random::<u64>() | 1, seed: rand::random(), epoch }
 }
@@ -108,7 +118,7 @@
     key: &[u8],
     passage: impl Passage,
     watch: impl Watch,
-) -> Result<(), String> {
+) -> Result<(), CommandError> {
     let Planned { deployment, listen, list, probe_limit, .. } = planned.clone();
     let serving = serve_planner(
         listener,
@@ -121,12 +131,12 @@
         passage,
         watch,
     );
-    serving.await.map_err(|why| format!("{}: {why}", file.display()))
+    serving.await.map_err(CommandError::file(file))
 }
 
 /// Lets orders out only while this controller may give them.
 struct Gate {
-    member: Running,
+    member: Member,
     epoch: u64,
 }
 
@@ -138,7 +148,7 @@
 
 /// What a controller that leads tells its member, beside what is recorded.
 struct Leading {
-    member: Running,
+    member: Member,
     epoch: u64,
     number: u64,
     every: Duration,
@@ -166,19 +176,23 @@
         self.recording.came(now, name, came);
         let zone = self.at.get(name).copied().unwrap_or_default();
         for line in came {
-            self.member.count(zone, line.route, Counts { calls: u64::from(line.calls), ..Counts::default() });
+            self.member.count_requests(
+                zone,
+                line.route,
+                Counts { calls: u64::from(line.calls), ..Counts::default() },
+            );
         }
     }
     fn met(&mut self, name: &str, met: &[MetLine]) {
         let sum = |of: fn(&MetLine) -> u32| met.iter().map(|m| u64::from(of(m))).sum();
         let (tries, dropped) = (sum(|m| m.tries), sum(|m| m.dropped));
         let zone = self.at.get(name).copied().unwrap_or_default();
-        self.member.count(zone, NO_ROUTE, Counts { tries, dropped, ..Counts::default() });
+        self.member.count_requests(zone, NO_ROUTE, Counts { tries, dropped, ..Counts::default() });
     }
     fn passed_over(&mut self, epoch: u64) {
         // Not from within the planner's own turn: standing down ends it.
         let member = self.member.clone();
-        spawn_local(async move { member.passed_over(epoch) });
+        spawn_local(async move { member.term_seen(epoch) });
     }
     fn recall(&mut self) -> Option<Snapshot> {
         self.memory.take().map(|m| *m)
@@ -187,12 +201,12 @@
         Some(self.every)
     }
     fn site_asks(&mut self) -> Option<mpsc::UnboundedReceiver<SiteAsk>> {
-        let mut asked = self.member.asked_of_sites();
+        let mut requests = self.member.site_requests();
         let (to, asks) = mpsc::unbounded_channel();
         spawn_local(async move {
-            while let Some(SiteAsked { question, answer }) = asked.recv().await {
-                let what = match question {
-                    Question::Site { site, out, forced, dry } => {
+            while let Some(SiteRequest { request, response }) = requests.recv().await {
+                let what = match request {
+                    Request::Site { site, out, forced, dry_run: dry } => {
                         let order = if out { SiteOrder::Out } else { SiteOrder::Back };
                         SiteWhat::Order { site, order, forced, dry }
                     }
@@ -203,7 +217,7 @@
                     return;
                 }
                 if let Ok(told) = told.await {
-                    let _ = answer.send(told.map_or_else(Answer::Refused, Answer::Lines));
+                    let _ = response.send(told.map_or_else(Response::Rejected, Response::Lines));
                 }
             }
         });
@@ -212,24 +226,24 @@
     fn remember(&mut self, mut memory: Snapshot) {
         self.number += 1;
         (memory.term, memory.number) = (self.epoch, self.number);
-        if let Err(why) = self.member.remember(&memory) {
+        if let Err(why) = self.member.publish_snapshot(&memory) {
             warn!(%why, "what is known cannot be kept for the next leader");
         }
     }
 }
 
 /// The work that the members share out, by their settings.
-fn fleetwork(members: &Members) -> Option<Fleetwork> {
+fn fleetwork(members: &Members) -> Option<TaskSettings> {
     let duties = members.duties.as_ref()?;
     let accounts = duties.accounts.as_ref();
-    Some(Fleetwork {
+    Some(TaskSettings {
         terms: DutyTerms { lease: duties.lease.0, renew: duties.renew.0, drift: members.drift },
-        accounts: accounts.map(|a| Accounting {
+        accounts: accounts.map(|a| AccountSettings {
             folder: a.folder.clone(),
             period: a.period.0,
             slack: a.slack.0,
         }),
-        agree: duties.agree.as_ref().map(|a| ConsensusSettings {
+        configuration: duties.agree.as_ref().map(|a| ConsensusSettings {
             lease: LeaseParameters {
                 duration: a.lease.0,
                 renew_interval: a.renew.0,
@@ -251,52 +265,50 @@
     members: Members,
     key: &[u8],
     recording: &Recording,
-) -> Result<(), String> {
-    let (store, kept) =
-        Store::open(&members.folder, fleet_id(&members.fleet)).map_err(|why| why.to_string())?;
+) -> Result<(), CommandError> {
+    let (store, kept) = Store::open(&members.folder, fleet_id(&members.fleet))?;
     if kept.membership.version.term == 0
         && !kept.membership.voters.is_empty()
-        && kept.membership != crate::members::formed_roster(&members)
+        && kept.membership != crate::members::formed_membership(&members)
     {
-        return Err(format!(
-            "{}: members: these are not the members that {} was formed with",
-            file.display(),
-            members.folder.display()
-        ));
+        let (settings, folder) = (file.to_path_buf(), members.folder.clone());
+        return Err(CommandError::OtherMembers { settings, folder });
     }
     let at = members.listen.unwrap_or(members.address);
-    let between =
-        TcpListener::bind(at).await.map_err(|e| format!("cannot listen for members at {at}: {e}"))?;
+    let between = TcpListener::bind(at).await.map_err(|cause| CommandError::Listen {
+        whom: " for members",
+        address: at,
+        cause,
+    })?;
     let terms = ElectionParameters {
         heartbeat_interval: members.beat.0,
         lease: members.lease.0,
         clock_drift: members.drift,
     };
     let mut tasks = JoinSet::new();
-    let (member, mut changes) = run_member(
-        between,
-        &members.name,
+    let config = MemberConfig {
+        listener: between,
+        name: members.name.clone(),
         store,
         kept,
-        terms,
-        &members.key_file,
-        members.weights_kept.0,
-        fleetwork(&members),
-        &mut tasks,
-    )
-    .map_err(|why| why.to_string())?;
-    drop(told_open(listener.try_clone().map_err(|e| e.to_string())?).map_err(|e| e.to_string())?);
+        election: terms,
+        key_file: members.key_file.clone(),
+        weights_lifetime: members.weights_kept.0,
+        tasks: fleetwork(&members),
+    };
+    let (member, mut roles) = run_member(config, &mut tasks)?;
+    drop(told_open(listener.try_clone()?)?);
     loop {
-        let change = changes.borrow_and_update().clone();
-        let own = listener.try_clone().and_then(TcpListener::from_std).map_err(|e| e.to_string())?;
+        let role = roles.borrow_and_update().clone();
+        let own = listener.try_clone().and_then(TcpListener::from_std)?;
         let acting = async {
-            match change {
-                Change::Follow => {
+            match role {
+                Role::Follower => {
                     let known = member.clone();
                     send_elsewhere(own, move || known.leader()).await;
                     Ok(())
                 }
-                Change::Lead { epoch, memory } => {
+                Role::Leader { term: epoch, snapshot: memory } => {
                     let gate = Gate { member: member.clone(), epoch };
                     let watch = Leading {
                         member: member.clone(),
@@ -319,11 +331,11 @@
                 if let Err(error) = ended && error.is_panic() {
                     std::panic::resume_unwind(error.into_panic());
                 }
-                return Err("the member has ended".into());
+                return Err(CommandError::MemberEnded);
             }
-            changed = changes.changed() => {
-                changed.map_err(|_| "the member has ended".to_string())?;
-                info!(change = ?changes.borrow().name(), "what this controller does changes");
+            changed = roles.changed() => {
+                changed.map_err(|_| CommandError::MemberEnded)?;
+                info!(role = roles.borrow().name(), "changes its role");
             }
         }
     }
--- a/crates/cli/src/sites.rs
+++ b/crates/cli/src/sites.rs
@@ -1,8 +1,9 @@
 //! `sites`: what the loss of each site would mean.
 
-use crate::members::{members_of, of_leader};
+use crate::error::CommandError;
+use crate::members::{read_members, send_to_leader};
 use clap::Subcommand;
-use grebespool_cluster::Question;
+use grebespool_cluster::Request;
 use grebespool_settings::Day;
 use grebespool_site_failover::{Demand, Plan, Room, Site, plan};
 use std::collections::BTreeSet;
@@ -10,7 +11,7 @@
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub enum SitesCommand {
+pub(crate) enum SitesCommand {
     /// Say for each site, and each two, what is left without it and what is throttled; exit 1: below the stated service
     Plan {
         /// A day file: its servers and callers tell what there is and what is asked
@@ -49,24 +50,45 @@
     },
 }
 
-pub fn sites(command: SitesCommand) -> Result<ExitCode, String> {
-    let (day, service, fill, pairs, set) = match command {
-        SitesCommand::Plan { day, service, fill, pairs, set } => (day, service, fill, pairs, set),
-        SitesCommand::Show { settings } => return of_leader(&members_of(&settings)?, &Question::Sites),
-        SitesCommand::Out { settings, name: site, force: forced, dry_run: dry } => {
-            return of_leader(&members_of(&settings)?, &Question::Site { site, out: true, forced, dry });
+/// How a plan is made and judged.
+struct PlanOptions {
+    /// The part of the priority weight asked for that each site's loss must leave.
+    min_service: f64,
+    /// How full servers are filled at the most.
+    max_fill: f64,
+    /// Whether two sites at a time are shown too.
+    pairs: bool,
+}
+
+/// Runs the command.
+///
+/// # Errors
+///
+/// The day or the settings cannot be used, an argument is out of range, or the leader does not do what was asked.
+pub(crate) fn sites(command: SitesCommand) -> Result<ExitCode, CommandError> {
+    let (settings, request) = match command {
+        SitesCommand::Plan { day, service, fill, pairs, set } => {
+            check_part("--service", service)?;
+            check_part("--fill", fill)?;
+            return print_plans(&day, &PlanOptions { min_service: service, max_fill: fill, pairs }, &set);
         }
-        SitesCommand::Back { settings, name: site, dry_run: dry } => {
-            let wanted = Question::Site { site, out: false, forced: false, dry };
-            return of_leader(&members_of(&settings)?, &wanted);
+        SitesCommand::Show { settings } => (settings, Request::ShowSites),
+        SitesCommand::Out { settings, name: site, force: forced, dry_run } => {
+            (settings, Request::Site { site, out: true, forced, dry_run })
         }
-    };
-    for (name, part) in [("--service", service), ("--fill", fill)] {
-        if !(part > 0.0 && part <= 1.0) {
-            return Err(format!("{name} {part}: a part above 0 and at most 1"));
+        SitesCommand::Back { settings, name: site, dry_run } => {
+            (settings, Request::Site { site, out: false, forced: false, dry_run })
         }
+    };
+    send_to_leader(&read_members(&settings)?, &request)?;
+    Ok(ExitCode::SUCCESS)
+}
+
+fn check_part(argument: &str, part: f64) -> Result<(), CommandError> {
+    if part > 0.0 && part <= 1.0 {
+        return Ok(());
     }
-    planned(&day, service, fill, pairs, &set)
+    Err(CommandError::argument(format!("{argument} {part}"), "a part above 0 and at most 1"))
 }
 
 /// What each zone's servers are able to, in work a second, and what each route asks there, in the same.
@@ -82,10 +104,9 @@
     day.deployment.zones.iter().map(room).collect()
 }
 
-fn planned(file: &Path, least: f64, fill: f64, pairs: bool, set: &[String]) -> Result<ExitCode, String> {
-    let day = Day::read_with(file, None, set).map_err(|bad| {
-        format!("{bad}\nA plan needs what there is and what is asked: a day file, as settings state no capacities.")
-    })?;
+fn print_plans(file: &Path, options: &PlanOptions, set: &[String]) -> Result<ExitCode, CommandError> {
+    let PlanOptions { min_service: least, max_fill: fill, pairs } = *options;
+    let day = Day::read_with(file, None, set).map_err(CommandError::NoCapacities)?;
     let rooms = rooms(&day);
     let demand = |r: &grebespool_settings::Route| Demand { importance: r.importance, stays: r.stays_local };
     let routes: Vec<Demand> = day.deployment.routes.iter().map(demand).collect();
@@ -112,7 +133,7 @@
             let named = zones.iter().enumerate().fold(why.to_string(), |text, (s, name)| {
                 text.replace(&format!("site {s} "), &format!("site {name:?} "))
             });
-            format!("{}: {named}", file.display())
+            CommandError::file(file)(named)
         })?;
         let missing = asked - planned.filled.iter().zip(&rooms).map(|(f, r)| f * r.able).sum::<f64>();
         below |= lost.len() == 1 && planned.service < least;
