--- a/crates/cli/src/duties.rs
+++ b/crates/cli/src/duties.rs
@@ -4,7 +4,7 @@
 use crate::members::{read_members, send_to_leader};
 use clap::Subcommand;
 use grebespool_cluster::{Request, TaskOrder};
-use grebespool_singleton_tasks::LONGEST_HOLD;
+use grebespool_singleton_tasks::MAX_SUSPENSION;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -50,7 +50,7 @@
 }
 
 fn suspension_ms(seconds: f64) -> Result<u64, CommandError> {
-    let max = LONGEST_HOLD.as_secs();
+    let max = MAX_SUSPENSION.as_secs();
     if !(seconds > 0.0 && seconds <= max as f64) {
         let problem = format!("above 0 and at most {max} seconds");
         return Err(CommandError::argument(format!("--for {seconds}"), problem));
--- a/crates/cluster/src/accounts/files.rs
+++ b/crates/cluster/src/accounts/files.rs
@@ -1,6 +1,6 @@
 //! Files of accounts. A file's name is its period and revision, and it is linked to its name only where that is free.
 
-use grebespool_singleton_tasks::{Account, Token};
+use grebespool_singleton_tasks::{Account, FencingToken};
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -29,13 +29,13 @@
     /// It was there: whoever wrote it wrote the same.
     Existing,
     /// A newer lease holder has been here.
-    Fenced(Token),
+    Fenced(FencingToken),
 }
 
 /// Writes an account's file, unless a newer lease holder has been here or the file is there.
 pub(super) fn write_account(
     folder: &Path,
-    token: Token,
+    token: FencingToken,
     step: u64,
     account: Account,
 ) -> io::Result<WrittenAccount> {
@@ -47,7 +47,7 @@
     let path = folder.join(format!("{:012}-r{}.json", account.period, account.revision));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let written_ms = now.as_millis() as u64;
-    let content = AccountFile { step, token: (token.epoch, token.number), written_ms, account };
+    let content = AccountFile { step, token: (token.term, token.number), written_ms, account };
     link_new_file(folder, &path, &content)
 }
 
@@ -65,7 +65,7 @@
 }
 
 /// Leaves a marker of this lease holder, which replaces those of older ones, and returns the newest that has been here.
-fn mark_holder(folder: &Path, token: Token) -> io::Result<Token> {
+fn mark_holder(folder: &Path, token: FencingToken) -> io::Result<FencingToken> {
     let mut newest = token;
     let mut older: Vec<PathBuf> = vec![];
     for entry in fs::read_dir(folder)? {
@@ -86,11 +86,11 @@
     Ok(newest)
 }
 
-fn marker_name(token: Token) -> String {
-    format!("{HOLDER_PREFIX}{:020}-{:020}", token.epoch, token.number)
+fn marker_name(token: FencingToken) -> String {
+    format!("{HOLDER_PREFIX}{:020}-{:020}", token.term, token.number)
 }
 
-fn parse_marker(name: &str) -> Option<Token> {
+fn parse_marker(name: &str) -> Option<FencingToken> {
     let (epoch, number) = name.strip_prefix(HOLDER_PREFIX)?.split_once('-')?;
-    Some(Token { epoch: epoch.parse().ok()?, number: number.parse().ok()? })
+    Some(FencingToken { term: epoch.parse().ok()?, number: number.parse().ok()? })
 }
--- a/crates/cluster/src/accounts/mod.rs
+++ b/crates/cluster/src/accounts/mod.rs
@@ -11,7 +11,7 @@
 use crate::core::Core;
 use crate::task_host::{AccountSettings, Continuation, TaskHost};
 use files::{WrittenAccount, write_account};
-use grebespool_singleton_tasks::{Account, Duty, Ledger, MOST_CONTENT, Record, Token};
+use grebespool_singleton_tasks::{Account, FencingToken, Ledger, MAX_STEP_BYTES, StepRecord, TaskId};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 
 /// A request for the counts of a period.
 struct CountRequest {
-    token: Token,
+    token: FencingToken,
     period: u64,
     sent: Instant,
 }
@@ -36,14 +36,14 @@
 pub(crate) struct PeriodCloser {
     core: Rc<Core>,
     settings: AccountSettings,
-    task: Duty,
+    task: TaskId,
     request: Option<CountRequest>,
     /// A write failed, and that was logged.
     failure_logged: bool,
 }
 
 impl PeriodCloser {
-    pub(crate) fn new(core: Rc<Core>, settings: AccountSettings, task: Duty) -> PeriodCloser {
+    pub(crate) fn new(core: Rc<Core>, settings: AccountSettings, task: TaskId) -> PeriodCloser {
         PeriodCloser { core, settings, task, request: None, failure_logged: false }
     }
 
@@ -69,13 +69,13 @@
             return;
         }
         match last {
-            Some(record) if !record.ended => self.finish_step(token, &record).await,
+            Some(record) if !record.completed => self.finish_step(token, &record).await,
             last => self.close_next_period(host, token, last.as_ref()).await,
         }
     }
 
     /// Writes the file of an account that the journal has fixed.
-    async fn finish_step(&mut self, token: Token, record: &Record) {
+    async fn finish_step(&mut self, token: FencingToken, record: &StepRecord) {
         let Some(account) = ledger_of(record).and_then(|ledger| ledger.account) else {
             warn!(step = record.step, "cannot read a step of the accounts; leaving it as it is");
             return sleep(self.settings.slack).await;
@@ -84,7 +84,7 @@
             Ok(WrittenAccount::Fenced(seen)) => {
                 warn!(%token, %seen, "stops writing accounts: a newer lease holder has written");
                 let task = self.task;
-                self.core.call_tasks(|tasks, now| tasks.refused(now, task, token, seen));
+                self.core.call_tasks(|tasks, now| tasks.fenced(now, task, token, seen));
             }
             Ok(written) => {
                 if matches!(written, WrittenAccount::Existing) {
@@ -92,7 +92,7 @@
                 }
                 self.failure_logged = false;
                 let task = self.task;
-                self.core.write_task_step(task, |tasks, now| tasks.end(now, task));
+                self.core.write_task_step(task, |tasks, now| tasks.complete_step(now, task));
             }
             Err(error) => {
                 if !std::mem::replace(&mut self.failure_logged, true) {
@@ -104,19 +104,24 @@
         }
     }
 
-    async fn write_file(&self, token: Token, step: u64, account: Account) -> io::Result<WrittenAccount> {
+    async fn write_file(
+        &self,
+        token: FencingToken,
+        step: u64,
+        account: Account,
+    ) -> io::Result<WrittenAccount> {
         let folder = self.settings.folder.clone();
         let written = tokio::task::spawn_blocking(move || write_account(&folder, token, step, account)).await;
         written.unwrap_or_else(|panicked| Err(io::Error::other(panicked)))
     }
 
     /// Closes the next period that is over, once all members have reported their counts or the slack has passed.
-    async fn close_next_period(&mut self, host: &TaskHost, token: Token, last: Option<&Record>) {
+    async fn close_next_period(&mut self, host: &TaskHost, token: FencingToken, last: Option<&StepRecord>) {
         let over = host.period(self.settings.slack).unwrap_or(0);
         let ledger = match last {
             Some(record) => ledger_of(record),
             // The first account of a fleet is of the last period that is over.
-            None => Some(Ledger::beginning(over.saturating_sub(1))),
+            None => Some(Ledger::starting_at(over.saturating_sub(1))),
         };
         let Some(ledger) = ledger.filter(|ledger| ledger.next < over) else { return };
         let voters = self.core.voters();
@@ -129,25 +134,25 @@
         if !complete && request.sent.elapsed() < self.settings.slack {
             return;
         }
-        let step = ledger.step(over, &voters, &host.counts.borrow());
+        let step = ledger.next_step(over, &voters, &host.counts.borrow());
         let Some(content) = step.and_then(|ledger| postcard::to_stdvec(&ledger).ok()) else { return };
-        if content.len() > MOST_CONTENT {
-            let (bytes, max_bytes) = (content.len(), MOST_CONTENT);
+        if content.len() > MAX_STEP_BYTES {
+            let (bytes, max_bytes) = (content.len(), MAX_STEP_BYTES);
             warn!(bytes, max_bytes, "cannot write an account with so many zones and routes; it stays open");
             return sleep(self.settings.slack).await;
         }
         let task = self.task;
-        self.core.write_task_step(task, |tasks, now| tasks.begin(now, task, content));
+        self.core.write_task_step(task, |tasks, now| tasks.begin_step(now, task, content));
     }
 
     /// Asks all members for their counts. Only what they report after the period's end is complete.
-    fn request_counts(&mut self, host: &TaskHost, token: Token, ledger: &Ledger) {
+    fn request_counts(&mut self, host: &TaskHost, token: FencingToken, ledger: &Ledger) {
         host.counts.borrow_mut().clear();
         self.request = Some(CountRequest { token, period: ledger.next, sent: Instant::now() });
-        self.core.call_tasks(|tasks, now| tasks.ask_counts(now, ledger));
+        self.core.call_tasks(|tasks, now| tasks.request_counts(now, ledger));
     }
 }
 
-fn ledger_of(record: &Record) -> Option<Ledger> {
+fn ledger_of(record: &StepRecord) -> Option<Ledger> {
     postcard::from_bytes(&record.content).ok()
 }
--- a/crates/cluster/src/transport/packet.rs
+++ b/crates/cluster/src/transport/packet.rs
@@ -34,7 +34,7 @@
     /// StepDownReason the sender closes the stream.
     Rejected(String),
     /// A message of singleton tasks.
-    Task(grebespool_singleton_tasks::Word),
+    Task(grebespool_singleton_tasks::Message),
     /// A message of the agreement on configuration versions.
     Configuration(grebespool_config_consensus::Message),
 }
