--- a/crates/cli/src/duties.rs
+++ b/crates/cli/src/duties.rs
@@ -1,6 +1,7 @@
 //! `duties`: who does what on behalf of a fleet.
 
-use crate::members::{members_of, of_leader};
+use crate::error::CommandError;
+use crate::members::{read_members, send_to_leader};
 use clap::Subcommand;
 use grebespool_cluster::{Request, TaskOrder};
 use grebespool_singleton_tasks::MAX_SUSPENSION;
@@ -8,7 +9,7 @@
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub enum DutiesCommand {
+pub(crate) enum DutiesCommand {
     /// Say who owns which duty, since when, by which token, and which late owner was refused last
     Show { settings: PathBuf },
     /// Have a member own a duty; the one that has it ends its step first
@@ -25,22 +26,34 @@
     Release { settings: PathBuf, name: String },
 }
 
-pub fn duties(command: DutiesCommand) -> Result<ExitCode, String> {
-    let (settings, wanted) = match command {
+/// Runs the command.
+///
+/// # Errors
+///
+/// The settings or the time cannot be used, or the leader does not do what was asked.
+pub(crate) fn duties(command: DutiesCommand) -> Result<ExitCode, CommandError> {
+    let (settings, request) = match command {
         DutiesCommand::Show { settings } => (settings, Request::ShowTasks),
         DutiesCommand::Move { settings, name, member } => {
             (settings, Request::Task { name, order: TaskOrder::Move(member) })
         }
         DutiesCommand::Hold { settings, name, span } => {
-            let most = MAX_SUSPENSION.as_secs();
-            if !(span > 0.0 && span <= most as f64) {
-                return Err(format!("--for {span}: above 0 and at most {most} seconds"));
-            }
-            (settings, Request::Task { name, order: TaskOrder::Suspend((span * 1000.0) as u64) })
+            let order = TaskOrder::Suspend(suspension_ms(span)?);
+            (settings, Request::Task { name, order })
         }
         DutiesCommand::Release { settings, name } => {
             (settings, Request::Task { name, order: TaskOrder::Release })
         }
     };
-    of_leader(&members_of(&settings)?, &wanted)
+    send_to_leader(&read_members(&settings)?, &request)?;
+    Ok(ExitCode::SUCCESS)
+}
+
+fn suspension_ms(seconds: f64) -> Result<u64, CommandError> {
+    let max = MAX_SUSPENSION.as_secs();
+    if !(seconds > 0.0 && seconds <= max as f64) {
+        let problem = format!("above 0 and at most {max} seconds");
+        return Err(CommandError::argument(format!("--for {seconds}"), problem));
+    }
+    Ok((seconds * 1000.0) as u64)
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,5 +1,6 @@
 //! `serve`: a planner until it is told to stop.
 
+use crate::error::CommandError;
 use crate::record::Recording;
 use grebespool_cluster::{
     AccountSettings, LIMITS, Member, MemberConfig, Request, Response, Role, SiteRequest, Store, TaskSettings,
@@ -27,6 +28,9 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
+/// Bytes of the shortest key that is accepted.
+const MIN_KEY_LENGTH: usize = 16;
+
 /// An interrupt, or what service managers send.
 async fn told_to_stop() -> std::io::Result<()> {
     let mut terminated = signal(SignalKind::terminate())?;
@@ -42,41 +46,35 @@
     listen: Option<SocketAddr>,
     record: Option<&Path>,
     cloak: Option<&Path>,
-) -> Result<ExitCode, String> {
-    let planned = Planned::read(file).map_err(|bad| bad.to_string())?;
+) -> Result<ExitCode, CommandError> {
+    let planned = Planned::read(file)?;
     let key_file = &planned.listen.key_file;
-    let key = std::fs::read(key_file)
-        .map_err(|e| format!("{}: listen.key_file: {}: {e}", file.display(), key_file.display()))?;
-    if key.len() < 16 {
-        return Err(format!("{}: a key has at least 16 bytes; this has {}", key_file.display(), key.len()));
-    }
+    let key = read_key(file, key_file)?;
     let start = start_in(0);
     let recording = match record {
         Some(path) => Recording::begin(path, cloak, start.id, &planned.deployment)?,
         None => Recording::none(),
     };
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .map_err(|e| format!("no runtime: {e}"))?;
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CommandError::Runtime)?;
     LocalSet::new().block_on(&runtime, async {
         let address = listen.unwrap_or(planned.listen.address);
         let listener = std::net::TcpListener::bind(address)
             .and_then(|l| l.set_nonblocking(true).map(|()| l))
-            .map_err(|e| format!("cannot listen at {address}: {e}"))?;
+            .map_err(|cause| CommandError::Listen { whom: "", address, cause })?;
         let began = Instant::now();
         let serving = async {
             match planned.members.clone() {
                 Some(members) => lead_or_follow(file, listener, planned, members, &key, &recording).await,
                 None => {
-                    let listener = told_open(listener).map_err(|e| e.to_string())?;
+                    let listener = told_open(listener)?;
                     plan(file, listener, start, &planned, &key, Untouched, recording.clone()).await
                 }
             }
         };
         tokio::select! {
             ended = serving => ended?,
-            stopped = told_to_stop() => stopped.map_err(|e| e.to_string())?,
+            stopped = told_to_stop() => stopped?,
         }
         let lost = recording.finish(began.elapsed())?;
         if lost > 0 {
@@ -86,6 +84,20 @@
     })
 }
 
+/// The key that proxies and planners share.
+fn read_key(settings: &Path, key_file: &Path) -> Result<Vec<u8>, CommandError> {
+    let key = std::fs::read(key_file).map_err(|cause| CommandError::KeyFile {
+        settings: settings.to_path_buf(),
+        key_file: key_file.to_path_buf(),
+        cause,
+    })?;
+    if key.len() < MIN_KEY_LENGTH {
+        let (key_file, length) = (key_file.to_path_buf(), key.len());
+        return Err(CommandError::ShortKey { key_file, min: MIN_KEY_LENGTH, length });
+    }
+    Ok(key)
+}
+
 fn start_in(epoch: u64) -> Start {
     Start { id: rand::random::<u64>() | 1, seed: rand::random(), epoch }
 }
@@ -106,7 +118,7 @@
     key: &[u8],
     passage: impl Passage,
     watch: impl Watch,
-) -> Result<(), String> {
+) -> Result<(), CommandError> {
     let Planned { deployment, listen, list, probe_limit, .. } = planned.clone();
     let serving = serve_planner(
         listener,
@@ -119,7 +131,7 @@
         passage,
         watch,
     );
-    serving.await.map_err(|why| format!("{}: {why}", file.display()))
+    serving.await.map_err(CommandError::file(file))
 }
 
 /// Lets orders out only while this controller may give them.
@@ -261,22 +273,21 @@
     members: Members,
     key: &[u8],
     recording: &Recording,
-) -> Result<(), String> {
-    let (store, kept) =
-        Store::open(&members.folder, fleet_id(&members.fleet)).map_err(|why| why.to_string())?;
+) -> Result<(), CommandError> {
+    let (store, kept) = Store::open(&members.folder, fleet_id(&members.fleet))?;
     if kept.membership.version.term == 0
         && !kept.membership.voters.is_empty()
-        && kept.membership != crate::members::formed_roster(&members)
+        && kept.membership != crate::members::formed_membership(&members)
     {
-        return Err(format!(
-            "{}: members: these are not the members that {} was formed with",
-            file.display(),
-            members.folder.display()
-        ));
+        let (settings, folder) = (file.to_path_buf(), members.folder.clone());
+        return Err(CommandError::OtherMembers { settings, folder });
     }
     let at = members.listen.unwrap_or(members.address);
-    let between =
-        TcpListener::bind(at).await.map_err(|e| format!("cannot listen for members at {at}: {e}"))?;
+    let between = TcpListener::bind(at).await.map_err(|cause| CommandError::Listen {
+        whom: " for members",
+        address: at,
+        cause,
+    })?;
     let terms = ElectionParameters {
         heartbeat_interval: members.beat.0,
         lease: members.lease.0,
@@ -293,11 +304,11 @@
         weights_lifetime: members.weights_kept.0,
         tasks: fleetwork(&members),
     };
-    let (member, mut roles) = run_member(config, &mut tasks).map_err(|why| why.to_string())?;
-    drop(told_open(listener.try_clone().map_err(|e| e.to_string())?).map_err(|e| e.to_string())?);
+    let (member, mut roles) = run_member(config, &mut tasks)?;
+    drop(told_open(listener.try_clone()?)?);
     loop {
         let role = roles.borrow_and_update().clone();
-        let own = listener.try_clone().and_then(TcpListener::from_std).map_err(|e| e.to_string())?;
+        let own = listener.try_clone().and_then(TcpListener::from_std)?;
         let acting = async {
             match role {
                 Role::Follower => {
@@ -328,10 +339,10 @@
                 if let Err(error) = ended && error.is_panic() {
                     std::panic::resume_unwind(error.into_panic());
                 }
-                return Err("the member has ended".into());
+                return Err(CommandError::MemberEnded);
             }
             changed = roles.changed() => {
-                changed.map_err(|_| "the member has ended".to_string())?;
+                changed.map_err(|_| CommandError::MemberEnded)?;
                 info!(role = roles.borrow().name(), "changes its role");
             }
         }
