--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,8 +1,9 @@
 //! `members`: state folders, and what operators ask of the controllers of a fleet.
 
+use crate::error::CommandError;
 use clap::Subcommand;
 use grebespool_cluster::{
-    Keys, Request, Response, Store, StoreError, fleet_id, initial_membership, send_request, voter_id,
+    Keys, Request, Response, Store, fleet_id, initial_membership, send_request, voter_id,
 };
 use grebespool_leader_election::Membership;
 use grebespool_settings::{Members, Planned};
@@ -10,7 +11,7 @@
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub enum MembersCommand {
+pub(crate) enum MembersCommand {
     /// Make this member's state for a new fleet of all that its settings name; once in a member's life
     Form { settings: PathBuf },
     /// Make this member's state, to be added to a fleet that runs
@@ -32,90 +33,111 @@
     StepDown { settings: PathBuf },
 }
 
-pub fn members_of(file: &Path) -> Result<Members, String> {
-    let planned = Planned::read(file).map_err(|bad| bad.to_string())?;
-    planned.members.ok_or_else(|| format!("{}: members: the settings name none", file.display()))
+/// The members' part of a settings file.
+///
+/// # Errors
+///
+/// The file cannot be used, or has no such part.
+pub(crate) fn read_members(file: &Path) -> Result<Members, CommandError> {
+    Planned::read(file)?.members.ok_or_else(|| CommandError::NoMembers { settings: file.to_path_buf() })
 }
 
 /// Who takes part from the beginning, by a member's settings.
-pub fn formed_roster(m: &Members) -> Membership {
-    let own = (m.name.clone(), m.address.to_string());
-    let all = m.peers.iter().map(|p| (p.name.clone(), p.address.to_string())).chain([own]);
-    initial_membership(fleet_id(&m.fleet), all)
+pub(crate) fn formed_membership(members: &Members) -> Membership {
+    let own = (members.name.clone(), members.address.to_string());
+    let peers = members.peers.iter().map(|peer| (peer.name.clone(), peer.address.to_string()));
+    initial_membership(fleet_id(&members.fleet), peers.chain([own]))
 }
 
-pub fn members(command: MembersCommand) -> Result<ExitCode, String> {
-    let said = |why: StoreError| why.to_string();
+/// Runs the command.
+///
+/// # Errors
+///
+/// The settings cannot be used, a state folder cannot be made, or a member does not do what was asked.
+pub(crate) fn members(command: MembersCommand) -> Result<ExitCode, CommandError> {
     match command {
-        MembersCommand::Form { settings } => {
-            let m = members_of(&settings)?;
-            let fleet = fleet_id(&m.fleet);
-            Store::form(&m.folder, fleet, voter_id(fleet, &m.name), formed_roster(&m)).map_err(said)?;
-            println!(
-                "{}: {} of fleet {}, {} members",
-                m.folder.display(),
-                m.name,
-                m.fleet,
-                m.peers.len() + 1
-            );
-        }
-        MembersCommand::Join { settings } => {
-            let m = members_of(&settings)?;
-            let id = rand::random::<u64>().max(1);
-            Store::form(&m.folder, fleet_id(&m.fleet), id, Membership::default()).map_err(said)?;
-            println!("{}: {} of fleet {}, to be added", m.folder.display(), m.name, m.fleet);
-            println!("start it, then: members add SETTINGS {} {}", m.name, m.address);
-        }
+        MembersCommand::Form { settings } => form(&read_members(&settings)?)?,
+        MembersCommand::Join { settings } => join(&read_members(&settings)?)?,
         MembersCommand::Show { settings, at, json } => {
-            let m = members_of(&settings)?;
-            let answer = question(&m, at, Request::ShowMember)?;
+            let status = send(&read_members(&settings)?, at, Request::ShowMember)?;
             if json {
-                println!("{}", serde_json::to_string_pretty(&answer).map_err(|e| e.to_string())?);
+                println!("{}", serde_json::to_string_pretty(&status)?);
             } else {
-                show(&answer);
+                show(&status);
             }
         }
         MembersCommand::Add { settings, name, address } => {
-            return of_leader(&members_of(&settings)?, &Request::Add { name, address });
+            send_to_leader(&read_members(&settings)?, &Request::Add { name, address })?;
         }
         MembersCommand::Remove { settings, name } => {
-            return of_leader(&members_of(&settings)?, &Request::Remove { name });
+            send_to_leader(&read_members(&settings)?, &Request::Remove { name })?;
         }
         MembersCommand::StepDown { settings } => {
-            return of_leader(&members_of(&settings)?, &Request::StepDown);
+            send_to_leader(&read_members(&settings)?, &Request::StepDown)?;
         }
     }
     Ok(ExitCode::SUCCESS)
 }
 
-pub fn question(m: &Members, at: Option<String>, question: Request) -> Result<Response, String> {
-    let keys = Keys::read(&m.key_file).map_err(|e| format!("{}: {e}", m.key_file.display()))?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let address = at.unwrap_or_else(|| m.listen.unwrap_or(m.address).to_string());
-    let asked = send_request(&address, fleet_id(&m.fleet), &keys, question);
-    runtime.map_err(|e| e.to_string())?.block_on(asked).map_err(|e| format!("{address}: {e}"))
+fn form(members: &Members) -> Result<(), CommandError> {
+    let fleet = fleet_id(&members.fleet);
+    let id = voter_id(fleet, &members.name);
+    Store::form(&members.folder, fleet, id, formed_membership(members))?;
+    println!(
+        "{}: {} of fleet {}, {} members",
+        members.folder.display(),
+        members.name,
+        members.fleet,
+        members.peers.len() + 1
+    );
+    Ok(())
+}
+
+fn join(members: &Members) -> Result<(), CommandError> {
+    let id = rand::random::<u64>().max(1);
+    Store::form(&members.folder, fleet_id(&members.fleet), id, Membership::default())?;
+    println!("{}: {} of fleet {}, to be added", members.folder.display(), members.name, members.fleet);
+    println!("start it, then: members add SETTINGS {} {}", members.name, members.address);
+    Ok(())
 }
 
-/// Asks the settings' own member who leads, and then that one.
-pub fn of_leader(m: &Members, wanted: &Request) -> Result<ExitCode, String> {
-    let at = match question(m, None, Request::ShowMember)? {
+/// Sends a request to a member: the one at an address, or that of the settings.
+///
+/// # Errors
+///
+/// The key file cannot be used, or the member does not answer.
+pub(crate) fn send(
+    members: &Members,
+    address: Option<String>,
+    request: Request,
+) -> Result<Response, CommandError> {
+    let keys = Keys::read(&members.key_file).map_err(CommandError::file(&members.key_file))?;
+    let address = address.unwrap_or_else(|| members.listen.unwrap_or(members.address).to_string());
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    runtime
+        .block_on(send_request(&address, fleet_id(&members.fleet), &keys, request))
+        .map_err(|cause| CommandError::Member { address, cause: cause.into() })
+}
+
+/// Asks the settings' own member who leads, sends the request to that one, and prints its answer.
+///
+/// # Errors
+///
+/// No leader is known, or it does not do what was asked.
+pub(crate) fn send_to_leader(members: &Members, request: &Request) -> Result<(), CommandError> {
+    let address = match send(members, None, Request::ShowMember)? {
         Response::Status { leader: Some(leader), members, .. } => {
-            members.into_iter().find(|s| s.name == leader).map(|s| s.address)
+            members.into_iter().find(|member| member.name == leader).map(|member| member.address)
         }
-        _ => return Err("no leader is known; nothing is changed without one".into()),
+        _ => return Err(CommandError::NoLeader),
     };
-    match question(m, at, wanted.clone())? {
-        Response::Done(what) => {
-            println!("{what}");
-            Ok(ExitCode::SUCCESS)
-        }
-        Response::Lines(lines) => {
-            lines.iter().for_each(|line| println!("{line}"));
-            Ok(ExitCode::SUCCESS)
-        }
-        Response::Rejected(why) => Err(why),
-        Response::Status { .. } | Response::Configuration(_) => Err("it answered something else".into()),
+    match send(members, address, request.clone())? {
+        Response::Done(text) => println!("{text}"),
+        Response::Lines(lines) => lines.iter().for_each(|line| println!("{line}")),
+        Response::Rejected(reason) => return Err(CommandError::Rejected(reason)),
+        Response::Status { .. } | Response::Configuration(_) => return Err(CommandError::UnexpectedAnswer),
     }
+    Ok(())
 }
 
 fn show(answer: &Response) {
@@ -139,13 +161,13 @@
     if let Some(why) = stepped_down {
         println!("it last led until {why}");
     }
-    for m in members {
+    for member in members {
         println!(
             "  {:<16} {:<22} {:016x}{}",
-            m.name,
-            m.address,
-            m.id,
-            if m.missing { "  missing" } else { "" }
+            member.name,
+            member.address,
+            member.id,
+            if member.missing { "  missing" } else { "" }
         );
     }
     if standing == "leads" && !settled {
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -1,13 +1,13 @@
 //! Starting a member, and the handle to it.
 
 use crate::accounts::PeriodCloser;
-use crate::commands::SiteRequest;
 use crate::configuration_host::ConfigurationHost;
 use crate::core::{Core, TimedSnapshot};
 use crate::election_host::{ElectionHost, Role};
 use crate::endpoint::LocalEndpoint;
 use crate::keys::{KeyFile, KeyFileError};
 use crate::listener::accept_loop;
+use crate::request::SiteRequest;
 use crate::store::Store;
 use crate::task_host::{TaskHost, TaskSettings};
 use crate::transport::Identity;
@@ -230,9 +230,9 @@
 async fn task_timer(core: Rc<Core>) {
     let Some(host) = &core.tasks else { return };
     loop {
-        let deadline = host.tasks.borrow().due();
+        let deadline = host.tasks.borrow().next_deadline();
         if wait_for_timer(&core, deadline, &host.timer).await {
-            core.call_tasks(|tasks, now| tasks.woken(now));
+            core.call_tasks(|tasks, now| tasks.timer_fired(now));
         }
     }
 }
@@ -252,7 +252,7 @@
     while let Some(result) = results.recv().await {
         match result {
             WriteResult::Cells(stamp) => {
-                core.call_tasks(|tasks, now| tasks.kept(now, stamp));
+                core.call_tasks(|tasks, now| tasks.persisted(now, stamp));
             }
             WriteResult::Versions(stamp) => {
                 core.call_configuration(|node, now| node.persisted(now, stamp));
