--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -15,6 +15,7 @@
 mod replay;
 mod serve;
 mod simulated_days;
+mod site_plan;
 mod sites;
 mod trace;
 
