--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -229,7 +229,7 @@
     let duties = members.duties.as_ref()?;
     let accounts = duties.accounts.as_ref();
     Some(TaskSettings {
-        terms: TaskLeaseParameters {
+        lease: TaskLeaseParameters {
             lease: duties.lease.0,
             renew_interval: duties.renew.0,
             clock_drift: members.drift,
--- a/crates/cluster/src/commands/tasks.rs
+++ b/crates/cluster/src/commands/tasks.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// StepDownReason an order is not carried out.
+/// Why an order is not carried out.
 #[derive(Debug, Error)]
 enum OrderError {
     #[error("no member {0:?}")]
--- a/crates/cluster/src/dispatch.rs
+++ b/crates/cluster/src/dispatch.rs
@@ -9,10 +9,10 @@
 use crate::core::Core;
 use crate::election_host::{ElectionHost, Role};
 use crate::task_host::{
-    CellRequest, CountReport, DurableStep, OwnershipChange, TaskHost, TaskRecorder, TaskRequests, write_step,
+    CountReport, DurableStep, EntryRequest, OwnershipChange, TaskHost, TaskRecorder, TaskRequests, write_step,
 };
 use crate::transport::Packet;
-use crate::writer::CellWrite;
+use crate::writer::EntryWrite;
 use grebespool_config_consensus::ConsensusNode;
 use grebespool_leader_election::{Member as Election, MemberId};
 use grebespool_singleton_tasks::{ElectionState, FencingToken, Leader, TaskId, TaskManager};
@@ -95,7 +95,7 @@
     fn carry_out_task_requests(&self, host: &TaskHost, requests: TaskRequests) {
         let TaskRequests { outbox, writes, complete, reports, changes, durable } = requests;
         changes.iter().for_each(|change| log_ownership(host, change));
-        self.write_cells(host, writes, complete);
+        self.write_entries(host, writes, complete);
         for (to, message) in outbox {
             self.send_task_packet(to, Packet::Task(message));
         }
@@ -126,14 +126,14 @@
         });
     }
 
-    fn write_cells(&self, host: &TaskHost, writes: Vec<CellRequest>, complete: bool) {
+    fn write_entries(&self, host: &TaskHost, writes: Vec<EntryRequest>, complete: bool) {
         if writes.is_empty() && !complete {
             return;
         }
         let named =
-            |CellRequest { task, cell, stamp }| CellWrite { name: host.name(task).into(), cell, stamp };
+            |EntryRequest { task, entry, stamp }| EntryWrite { name: host.name(task).into(), entry, stamp };
         let writes = writes.into_iter().map(named).collect();
-        self.election.borrow_mut().host().disk.write_cells(writes, complete);
+        self.election.borrow_mut().host().disk.write_entries(writes, complete);
     }
 
     fn send_task_packet(&self, to: MemberId, packet: Packet) {
--- a/crates/cluster/src/keys.rs
+++ b/crates/cluster/src/keys.rs
@@ -11,7 +11,7 @@
 const KEY_CONTEXT: &str = "grebespool 2026 members' key";
 const KEY_ID_MESSAGE: &[u8] = b"which key is meant";
 
-/// StepDownReason a key file cannot be used.
+/// Why a key file cannot be used.
 #[derive(Debug, Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -36,5 +36,5 @@
 pub use keys::{KeyFileError, Keys};
 pub use member::{Member, MemberConfig, StartError, run_member};
 pub use request::{ConfigurationStatus, MemberStatus, Request, Response, SiteRequest, TaskOrder};
-pub use store::{RecordError, Store, StoreError, StoredCells};
+pub use store::{RecordError, Store, StoreError, StoredEntries};
 pub use task_host::{AccountSettings, TaskSettings};
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -52,7 +52,7 @@
     pub tasks: Option<TaskSettings>,
 }
 
-/// StepDownReason a member cannot be started.
+/// Why a member cannot be started.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The key file cannot be used.
@@ -60,7 +60,7 @@
     Keys {
         /// The file.
         path: String,
-        /// StepDownReason.
+        /// Why.
         source: KeyFileError,
     },
     /// The snapshots on disk cannot be read.
@@ -251,7 +251,7 @@
 async fn write_result_loop(core: Rc<Core>, mut results: mpsc::UnboundedReceiver<WriteResult>) {
     while let Some(result) = results.recv().await {
         match result {
-            WriteResult::Cells(stamp) => {
+            WriteResult::Entries(stamp) => {
                 core.call_tasks(|tasks, now| tasks.persisted(now, stamp));
             }
             WriteResult::Versions(stamp) => {
--- a/crates/cluster/src/request.rs
+++ b/crates/cluster/src/request.rs
@@ -115,7 +115,7 @@
         term: u64,
         /// Since when it has this standing, in milliseconds.
         since_ms: u64,
-        /// StepDownReason it stepped down last.
+        /// Why it stepped down last.
         #[serde(rename = "stood_down")]
         stepped_down: Option<String>,
         /// The members of the membership.
--- a/crates/cluster/src/store/checksum.rs
+++ b/crates/cluster/src/store/checksum.rs
@@ -7,7 +7,7 @@
 /// Bytes of the BLAKE3 hash that follow the encoded record.
 const CHECKSUM_BYTES: usize = 16;
 
-/// StepDownReason a record cannot be read.
+/// Why a record cannot be read.
 #[derive(Debug, Error)]
 pub enum RecordError {
     /// The database fails.
--- a/crates/cluster/src/store/election.rs
+++ b/crates/cluster/src/store/election.rs
@@ -54,7 +54,7 @@
         database(write.commit())
     }
 
-    /// Reads the newest snapshot that is not damaged. SnapshotError ones are reported and set aside.
+    /// Reads the newest snapshot that is not damaged. Damaged ones are reported and set aside.
     ///
     /// # Errors
     ///
--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -6,7 +6,7 @@
 mod tasks;
 
 pub use checksum::RecordError;
-pub use tasks::StoredCells;
+pub use tasks::StoredEntries;
 
 use grebespool_leader_election::{HardState, MemberId, Membership};
 use redb::{Database, TableDefinition};
@@ -19,7 +19,7 @@
 const SNAPSHOT_FILE: &str = "memories.redb";
 const COUNTS: TableDefinition<&str, u64> = TableDefinition::new("counts");
 
-/// StepDownReason a state folder cannot be used.
+/// Why a state folder cannot be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// No state was formed in the folder.
@@ -36,7 +36,7 @@
     Open {
         /// The folder.
         path: String,
-        /// StepDownReason.
+        /// Why.
         source: Box<redb::DatabaseError>,
     },
     /// The folder is of another fleet.
@@ -54,7 +54,7 @@
     Damaged {
         /// The folder.
         path: String,
-        /// StepDownReason.
+        /// Why.
         source: RecordError,
     },
     /// The folder cannot be created.
@@ -62,7 +62,7 @@
     Io {
         /// The folder.
         path: String,
-        /// StepDownReason.
+        /// Why.
         source: io::Error,
     },
 }
@@ -97,7 +97,7 @@
         let store = Self::open_databases(folder)?;
         let complete = !membership.voters.is_empty();
         let first = HardState { id, fleet, term: 0, voted_for: None, membership, revision: 1 };
-        let written = store.write_election(&first).and_then(|()| store.write_cells(&[], Some(complete)));
+        let written = store.write_election(&first).and_then(|()| store.write_entries(&[], Some(complete)));
         written.map_err(|error| StoreError::Damaged { path, source: RecordError::Database(error) })
     }
 
--- a/crates/cluster/src/store/tasks.rs
+++ b/crates/cluster/src/store/tasks.rs
@@ -8,8 +8,8 @@
 use std::io;
 
 // Stored: do not rename tables or keys. Entries are stored by the task's name, which outlives its place among the names.
-const CELLS: TableDefinition<&str, &[u8]> = TableDefinition::new("cells");
-const DAMAGED_CELLS: TableDefinition<&str, &[u8]> = TableDefinition::new("damaged cells");
+const ENTRIES: TableDefinition<&str, &[u8]> = TableDefinition::new("cells");
+const DAMAGED_ENTRIES: TableDefinition<&str, &[u8]> = TableDefinition::new("damaged cells");
 const TALLY: TableDefinition<&str, &[u8]> = TableDefinition::new("tally");
 const TALLY_KEY: &str = "tally";
 const STARTS_KEY: &str = "life";
@@ -17,9 +17,9 @@
 
 /// The stored entries of task journals.
 #[derive(Debug, PartialEq, Eq)]
-pub struct StoredCells {
+pub struct StoredEntries {
     /// The entries by task.
-    pub cells: BTreeMap<TaskId, RegisterEntry>,
+    pub entries: BTreeMap<TaskId, RegisterEntry>,
     /// Whether they are all that this member should have. A member that was added, or whose entries are damaged, copies those
     /// of the others first.
     pub complete: bool,
@@ -43,22 +43,22 @@
         Ok(u32::try_from(starts).unwrap_or(u32::MAX))
     }
 
-    /// Reads the journal entries of the tasks of these names. SnapshotError ones are reported and set aside.
+    /// Reads the journal entries of the tasks of these names. Damaged ones are reported and set aside.
     ///
     /// # Errors
     ///
     /// The database cannot be read or written.
-    pub fn read_cells(
+    pub fn read_entries(
         &self,
         names: &[String],
         mut on_damaged: impl FnMut(&str, &RecordError),
-    ) -> io::Result<StoredCells> {
+    ) -> io::Result<StoredEntries> {
         let write = database(self.state.begin_write())?;
-        let mut cells = BTreeMap::new();
+        let mut entries = BTreeMap::new();
         let complete = {
             let mut counts = database(write.open_table(COUNTS))?;
-            let mut table = database(write.open_table(CELLS))?;
-            let mut damaged = database(write.open_table(DAMAGED_CELLS))?;
+            let mut table = database(write.open_table(ENTRIES))?;
+            let mut damaged = database(write.open_table(DAMAGED_ENTRIES))?;
             let mut complete = database(counts.get(COMPLETE_KEY))?.is_none_or(|value| value.value() != 0);
             for (task, name) in (0..).zip(names) {
                 let Some(bytes) = database(table.get(name.as_str()))?.map(|bytes| bytes.value().to_vec())
@@ -66,7 +66,7 @@
                     continue;
                 };
                 match decode::<RegisterEntry>(&bytes) {
-                    Ok(cell) => drop(cells.insert(task, cell)),
+                    Ok(entry) => drop(entries.insert(task, entry)),
                     Err(error) => {
                         on_damaged(name, &error);
                         complete = false;
@@ -79,7 +79,7 @@
             complete
         };
         database(write.commit())?;
-        Ok(StoredCells { cells, complete })
+        Ok(StoredEntries { entries, complete })
     }
 
     /// Writes journal entries by task name, and returns once they are on disk. `complete` says whether they are all that this
@@ -88,12 +88,16 @@
     /// # Errors
     ///
     /// The database cannot be written.
-    pub fn write_cells(&self, cells: &[(String, RegisterEntry)], complete: Option<bool>) -> io::Result<()> {
+    pub fn write_entries(
+        &self,
+        entries: &[(String, RegisterEntry)],
+        complete: Option<bool>,
+    ) -> io::Result<()> {
         let write = database(self.state.begin_write())?;
         {
-            let mut table = database(write.open_table(CELLS))?;
-            for (name, cell) in cells {
-                database(table.insert(name.as_str(), encode(cell).as_slice()))?;
+            let mut table = database(write.open_table(ENTRIES))?;
+            for (name, entry) in entries {
+                database(table.insert(name.as_str(), encode(entry).as_slice()))?;
             }
             if let Some(complete) = complete {
                 let mut counts = database(write.open_table(COUNTS))?;
--- a/crates/cluster/src/task_host.rs
+++ b/crates/cluster/src/task_host.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct TaskSettings {
     /// Leases of tasks.
-    pub terms: TaskLeaseParameters,
+    pub lease: TaskLeaseParameters,
     /// The task of accounts.
     pub accounts: Option<AccountSettings>,
     /// The task of coordinating configuration versions.
@@ -67,9 +67,9 @@
 }
 
 /// A journal entry to be written.
-pub(crate) struct CellRequest {
+pub(crate) struct EntryRequest {
     pub task: TaskId,
-    pub cell: RegisterEntry,
+    pub entry: RegisterEntry,
     pub stamp: u64,
 }
 
@@ -83,7 +83,7 @@
 #[derive(Default)]
 pub(crate) struct TaskRequests {
     pub outbox: Vec<(MemberId, Message)>,
-    pub writes: Vec<CellRequest>,
+    pub writes: Vec<EntryRequest>,
     /// The journal is complete now.
     pub complete: bool,
     pub reports: Vec<CountReport>,
@@ -107,34 +107,34 @@
 }
 
 impl TaskRecorder {
-    fn step_durable(&mut self, task: TaskId, token: FencingToken, record: Option<StepRecord>, first: bool) {
+    fn record_step(&mut self, task: TaskId, token: FencingToken, record: Option<StepRecord>, first: bool) {
         self.requests.durable.push(DurableStep { task, token, record: record.clone(), first });
         self.ready.insert(task, Continuation { token, last: record });
     }
 }
 
 impl Host for TaskRecorder {
-    fn send(&mut self, to: MemberId, word: Message) {
-        self.requests.outbox.push((to, word));
+    fn send(&mut self, to: MemberId, message: Message) {
+        self.requests.outbox.push((to, message));
     }
-    fn persist(&mut self, duty: TaskId, cell: &RegisterEntry, stamp: u64) {
-        self.requests.writes.push(CellRequest { task: duty, cell: cell.clone(), stamp });
+    fn persist(&mut self, task: TaskId, entry: &RegisterEntry, stamp: u64) {
+        self.requests.writes.push(EntryRequest { task, entry: entry.clone(), stamp });
     }
     fn copy_completed(&mut self) {
         self.requests.complete = true;
     }
-    fn lease_acquired(&mut self, duty: TaskId, token: FencingToken) {
-        self.requests.changes.push(OwnershipChange { task: duty, token, lost: None });
+    fn lease_acquired(&mut self, task: TaskId, token: FencingToken) {
+        self.requests.changes.push(OwnershipChange { task, token, lost: None });
     }
-    fn lease_lost(&mut self, duty: TaskId, token: FencingToken, why: LeaseLossReason) {
-        self.ready.remove(&duty);
-        self.requests.changes.push(OwnershipChange { task: duty, token, lost: Some(why) });
+    fn lease_lost(&mut self, task: TaskId, token: FencingToken, reason: LeaseLossReason) {
+        self.ready.remove(&task);
+        self.requests.changes.push(OwnershipChange { task, token, lost: Some(reason) });
     }
-    fn ready(&mut self, duty: TaskId, token: FencingToken, last: Option<&StepRecord>) {
-        self.step_durable(duty, token, last.cloned(), true);
+    fn ready(&mut self, task: TaskId, token: FencingToken, last: Option<&StepRecord>) {
+        self.record_step(task, token, last.cloned(), true);
     }
-    fn step_durable(&mut self, duty: TaskId, token: FencingToken, record: &StepRecord) {
-        self.step_durable(duty, token, Some(record.clone()), false);
+    fn step_durable(&mut self, task: TaskId, token: FencingToken, record: &StepRecord) {
+        self.record_step(task, token, Some(record.clone()), false);
     }
     fn counts_received(&mut self, from: MemberId, periods: Vec<(u64, Rows)>) {
         self.requests.reports.push(CountReport { member: from, periods });
@@ -172,17 +172,17 @@
         settings: TaskSettings,
     ) -> io::Result<TaskHost> {
         let names = settings.names();
-        let stored = store.read_cells(&names, |task, error| {
+        let stored = store.read_entries(&names, |task, error| {
             warn!(task, %error, "sets a damaged journal record aside; copying the others' before answering");
         })?;
         let config = TaskManagerConfig {
             own_id: own,
-            parameters: settings.terms,
+            parameters: settings.lease,
             task_set: TaskSet { digest: task_names_id(&names), count: names.len() },
             restarts: start_count,
         };
         let stored =
-            StoredTasks { entries: stored.cells, is_copied: stored.complete, tally: store.read_tally()? };
+            StoredTasks { entries: stored.entries, is_copied: stored.complete, tally: store.read_tally()? };
         let tasks = TaskManager::new(TaskRecorder::default(), config, stored);
         Ok(TaskHost {
             settings,
--- a/crates/cluster/src/transport/error.rs
+++ b/crates/cluster/src/transport/error.rs
@@ -1,4 +1,4 @@
-//! StepDownReason a stream between members fails.
+//! Why a stream between members fails.
 
 use super::identity::PROTOCOL_VERSION;
 use grebespool_leader_election::MemberId;
@@ -6,7 +6,7 @@
 use thiserror::Error;
 use tokio::time::error::Elapsed;
 
-/// StepDownReason a stream between members fails.
+/// Why a stream between members fails.
 #[derive(Debug, Error)]
 pub enum TransportError {
     /// The connection failed, was closed, or took too long.
--- a/crates/cluster/src/transport/packet.rs
+++ b/crates/cluster/src/transport/packet.rs
@@ -31,7 +31,7 @@
     Request(Request),
     /// The response to it.
     Response(Response),
-    /// StepDownReason the sender closes the stream.
+    /// Why the sender closes the stream.
     Rejected(String),
     /// A message of singleton tasks.
     Task(grebespool_singleton_tasks::Message),
--- a/crates/cluster/src/writer.rs
+++ b/crates/cluster/src/writer.rs
@@ -22,22 +22,22 @@
     /// The election state cannot be written; it is retried.
     ElectionFailed(io::Error),
     /// Journal entries up to this stamp are on disk.
-    Cells(u64),
+    Entries(u64),
     /// Configuration versions up to this stamp are on disk.
     Versions(u64),
 }
 
 /// A journal entry to be written.
-pub(crate) struct CellWrite {
+pub(crate) struct EntryWrite {
     /// Name of the task.
     pub name: String,
-    pub cell: RegisterEntry,
+    pub entry: RegisterEntry,
     pub stamp: u64,
 }
 
 /// Journal entries to be written in one transaction.
-struct CellWrites {
-    cells: Vec<CellWrite>,
+struct EntryWrites {
+    entries: Vec<EntryWrite>,
     /// With these the member has all that it should have.
     complete: bool,
 }
@@ -56,7 +56,7 @@
 pub(crate) struct DiskWriter {
     election: Sender<HardState>,
     snapshots: Sender<SnapshotWrite>,
-    cells: Sender<CellWrites>,
+    entries: Sender<EntryWrites>,
     tallies: Sender<Tally>,
     versions: Sender<VersionsWrite>,
 }
@@ -67,7 +67,7 @@
         DiskWriter {
             election: spawn_writer(store, results, write_election),
             snapshots: spawn_writer(store, results, write_snapshots),
-            cells: spawn_writer(store, results, write_cells),
+            entries: spawn_writer(store, results, write_entries),
             tallies: spawn_writer(store, results, write_tallies),
             versions: spawn_writer(store, results, write_versions),
         }
@@ -84,8 +84,8 @@
     }
 
     /// Writes journal entries. `complete`: with these, the member has all that it should have.
-    pub(crate) fn write_cells(&self, cells: Vec<CellWrite>, complete: bool) {
-        let _ = self.cells.send(CellWrites { cells, complete });
+    pub(crate) fn write_entries(&self, entries: Vec<EntryWrite>, complete: bool) {
+        let _ = self.entries.send(EntryWrites { entries, complete });
     }
 
     /// Writes what was counted.
@@ -145,23 +145,23 @@
 
 /// Entries that wait are written at once. A write that fails is retried, and not acknowledged until it is on disk: a quorum
 /// continues without this member.
-fn write_cells(store: &Store, waiting: &Receiver<CellWrites>, results: &UnboundedSender<WriteResult>) {
-    while let Ok(CellWrites { mut cells, mut complete }) = waiting.recv() {
+fn write_entries(store: &Store, waiting: &Receiver<EntryWrites>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(EntryWrites { mut entries, mut complete }) = waiting.recv() {
         for more in waiting.try_iter() {
-            cells.extend(more.cells);
+            entries.extend(more.entries);
             complete |= more.complete;
         }
-        let stamp = cells.iter().map(|write| write.stamp).max();
-        let cells: Vec<_> = cells.into_iter().map(|write| (write.name, write.cell)).collect();
+        let stamp = entries.iter().map(|write| write.stamp).max();
+        let entries: Vec<_> = entries.into_iter().map(|write| (write.name, write.entry)).collect();
         let mut failed = false;
-        while let Err(error) = store.write_cells(&cells, complete.then_some(true)) {
+        while let Err(error) = store.write_entries(&entries, complete.then_some(true)) {
             if !std::mem::replace(&mut failed, true) {
                 let folder = store.folder().display();
                 warn!(%folder, %error, "cannot write the journal of singleton tasks; retrying");
             }
             thread::sleep(WRITE_RETRY_DELAY);
         }
-        if stamp.is_some_and(|stamp| results.send(WriteResult::Cells(stamp)).is_err()) {
+        if stamp.is_some_and(|stamp| results.send(WriteResult::Entries(stamp)).is_err()) {
             return;
         }
     }
--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -5,8 +5,8 @@
 
 use grebespool_cluster::transport::{AuthenticatedStream, Identity, PROTOCOL_VERSION, Packet};
 use grebespool_cluster::{
-    AccountAudit, ConfigurationStatus, Keys, MemberStatus, Request, Response, Store, StoredCells, TaskOrder,
-    audit_accounts, fleet_id, initial_membership, voter_id,
+    AccountAudit, ConfigurationStatus, Keys, MemberStatus, Request, Response, Store, StoredEntries,
+    TaskOrder, audit_accounts, fleet_id, initial_membership, voter_id,
 };
 use grebespool_config_consensus::{
     ActiveVersions, Change, ConfigVersion, Configuration, EffectiveConfiguration, Limit, Message, Rack,
@@ -242,13 +242,13 @@
     assert_eq!(store.read_snapshot(|order, _| assert_eq!(order, (3, 2))).unwrap(), Some(snapshot(1)));
     store.write_snapshot((3, 3), &snapshot(3).encode().unwrap()).unwrap();
     let cells = DUTIES.map(|name| (name.to_string(), cell(name == "editions")));
-    store.write_cells(&cells, Some(true)).unwrap();
+    store.write_entries(&cells, Some(true)).unwrap();
     drop(store);
     spoil_cell(path, "accounts");
     let (store, _) = Store::open(path, fleet_id(FLEET)).unwrap();
-    let StoredCells { cells, complete } =
-        store.read_cells(&duties(), |name, _| assert_eq!(name, "accounts")).unwrap();
-    assert_eq!((cells, complete), (BTreeMap::from([(1, cell(true))]), false));
+    let StoredEntries { entries, complete } =
+        store.read_entries(&duties(), |name, _| assert_eq!(name, "accounts")).unwrap();
+    assert_eq!((entries, complete), (BTreeMap::from([(1, cell(true))]), false));
     store.write_versions(&stored_versions()).unwrap();
     store.write_tally(&tally()).unwrap();
     assert_eq!(store.count_start().unwrap(), 1);
@@ -265,9 +265,9 @@
     assert_eq!(found, hard_state());
     assert_eq!(store.read_snapshot(|order, _| panic!("{order:?} is damaged")).unwrap(), Some(snapshot(3)));
     assert_eq!(store.damaged_snapshots().unwrap(), 1);
-    let StoredCells { cells, complete } =
-        store.read_cells(&duties(), |name, _| panic!("{name} is damaged")).unwrap();
-    assert_eq!((cells, complete), (BTreeMap::from([(1, cell(true))]), false));
+    let StoredEntries { entries, complete } =
+        store.read_entries(&duties(), |name, _| panic!("{name} is damaged")).unwrap();
+    assert_eq!((entries, complete), (BTreeMap::from([(1, cell(true))]), false));
     assert_eq!(store.read_versions(|error| panic!("{error}")).unwrap(), stored_versions());
     assert_eq!(store.read_tally().unwrap(), tally());
     assert_eq!(store.count_start().unwrap(), 2);
