--- a/crates/cli/benches/scale.rs
+++ b/crates/cli/benches/scale.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_controller_server::dial::{Peer, next, shake_hands};
+use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
 use grebespool_emulator::{PlannerHost, ProcessHost};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
 use grebespool_wire::*;
@@ -43,55 +43,64 @@
     deployment
 }
 
-fn entry(server: ServerId, phase: Phase) -> Entry {
+fn entry(server: ServerId, phase: EndpointState) -> EndpointEntry {
     let zone = if server.number.is_multiple_of(2) { "east" } else { "west" }.into();
-    Entry { server, zone, phase, started_ms: 0 }
+    EndpointEntry { server, zone, state: phase, started_ms: 0 }
 }
 
 async fn serve_list(
     listener: TcpListener,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     mut changes: mpsc::UnboundedReceiver<Message>,
 ) {
     let (mut socket, _) = listener.accept().await.unwrap();
     socket.set_nodelay(true).unwrap();
-    let (mut inbox, key) = (Inbox::new(MOST_BODY), Key::derive(KEY));
-    let Ok(Message::Hello { name, nonce, .. }) = next(&mut socket, &mut inbox).await else { return };
-    let challenge = Message::Challenge { version: VERSION, start: 1, nonce: [7; 16] };
-    socket.write_all(&challenge.frame()).await.unwrap();
-    let Ok(Message::Join(join)) = next(&mut socket, &mut inbox).await else { return };
-    let proof = key.planner([&nonce, &[7; 16]], 1, &name, &join.zone);
-    socket.write_all(&Message::Welcome { stream: 1, epoch: 0, proof }.frame()).await.unwrap();
-    let list = Message::List { version: 1, base: 0, now_ms: 1, entries };
-    socket.write_all(&list.frame()).await.unwrap();
+    let (mut inbox, key) = (FrameDecoder::new(MAX_BODY_BYTES), FleetKey::derive(KEY));
+    let Ok(Message::Hello(Hello { name, nonce, .. })) = read_message(&mut socket, &mut inbox).await else {
+        return;
+    };
+    let challenge =
+        Message::Challenge(Challenge { version: PROTOCOL_VERSION, incarnation: 1, nonce: [7; 16] });
+    socket.write_all(&challenge.to_frame()).await.unwrap();
+    let Ok(Message::Join(join)) = read_message(&mut socket, &mut inbox).await else { return };
+    let proof = key.listener_proof(&Transcript {
+        dialer_nonce: &nonce,
+        listener_nonce: &[7; 16],
+        incarnation: 1,
+        name: &name,
+        zone: &join.zone,
+    });
+    socket.write_all(&Message::Welcome(Welcome { stream: 1, term: 0, proof }).to_frame()).await.unwrap();
+    let list = Message::EndpointList(EndpointList { version: 1, base_version: 0, now_ms: 1, entries });
+    socket.write_all(&list.to_frame()).await.unwrap();
     while let Some(change) = changes.recv().await {
-        socket.write_all(&change.frame()).await.unwrap();
+        socket.write_all(&change.to_frame()).await.unwrap();
     }
 }
 
 /// Puts orders in force, notes what is of interest, and gives the mark to answer.
-fn obey(orders: &Orders, number: usize, table: &mut BTreeSet<ServerId>, seen: &mut Seen) -> Option<u16> {
+fn obey(orders: &Update, number: usize, table: &mut BTreeSet<ServerId>, seen: &mut Seen) -> Option<u16> {
     let mut mark = None;
-    for part in &orders.parts {
+    for part in &orders.changes {
         match part {
-            Order::Bind { lines, .. } => {
+            Change::BindTable(TableBinding { weights: lines, .. }) => {
                 seen.bound.entry(number).or_insert(Instant::now());
                 seen.lines += lines.len();
-                *table = lines.iter().map(|l| l.0).collect();
+                *table = lines.iter().map(|w| w.server).collect();
                 for s in &*table {
                     seen.holders.entry(*s).or_default().insert(number);
                 }
             }
-            Order::Line { server, weight, .. } if *weight == 0.0 => {
+            Change::SetWeight(WeightChange { server, weight, .. }) if *weight == 0.0 => {
                 table.remove(server);
                 seen.removed.push((*server, number, Instant::now()));
                 seen.holders.entry(*server).or_default().remove(&number);
             }
-            Order::Line { server, .. } => {
+            Change::SetWeight(WeightChange { server, .. }) => {
                 table.insert(*server);
                 seen.holders.entry(*server).or_default().insert(number);
             }
-            Order::Mark(m) => mark = Some(*m),
+            Change::RequestAck(m) => mark = Some(*m),
             _ => {}
         }
     }
@@ -104,8 +113,16 @@
     socket.set_nodelay(true).unwrap();
     let zone = if number.is_multiple_of(2) { "east" } else { "west" };
     let (name, nonce) = (format!("p{number}"), (number as u128).to_be_bytes());
-    let peer = Peer { role: Role::Proxy, name: &name, zone, rate: 5.0, bare: true, held: (0, 0), epoch: 0 };
-    let mut dialled = shake_hands(&mut socket, &Key::derive(KEY), nonce, &peer).await.unwrap();
+    let peer = Dialer {
+        role: Role::Proxy,
+        name: &name,
+        zone,
+        calls_per_s: 5.0,
+        initial_table_only: true,
+        applied: AppliedUpdate::default(),
+        newest_term: 0,
+    };
+    let mut dialled = handshake(&mut socket, &FleetKey::derive(KEY), nonce, &peer).await.unwrap();
     let (mut from, mut to) = socket.into_split();
     let mut table = BTreeSet::new();
     let mut told = 0;
@@ -116,12 +133,12 @@
     );
     loop {
         tokio::select! {
-            message = next(&mut from, &mut dialled.inbox) => {
-                let Ok(Message::Orders(orders)) = message else { return };
+            message = read_message(&mut from, &mut dialled.decoder) => {
+                let Ok(Message::Update(orders)) = message else { return };
                 let mark = obey(&orders, number, &mut table, &mut seen.borrow_mut());
                 let applied =
-                    Message::Applied { start: orders.start, stream: orders.stream, seq: orders.seq, mark };
-                if to.write_all(&applied.frame()).await.is_err() {
+                    Message::UpdateAck(UpdateAck { incarnation: orders.incarnation, stream: orders.stream, sequence: orders.sequence, token: mark});
+                if to.write_all(&applied.to_frame()).await.is_err() {
                     return;
                 }
             }
@@ -129,12 +146,12 @@
                 told += 1;
                 let line = |s: &ServerId| {
                     let load = 0.3 + 0.1 * (s.number % 5) as f32 + 0.001 * (told % 9) as f32;
-                    let report = Some(Report { start: 1, number: told, figures: vec![load, 0.0] });
-                    MetLine { server: *s, tries: 1, dropped: 0, wait_us: 40_000, report }
+                    let report = Some(ServerMetrics { incarnation: 1, sequence: told, values: vec![load, 0.0] });
+                    ServerLoad { server: *s, attempts: 1, dropped: 0, mean_latency_us: 40_000, metrics: report}
                 };
                 let met = table.iter().take(20).map(line).collect();
-                let sums = Message::Sums { met, came: vec![CameLine { route: 0, calls: 20 }] };
-                if to.write_all(&sums.frame()).await.is_err() {
+                let sums = Message::ProxyReport(ProxyReport { servers: met, routes: vec![RouteLoad { route: 0, calls: 20 }] });
+                if to.write_all(&sums.to_frame()).await.is_err() {
                     return;
                 }
             }
@@ -164,7 +181,7 @@
     let mode = ListMode::Pushed;
     let source = ListSource::new(listener.local_addr().unwrap(), mode, Span(Duration::from_secs(10)));
     let (changes, told) = mpsc::unbounded_channel();
-    let entries = ids.iter().map(|s| entry(*s, Phase::Ready)).collect();
+    let entries = ids.iter().map(|s| entry(*s, EndpointState::Ready)).collect();
     spawn_local(serve_list(listener, entries, told));
     let program = PathBuf::from(env!("CARGO_BIN_EXE_grebespool-cli"));
     let trace = folder.path().join("day.trace").display().to_string();
@@ -197,8 +214,15 @@
         let holders = seen.borrow().holders.get(&server).cloned().unwrap_or_default();
         let told_at = Instant::now();
         let version = 2 + i as u64;
-        let drained = vec![entry(server, Phase::Draining)];
-        changes.send(Message::List { version, base: version - 1, now_ms: 1, entries: drained }).unwrap();
+        let drained = vec![entry(server, EndpointState::Draining)];
+        changes
+            .send(Message::EndpointList(EndpointList {
+                version,
+                base_version: version - 1,
+                now_ms: 1,
+                entries: drained,
+            }))
+            .unwrap();
         sleep(Duration::from_millis(600)).await;
         let seen = seen.borrow();
         let gone: Vec<_> = seen.removed.iter().filter(|r| r.0 == server).collect();
--- a/crates/cli/benches/takeover.rs
+++ b/crates/cli/benches/takeover.rs
@@ -6,7 +6,7 @@
 #![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_cluster::Store;
-use grebespool_controller_server::dial::{Peer, next, shake_hands};
+use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
 use grebespool_emulator::{FleetHost, PlannerHost, ProcessHost};
 use grebespool_leader_election::{Held, Listed, Memory, Phase as Known, Roster, Weight};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
@@ -46,22 +46,40 @@
     loop {
         let Ok((mut socket, _)) = listener.accept().await else { continue };
         spawn_local(async move {
-            let (mut inbox, key) = (Inbox::new(MOST_BODY), Key::derive(KEY));
-            let Ok(Message::Hello { name, nonce, .. }) = next(&mut socket, &mut inbox).await else { return };
-            let challenge = Message::Challenge { version: VERSION, start: 1, nonce: [7; 16] };
-            let _ = socket.write_all(&challenge.frame()).await;
-            let Ok(Message::Join(join)) = next(&mut socket, &mut inbox).await else { return };
-            let proof = key.planner([&nonce, &[7; 16]], 1, &name, &join.zone);
-            let _ = socket.write_all(&Message::Welcome { stream: 1, epoch: 0, proof }.frame()).await;
+            let (mut inbox, key) = (FrameDecoder::new(MAX_BODY_BYTES), FleetKey::derive(KEY));
+            let Ok(Message::Hello(Hello { name, nonce, .. })) = read_message(&mut socket, &mut inbox).await
+            else {
+                return;
+            };
+            let challenge =
+                Message::Challenge(Challenge { version: PROTOCOL_VERSION, incarnation: 1, nonce: [7; 16] });
+            let _ = socket.write_all(&challenge.to_frame()).await;
+            let Ok(Message::Join(join)) = read_message(&mut socket, &mut inbox).await else { return };
+            let proof = key.listener_proof(&Transcript {
+                dialer_nonce: &nonce,
+                listener_nonce: &[7; 16],
+                incarnation: 1,
+                name: &name,
+                zone: &join.zone,
+            });
+            let _ =
+                socket.write_all(&Message::Welcome(Welcome { stream: 1, term: 0, proof }).to_frame()).await;
             let entry = |n: usize| {
                 let zone = if n.is_multiple_of(2) { "east" } else { "west" }.into();
-                Entry { server: server(n), zone, phase: Phase::Ready, started_ms: 0 }
+                EndpointEntry { server: server(n), zone, state: EndpointState::Ready, started_ms: 0 }
             };
-            while let Ok(Message::AskList { have, .. }) = next(&mut socket, &mut inbox).await {
+            while let Ok(Message::EndpointPoll(EndpointPoll { known_version: have, .. })) =
+                read_message(&mut socket, &mut inbox).await
+            {
                 if have < 1 {
                     let entries = (0..SERVERS).map(entry).collect();
-                    let list = Message::List { version: 1, base: 0, now_ms: 1, entries };
-                    let _ = socket.write_all(&list.frame()).await;
+                    let list = Message::EndpointList(EndpointList {
+                        version: 1,
+                        base_version: 0,
+                        now_ms: 1,
+                        entries,
+                    });
+                    let _ = socket.write_all(&list.to_frame()).await;
                 }
             }
         });
@@ -102,49 +120,59 @@
         let dialled = async {
             let mut socket = TcpStream::connect(to).await?;
             socket.set_nodelay(true)?;
-            let peer = Peer {
+            let peer = Dialer {
                 role: Role::Proxy,
                 name: &name,
                 zone,
-                rate: 5.0,
-                bare: dials == 1,
-                held: (0, 0),
-                epoch,
+                calls_per_s: 5.0,
+                initial_table_only: dials == 1,
+                applied: AppliedUpdate::default(),
+                newest_term: epoch,
             };
-            shake_hands(&mut socket, &Key::derive(KEY), nonce, &peer).await.map(|d| (socket, d))
+            handshake(&mut socket, &FleetKey::derive(KEY), nonce, &peer).await.map(|d| (socket, d))
         };
         let Ok(Ok((socket, mut dialled))) = timeout(Duration::from_millis(500), dialled).await else {
             turn += 1;
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if dialled.epoch < epoch {
+        if dialled.term < epoch {
             continue;
         }
-        epoch = dialled.epoch;
+        epoch = dialled.term;
         if seen.of(epoch) {
             seen.welcomed.set(seen.welcomed.get().or(Some(Instant::now())));
         }
         let (mut from, mut to) = socket.into_split();
-        while let Ok(message) = next(&mut from, &mut dialled.inbox).await {
+        while let Ok(message) = read_message(&mut from, &mut dialled.decoder).await {
             let orders = match message {
-                Message::Orders(orders) => orders,
-                Message::Alive => continue,
+                Message::Update(orders) => orders,
+                Message::Heartbeat => continue,
                 _ => break,
             };
-            if seen.of(orders.epoch) {
+            if seen.of(orders.term) {
                 let now = Instant::now();
                 seen.ordered.set(seen.ordered.get().or(Some(now)));
-                for part in &orders.parts {
-                    if let Order::Bind { lines, .. } = part {
+                for part in &orders.changes {
+                    if let Change::BindTable(TableBinding { weights: lines, .. }) = part {
                         seen.bound.borrow_mut().entry(number).or_insert(now);
                         seen.lines.set(seen.lines.get() + lines.len());
                     }
                 }
             }
-            let mark = orders.parts.iter().find_map(|p| if let Order::Mark(m) = p { Some(*m) } else { None });
-            let Orders { start, stream, seq, .. } = orders;
-            if to.write_all(&Message::Applied { start, stream, seq, mark }.frame()).await.is_err() {
+            let mark = orders
+                .changes
+                .iter()
+                .find_map(|p| if let Change::RequestAck(m) = p { Some(*m) } else { None });
+            let Update { incarnation: start, stream, sequence: seq, .. } = orders;
+            if to
+                .write_all(
+                    &Message::UpdateAck(UpdateAck { incarnation: start, stream, sequence: seq, token: mark })
+                        .to_frame(),
+                )
+                .await
+                .is_err()
+            {
                 break;
             }
         }
--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -1,6 +1,6 @@
 //! Recording what a running planner hears.
 
-use grebespool_controller_server::Watch;
+use grebespool_controller_server::Observer;
 use grebespool_emulator::listed;
 use grebespool_settings::{Deployment, deployment_text};
 use grebespool_trace::{Cloak, Event, Recorder, Timed};
@@ -86,27 +86,27 @@
     }
 }
 
-impl Watch for Recording {
-    fn list(&mut self, now: Duration, version: u64, base: u64, now_ms: u64, entries: &[wire::Entry]) {
+impl Observer for Recording {
+    fn endpoints_received(&mut self, now: Duration, list: &wire::EndpointList) {
         self.put(now, |_| Event::List {
-            version,
-            base,
-            now_ms,
-            entries: entries.iter().map(listed).collect(),
+            version: list.version,
+            base: list.base_version,
+            now_ms: list.now_ms,
+            entries: list.entries.iter().map(listed).collect(),
         });
     }
 
-    fn passed_over(&mut self, _: u64) {}
+    fn newer_term_seen(&mut self, _: u64) {}
 
-    fn joined(&mut self, now: Duration, name: &str, zone: &str, bare: bool) {
+    fn proxy_joined(&mut self, now: Duration, name: &str, zone: &str, bare: bool) {
         self.put(now, |open| Event::Joined { proxy: open.number(name), zone: zone.into(), bare });
     }
 
-    fn left(&mut self, now: Duration, name: &str) {
+    fn proxy_left(&mut self, now: Duration, name: &str) {
         self.put(now, |open| Event::Left { proxy: open.number(name) });
     }
 
-    fn came(&mut self, now: Duration, name: &str, came: &[wire::CameLine]) {
+    fn calls_reported(&mut self, now: Duration, name: &str, came: &[wire::RouteLoad]) {
         for c in came.iter().filter(|c| c.calls > 0) {
             self.put(now, |open| Event::Came { proxy: open.number(name), route: c.route, calls: c.calls });
         }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -5,14 +5,15 @@
     Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
     run as run_member,
 };
-use grebespool_controller::{SiteOrder, Start};
+use grebespool_controller::{Incarnation, SiteOrder};
 use grebespool_controller_server::{
-    Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
+    Observer, PassThrough, ServerConfig, SiteQuery, SiteRequest, UpdateFilter, redirect_to_leader,
+    serve as serve_controller,
 };
 use grebespool_leader_election::{Memory, Terms};
 use grebespool_settings::{Members, Planned};
 use grebespool_singleton_tasks::{Counts, NO_ROUTE, Terms as DutyTerms};
-use grebespool_wire::{CameLine, Entry, Key, MetLine, Orders};
+use grebespool_wire::{EndpointList, FleetKey, RouteLoad, ServerLoad, Update};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -69,7 +70,7 @@
                 Some(members) => lead_or_follow(file, listener, planned, members, &key, &recording).await,
                 None => {
                     let listener = told_open(listener).map_err(|e| e.to_string())?;
-                    plan(file, listener, start, &planned, &key, Untouched, recording.clone()).await
+                    plan(file, listener, start, &planned, &key, PassThrough, recording.clone()).await
                 }
             }
         };
@@ -85,8 +86,8 @@
     })
 }
 
-fn start_in(epoch: u64) -> Start {
-    Start { id: rand::random::<u64>() | 1, seed: rand::random(), epoch }
+fn start_in(term: u64) -> Incarnation {
+    Incarnation { id: rand::random::<u64>() | 1, seed: rand::random(), term }
 }
 
 /// For whoever starts it with port 0; standard output has nothing else.
@@ -100,25 +101,24 @@
 async fn plan(
     file: &Path,
     listener: TcpListener,
-    start: Start,
+    incarnation: Incarnation,
     planned: &Planned,
     key: &[u8],
-    passage: impl Passage,
-    watch: impl Watch,
+    filter: impl UpdateFilter,
+    observer: impl Observer,
 ) -> Result<(), String> {
     let Planned { deployment, listen, list, probe_limit, .. } = planned.clone();
-    let serving = serve_planner(
-        listener,
-        start,
-        Key::derive(key),
+    let config = ServerConfig {
+        incarnation,
+        key: FleetKey::derive(key),
         deployment,
         listen,
-        list,
-        probe_limit.0,
-        passage,
-        watch,
-    );
-    serving.await.map_err(|why| format!("{}: {why}", file.display()))
+        endpoint_source: list,
+        health_check_timeout: probe_limit.0,
+    };
+    serve_controller(listener, config, filter, observer)
+        .await
+        .map_err(|why| format!("{}: {why}", file.display()))
 }
 
 /// Lets orders out only while this controller may give them.
@@ -127,9 +127,9 @@
     epoch: u64,
 }
 
-impl Passage for Gate {
-    fn pass(&mut self, _: u32, orders: Orders) -> Option<Orders> {
-        self.member.may_order(self.epoch).then_some(orders)
+impl UpdateFilter for Gate {
+    fn filter(&mut self, _: u32, update: Update) -> Option<Update> {
+        self.member.may_order(self.epoch).then_some(update)
     }
 }
 
@@ -146,67 +146,68 @@
     at: BTreeMap<String, u16>,
 }
 
-impl Watch for Leading {
-    fn list(&mut self, now: Duration, version: u64, base: u64, now_ms: u64, entries: &[Entry]) {
-        self.recording.list(now, version, base, now_ms, entries);
+impl Observer for Leading {
+    fn endpoints_received(&mut self, now: Duration, list: &EndpointList) {
+        self.recording.endpoints_received(now, list);
     }
-    fn joined(&mut self, now: Duration, name: &str, zone: &str, bare: bool) {
-        self.recording.joined(now, name, zone, bare);
+    fn proxy_joined(&mut self, now: Duration, name: &str, zone: &str, initial_table_only: bool) {
+        self.recording.proxy_joined(now, name, zone, initial_table_only);
         let zone = self.zones.iter().position(|z| z == zone).unwrap_or_default();
         self.at.insert(name.into(), zone as u16);
     }
-    fn left(&mut self, now: Duration, name: &str) {
-        self.recording.left(now, name);
+    fn proxy_left(&mut self, now: Duration, name: &str) {
+        self.recording.proxy_left(now, name);
         self.at.remove(name);
     }
-    fn came(&mut self, now: Duration, name: &str, came: &[CameLine]) {
-        self.recording.came(now, name, came);
+    fn calls_reported(&mut self, now: Duration, name: &str, routes: &[RouteLoad]) {
+        self.recording.calls_reported(now, name, routes);
         let zone = self.at.get(name).copied().unwrap_or_default();
-        for line in came {
+        for line in routes {
             self.member.count(zone, line.route, Counts { calls: u64::from(line.calls), ..Counts::default() });
         }
     }
-    fn met(&mut self, name: &str, met: &[MetLine]) {
-        let sum = |of: fn(&MetLine) -> u32| met.iter().map(|m| u64::from(of(m))).sum();
-        let (tries, dropped) = (sum(|m| m.tries), sum(|m| m.dropped));
+    fn load_reported(&mut self, name: &str, servers: &[ServerLoad]) {
+        let sum = |of: fn(&ServerLoad) -> u32| servers.iter().map(|load| u64::from(of(load))).sum();
+        let (tries, dropped) = (sum(|load| load.attempts), sum(|load| load.dropped));
         let zone = self.at.get(name).copied().unwrap_or_default();
         self.member.count(zone, NO_ROUTE, Counts { tries, dropped, ..Counts::default() });
     }
-    fn passed_over(&mut self, epoch: u64) {
+    fn newer_term_seen(&mut self, term: u64) {
         // Not from within the planner's own turn: standing down ends it.
         let member = self.member.clone();
-        spawn_local(async move { member.passed_over(epoch) });
+        spawn_local(async move { member.passed_over(term) });
     }
-    fn recall(&mut self) -> Option<Memory> {
+    fn initial_snapshot(&mut self) -> Option<Memory> {
         self.memory.take().map(|m| *m)
     }
-    fn remembers_every(&self) -> Option<Duration> {
+    fn snapshot_interval(&self) -> Option<Duration> {
         Some(self.every)
     }
-    fn site_asks(&mut self) -> Option<mpsc::UnboundedReceiver<SiteAsk>> {
+    fn site_requests(&mut self) -> Option<mpsc::UnboundedReceiver<SiteRequest>> {
         let mut asked = self.member.asked_of_sites();
         let (to, asks) = mpsc::unbounded_channel();
         spawn_local(async move {
             while let Some(SiteAsked { question, answer }) = asked.recv().await {
-                let what = match question {
+                let query = match question {
                     Question::Site { site, out, forced, dry } => {
                         let order = if out { SiteOrder::Out } else { SiteOrder::Back };
-                        SiteWhat::Order { site, order, forced, dry }
+                        SiteQuery::Command { site, order, forced, dry_run: dry }
                     }
-                    _ => SiteWhat::Show,
+                    _ => SiteQuery::Show,
                 };
                 let (tell, told) = oneshot::channel();
-                if to.send(SiteAsk { what, answer: tell }).is_err() {
+                if to.send(SiteRequest { query, answer: tell }).is_err() {
                     return;
                 }
                 if let Ok(told) = told.await {
-                    let _ = answer.send(told.map_or_else(Answer::Refused, Answer::Lines));
+                    let _ =
+                        answer.send(told.map_or_else(|why| Answer::Refused(why.to_string()), Answer::Lines));
                 }
             }
         });
         Some(asks)
     }
-    fn remember(&mut self, mut memory: Memory) {
+    fn snapshot_taken(&mut self, mut memory: Memory) {
         self.number += 1;
         (memory.epoch, memory.number) = (self.epoch, self.number);
         if let Err(why) = self.member.remember(&memory) {
@@ -282,7 +283,7 @@
             match change {
                 Change::Follow => {
                     let known = member.clone();
-                    send_elsewhere(own, move || known.leader()).await;
+                    redirect_to_leader(own, move || known.leader()).await;
                     Ok(())
                 }
                 Change::Lead { epoch, memory } => {
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -3,8 +3,8 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_controller_server::dial::{Peer, shake_hands};
-use grebespool_wire::{CameLine, Key, Message, Role};
+use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake};
+use grebespool_wire::{FleetKey, Message, ProxyReport, Role, RouteLoad};
 use rstest::rstest;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -123,10 +123,19 @@
 /// Joins, tells that seven calls came, stays a little, and leaves.
 async fn visit(to: &str, name: &str, zone: &str) {
     let mut socket = TcpStream::connect(to).await.unwrap();
-    let peer = Peer { role: Role::Proxy, name, zone, rate: 1.0, bare: true, held: (0, 0), epoch: 0 };
-    shake_hands(&mut socket, &Key::derive(KEY), [3; 16], &peer).await.unwrap();
-    let sums = Message::Sums { met: vec![], came: vec![CameLine { route: 1, calls: 7 }] };
-    socket.write_all(&sums.frame()).await.unwrap();
+    let peer = Dialer {
+        role: Role::Proxy,
+        name,
+        zone,
+        calls_per_s: 1.0,
+        initial_table_only: true,
+        applied: AppliedUpdate::default(),
+        newest_term: 0,
+    };
+    handshake(&mut socket, &FleetKey::derive(KEY), [3; 16], &peer).await.unwrap();
+    let sums =
+        Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![RouteLoad { route: 1, calls: 7 }] });
+    socket.write_all(&sums.to_frame()).await.unwrap();
     tokio::time::sleep(Duration::from_millis(300)).await;
 }
 
--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -38,10 +38,10 @@
     let (mut seen, mut newest, mut older) = (BTreeSet::new(), BTreeMap::<u16, u64>::new(), 0);
     for (_, passed) in &record.passed {
         if let Passed::Delivered { proxy, orders } = passed {
-            seen.insert(orders.epoch);
+            seen.insert(orders.term);
             let last = newest.entry(*proxy).or_default();
-            older += usize::from(orders.epoch < *last);
-            *last = orders.epoch.max(*last);
+            older += usize::from(orders.term < *last);
+            *last = orders.term.max(*last);
         }
     }
     (seen, older)
@@ -76,7 +76,7 @@
     // A leader that hangs with its streams open is not waited for.
     let when = |of: &dyn Fn(&Passed) -> bool| played.record.passed.iter().find(|(_, p)| of(p)).map(|p| p.0);
     let newest = epochs.last().copied();
-    let next = when(&|p| matches!(p, Passed::Delivered { orders, .. } if Some(orders.epoch) == newest));
+    let next = when(&|p| matches!(p, Passed::Delivered { orders, .. } if Some(orders.term) == newest));
     let resumed = when(&|p| matches!(p, Passed::PlannerResumed));
     assert!(resumed.is_none_or(|at| next < Some(at)), "{next:?} {resumed:?}");
     // Not from the beginning: what was learnt of servers goes on.
--- a/crates/controller-server/src/dial.rs
+++ b/crates/controller-server/src/dial.rs
@@ -1,46 +1,73 @@
-//! The dialling side of a stream: shaking hands with what holds the same key.
+//! The dialing side of a stream: the handshake with whoever holds the same key.
 
-use grebespool_wire::{Inbox, Join, Key, MOST_BODY, Message, Proof, Role, VERSION};
+use grebespool_wire::{
+    Challenge, FleetKey, FrameDecoder, Hello, Join, MAX_BODY_BYTES, Message, Nonce, PROTOCOL_VERSION, Role,
+    Transcript, Welcome,
+};
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Who dials.
-pub struct Peer<'a> {
+/// Bytes that are read from a socket at once.
+const READ_BUFFER_BYTES: usize = 4 << 10;
+
+/// The update that a proxy applied last.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct AppliedUpdate {
+    /// The incarnation of its controller; 0 for none.
+    pub incarnation: u64,
+    /// Its sequence number; 0 for none.
+    pub sequence: u64,
+}
+
+/// Who dials, as it says in the handshake.
+pub struct Dialer<'a> {
+    /// What it wants to be.
     pub role: Role,
+    /// Its name.
     pub name: &'a str,
+    /// Its zone, by name; empty where it has none.
     pub zone: &'a str,
-    /// What it tells when it joins, but for the proof.
-    pub rate: f32,
-    pub bare: bool,
-    pub held: (u64, u64),
-    /// The newest epoch that it has seen.
-    pub epoch: u64,
+    /// Calls a second that it usually gets; rough.
+    pub calls_per_s: f32,
+    /// Whether it holds only the table that it started with.
+    pub initial_table_only: bool,
+    /// The update that it applied last.
+    pub applied: AppliedUpdate,
+    /// The newest term that it has seen.
+    pub newest_term: u64,
 }
 
 /// A stream that was welcomed.
-pub struct Dialled {
-    /// The other side's start.
-    pub start: u64,
+pub struct WelcomedStream {
+    /// The other side's incarnation.
+    pub incarnation: u64,
+    /// The stream's number.
     pub stream: u32,
-    pub epoch: u64,
-    pub inbox: Inbox,
+    /// The term of all updates on it.
+    pub term: u64,
+    /// What came with the welcome and is not decoded yet.
+    pub decoder: FrameDecoder,
 }
 
 /// Reads the next message.
 ///
 /// # Errors
 ///
-/// The stream's, `UnexpectedEof` where it ended, `InvalidData` where what came is malformed.
-pub async fn next(from: &mut (impl AsyncRead + Unpin), inbox: &mut Inbox) -> io::Result<Message> {
-    let mut buffer = [0; 4 << 10];
+/// The socket's error, `UnexpectedEof` where the stream ended, `InvalidData` where what came is malformed.
+pub async fn read_message(
+    socket: &mut (impl AsyncRead + Unpin),
+    decoder: &mut FrameDecoder,
+) -> io::Result<Message> {
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
-        let message = inbox.message().map_err(|m| io::Error::new(io::ErrorKind::InvalidData, m))?;
+        let message =
+            decoder.next_message().map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
         if let Some(message) = message {
             return Ok(message);
         }
-        match from.read(&mut buffer).await? {
+        match socket.read(&mut buffer).await? {
             0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-            n => inbox.take(&buffer[..n]),
+            read => decoder.push(&buffer[..read]),
         }
     }
 }
@@ -49,44 +76,68 @@
 ///
 /// # Errors
 ///
-/// The stream's; `PermissionDenied` where either side does not show the key or the other says no.
-pub async fn shake_hands(
+/// The socket's error; `PermissionDenied` where either side does not show the key or the other side rejects this one.
+pub async fn handshake(
     socket: &mut (impl AsyncRead + AsyncWrite + Unpin),
-    key: &Key,
-    nonce: [u8; 16],
-    peer: &Peer<'_>,
-) -> io::Result<Dialled> {
-    let mut inbox = Inbox::new(MOST_BODY);
-    let denied = |text: String| Err(io::Error::new(io::ErrorKind::PermissionDenied, text));
-    let hello = Message::Hello { version: VERSION, role: peer.role, name: peer.name.into(), nonce };
-    socket.write_all(&hello.frame()).await?;
-    let (start, theirs) = match next(socket, &mut inbox).await? {
-        Message::Challenge { version: VERSION, start, nonce } => (start, nonce),
-        Message::Challenge { version, .. } => return denied(format!("it speaks version {version}")),
-        Message::Bye { reason, text } => return denied(format!("{reason:?}: {text}")),
-        other => return denied(format!("{} in place of a challenge", other.name())),
+    key: &FleetKey,
+    nonce: Nonce,
+    dialer: &Dialer<'_>,
+) -> io::Result<WelcomedStream> {
+    let mut decoder = FrameDecoder::new(MAX_BODY_BYTES);
+    let hello = Hello { version: PROTOCOL_VERSION, role: dialer.role, name: dialer.name.into(), nonce };
+    socket.write_all(&Message::Hello(hello).to_frame()).await?;
+    let challenge = expect_challenge(read_message(socket, &mut decoder).await?)?;
+    let transcript = Transcript {
+        dialer_nonce: &nonce,
+        listener_nonce: &challenge.nonce,
+        incarnation: challenge.incarnation,
+        name: dialer.name,
+        zone: dialer.zone,
     };
-    let proof: Proof = key.peer([&nonce, &theirs], start, peer.name, peer.zone);
-    let (held_start, held_seq) = peer.held;
-    let join = Join {
-        zone: peer.zone.into(),
-        rate: peer.rate,
-        bare: peer.bare,
-        held_start,
-        held_seq,
-        epoch: peer.epoch,
-        proof,
-    };
-    socket.write_all(&Message::Join(join).frame()).await?;
-    match next(socket, &mut inbox).await? {
-        Message::Welcome { stream, epoch, proof } => {
-            if proof.holds(&key.planner([&nonce, &theirs], start, peer.name, peer.zone)) {
-                Ok(Dialled { start, stream, epoch, inbox })
-            } else {
-                denied("it does not show the fleet's key".into())
-            }
-        }
-        Message::Bye { reason, text } => denied(format!("{reason:?}: {text}")),
-        other => denied(format!("{} in place of a welcome", other.name())),
+    let join = join(dialer, key, &transcript);
+    socket.write_all(&Message::Join(join).to_frame()).await?;
+    let welcome = expect_welcome(read_message(socket, &mut decoder).await?)?;
+    if !welcome.proof.matches(&key.listener_proof(&transcript)) {
+        return Err(denied("it does not show the fleet's key"));
     }
+    let Welcome { stream, term, .. } = welcome;
+    Ok(WelcomedStream { incarnation: challenge.incarnation, stream, term, decoder })
+}
+
+fn join(dialer: &Dialer, key: &FleetKey, transcript: &Transcript) -> Join {
+    Join {
+        zone: dialer.zone.into(),
+        calls_per_s: dialer.calls_per_s,
+        initial_table_only: dialer.initial_table_only,
+        applied_incarnation: dialer.applied.incarnation,
+        applied_sequence: dialer.applied.sequence,
+        newest_term: dialer.newest_term,
+        proof: key.dialer_proof(transcript),
+    }
+}
+
+fn expect_challenge(message: Message) -> io::Result<Challenge> {
+    match message {
+        Message::Challenge(challenge) if challenge.version == PROTOCOL_VERSION => Ok(challenge),
+        Message::Challenge(challenge) => Err(denied(format!("it speaks version {}", challenge.version))),
+        other => Err(rejected(&other, "a challenge")),
+    }
+}
+
+fn expect_welcome(message: Message) -> io::Result<Welcome> {
+    match message {
+        Message::Welcome(welcome) => Ok(welcome),
+        other => Err(rejected(&other, "a welcome")),
+    }
+}
+
+fn rejected(message: &Message, expected: &str) -> io::Error {
+    match message {
+        Message::Close(close) => denied(format!("{:?}: {}", close.reason, close.text)),
+        other => denied(format!("{} in place of {expected}", other.name())),
+    }
+}
+
+fn denied(text: impl Into<String>) -> io::Error {
+    io::Error::new(io::ErrorKind::PermissionDenied, text.into())
 }
--- /dev/null
+++ b/crates/controller-server/src/site_requests.rs
@@ -0,0 +1,154 @@
+//! Operators' requests on whole sites. The texts are answers on the command socket: do not rename.
+
+use crate::effects::SocketEffects;
+use crate::shared::Shared;
+use grebespool_controller::{Controller, Plan, SiteCommand, SiteCommandError, SiteOrder, Status};
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+use tokio::sync::{mpsc, oneshot};
+
+/// What an operator requests.
+pub enum SiteQuery {
+    /// Shows all sites.
+    Show,
+    /// Takes a site out, or back.
+    Command {
+        /// The site's name.
+        site: String,
+        /// What is to be done.
+        order: SiteOrder,
+        /// Whether it is to be done even if routes are throttled by it.
+        forced: bool,
+        /// Whether only to say what it would do.
+        dry_run: bool,
+    },
+}
+
+/// Why a request is refused.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum SiteRequestError {
+    /// Sites are not watched by this deployment.
+    #[error("sites are not watched: deployment.sites.watched is not set")]
+    NotWatched,
+    /// There is no such site.
+    #[error("there is no site {site:?}; there are {known}")]
+    UnknownSite {
+        /// The name that was given.
+        site: String,
+        /// All sites' names.
+        known: String,
+    },
+    /// The command cannot be carried out as things are.
+    #[error("{0}")]
+    Refused(String),
+}
+
+/// A request, and where its answer goes: lines for an operator, or why not.
+pub struct SiteRequest {
+    /// What is requested.
+    pub query: SiteQuery,
+    /// Where the answer goes.
+    pub answer: oneshot::Sender<Result<Vec<String>, SiteRequestError>>,
+}
+
+/// Answers requests until nobody can make any more.
+pub(crate) async fn answer(shared: Rc<Shared>, mut requests: mpsc::UnboundedReceiver<SiteRequest>) {
+    while let Some(SiteRequest { query, answer }) = requests.recv().await {
+        let result = shared.call(|controller, now| answer_query(controller, now, &query));
+        // Who asked may have gone meanwhile; what was commanded holds.
+        let _ = answer.send(result);
+    }
+}
+
+fn answer_query(
+    controller: &mut Controller<SocketEffects>,
+    now: Duration,
+    query: &SiteQuery,
+) -> Result<Vec<String>, SiteRequestError> {
+    let sites = controller.site_statuses(now);
+    if sites.is_empty() {
+        return Err(SiteRequestError::NotWatched);
+    }
+    match query {
+        SiteQuery::Show => Ok(sites.iter().map(|(name, status)| status_line(now, name, status)).collect()),
+        SiteQuery::Command { site, order, forced, dry_run } => {
+            let names: Vec<&str> = sites.iter().map(|(name, _)| name.as_str()).collect();
+            let Some(zone) = controller.zone(site) else {
+                let known = names.join(", ");
+                return Err(SiteRequestError::UnknownSite { site: site.clone(), known });
+            };
+            let command = SiteCommand { zone, order: *order, forced: *forced };
+            if *dry_run {
+                plan_lines(controller, site, command, &names)
+            } else {
+                command_lines(controller, now, site, command, &names)
+            }
+        }
+    }
+}
+
+fn status_line(now: Duration, name: &str, status: &Status) -> String {
+    let seconds = now.saturating_sub(status.since).as_secs_f64();
+    format!("{name}: {} for {seconds:.1} s ({})", status.standing, status.evidence)
+}
+
+/// What a command would do.
+fn plan_lines(
+    controller: &Controller<SocketEffects>,
+    site: &str,
+    command: SiteCommand,
+    names: &[&str],
+) -> Result<Vec<String>, SiteRequestError> {
+    match command.order {
+        SiteOrder::Back => Ok(vec![format!("{site} would return by steps, from a tenth")]),
+        SiteOrder::Out => match controller.plan_without_site(command.zone) {
+            Ok(plan) => Ok(lines(format!("{site} would be out"), Some(&plan), names)),
+            Err(impossible) => Err(SiteRequestError::Refused(impossible.to_string())),
+        },
+    }
+}
+
+/// Carries out a command.
+fn command_lines(
+    controller: &mut Controller<SocketEffects>,
+    now: Duration,
+    site: &str,
+    command: SiteCommand,
+    names: &[&str],
+) -> Result<Vec<String>, SiteRequestError> {
+    let plan = controller.command_site(now, command).map_err(|error| match error {
+        SiteCommandError::NotWatched => SiteRequestError::Refused("sites are not watched".into()),
+        SiteCommandError::Refused(refused) => {
+            SiteRequestError::Refused(with_site_names(&refused.to_string(), names))
+        }
+    })?;
+    let done = match command.order {
+        SiteOrder::Out => format!("{site} is out"),
+        SiteOrder::Back => format!("{site} returns by steps"),
+    };
+    Ok(lines(done, plan.as_ref(), names))
+}
+
+/// Site failover knows sites by their ids, operators by their names.
+fn with_site_names(text: &str, names: &[&str]) -> String {
+    let mut named = text.to_string();
+    for (id, name) in names.iter().enumerate() {
+        named = named.replace(&format!("site {id} "), &format!("site {name} "));
+    }
+    named
+}
+
+/// What was done or would be, and the plan that goes with it.
+fn lines(done: String, plan: Option<&Plan>, names: &[&str]) -> Vec<String> {
+    let mut lines = vec![done];
+    let Some(plan) = plan else { return lines };
+    for (name, filled) in names.iter().zip(&plan.filled) {
+        lines.push(format!("  {name} {:.0}% full", 100.0 * filled));
+    }
+    for (route, level) in plan.levels.iter().enumerate().filter(|(_, level)| **level < 1.0) {
+        lines.push(format!("  route {route} let in at {:.0}%", 100.0 * level));
+    }
+    lines.push(format!("  service {:.3}", plan.service));
+    lines
+}
--- /dev/null
+++ b/crates/controller-server/src/snapshot.rs
@@ -0,0 +1,108 @@
+//! What the next leader is to know of this controller, and what this one begins with.
+
+use crate::effects::SocketEffects;
+use crate::shared::Shared;
+use grebespool_controller::{Controller, PoolAssignment, PoolSnapshot, ProxyPool};
+use grebespool_leader_election::{Drain, Held, Listed, Memory, Phase, Weight};
+use grebespool_wire::{EndpointEntry, EndpointList, EndpointState, ServerId};
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::{Instant, sleep};
+
+/// Hands a former leader's snapshot to a controller that has just started: the endpoint list first, so that weights have
+/// servers to belong to. The list's own service is polled all the same.
+pub(crate) fn restore(controller: &mut Controller<SocketEffects>, snapshot: &Memory) {
+    if snapshot.list_version == 0 {
+        return;
+    }
+    let list = EndpointList {
+        version: snapshot.list_version,
+        base_version: 0,
+        now_ms: snapshot.list_ms,
+        entries: snapshot.list.iter().map(wire_entry).collect(),
+    };
+    controller.endpoints_received(Duration::ZERO, &list);
+    controller.restore_pools(&pool_assignment(snapshot));
+    controller.restore_weights(&snapshot.weights());
+}
+
+fn wire_entry(listed: &Listed) -> EndpointEntry {
+    let state = match listed.phase {
+        Phase::Ready => EndpointState::Ready,
+        Phase::Draining => EndpointState::Draining,
+    };
+    EndpointEntry { server: listed.server(), zone: listed.zone.clone(), state, started_ms: listed.started_ms }
+}
+
+fn pool_assignment(snapshot: &Memory) -> PoolAssignment {
+    let server = |place: &u32| snapshot.list.get(*place as usize).map(Listed::server);
+    let pool = |(zone, places): &(String, Vec<u32>)| PoolSnapshot {
+        zone: zone.clone(),
+        servers: places.iter().filter_map(server).collect(),
+    };
+    let proxy_pool = |(proxy, pool): &(String, u32)| ProxyPool { proxy: proxy.clone(), pool: *pool as usize };
+    PoolAssignment {
+        pools: snapshot.pools.iter().map(pool).collect(),
+        proxies: snapshot.bound.iter().map(proxy_pool).collect(),
+    }
+}
+
+/// What the controller knows at this moment. Term and number are the observer's to set.
+fn take(controller: &Controller<SocketEffects>, now: Duration) -> Memory {
+    let endpoints = controller.endpoint_list(now);
+    let list: Vec<Listed> = endpoints.entries.into_iter().filter_map(listed).collect();
+    let places: BTreeMap<ServerId, u32> =
+        list.iter().enumerate().map(|(place, listed)| (listed.server(), place as u32)).collect();
+    let PoolAssignment { pools, proxies } = controller.pool_assignment();
+    let pool = |pool: PoolSnapshot| {
+        let servers = pool.servers.iter().filter_map(|server| places.get(server).copied());
+        (pool.zone, servers.collect())
+    };
+    let acknowledged = controller.acknowledged_sequences().into_iter();
+    Memory {
+        epoch: 0,
+        number: 0,
+        list_version: endpoints.version,
+        list_ms: endpoints.now_ms,
+        list,
+        weights: controller.learned_weights().into_iter().map(weight).collect(),
+        drains: controller.draining_servers().map(|(server, since)| drain(server, now, since)).collect(),
+        held: acknowledged.map(|(proxy, seq)| Held { proxy, seq }).collect(),
+        pools: pools.into_iter().map(pool).collect(),
+        bound: proxies.into_iter().map(|proxy| (proxy.proxy, proxy.pool as u32)).collect(),
+    }
+}
+
+/// `None` for a server that was removed.
+fn listed(entry: EndpointEntry) -> Option<Listed> {
+    let phase = match entry.state {
+        EndpointState::Ready => Phase::Ready,
+        EndpointState::Draining => Phase::Draining,
+        EndpointState::Removed => return None,
+    };
+    let ServerId { addr, number } = entry.server;
+    Some(Listed { addr, number, zone: entry.zone, phase, started_ms: entry.started_ms })
+}
+
+fn weight((server, weight): (ServerId, f64)) -> Weight {
+    Weight { addr: server.addr, number: server.number, weight: weight as f32 }
+}
+
+fn drain(server: ServerId, now: Duration, since: Duration) -> Drain {
+    let known_for_ms = now.saturating_sub(since).as_millis() as u64;
+    Drain { addr: server.addr, number: server.number, known_for_ms }
+}
+
+/// Hands a snapshot to the observer again and again, between two turns of the controller.
+pub(crate) async fn take_regularly(shared: Rc<Shared>, interval: Duration) {
+    let mut next = Instant::now() + interval;
+    loop {
+        sleep(next.saturating_duration_since(Instant::now())).await;
+        next = Instant::now() + interval;
+        let snapshot = take(&shared.controller.borrow(), shared.now());
+        if snapshot.list_version > 0 {
+            shared.observer.borrow_mut().snapshot_taken(snapshot);
+        }
+    }
+}
--- a/crates/controller-server/tests/streams.rs
+++ b/crates/controller-server/tests/streams.rs
@@ -3,9 +3,9 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_controller::Start;
-use grebespool_controller_server::dial::{Dialled, Peer, next, shake_hands};
-use grebespool_controller_server::{Untouched, Unwatched, serve};
+use grebespool_controller::Incarnation;
+use grebespool_controller_server::dial::{AppliedUpdate, Dialer, WelcomedStream, handshake, read_message};
+use grebespool_controller_server::{NoObserver, PassThrough, ServerConfig, serve};
 use grebespool_settings::{ListMode, ListSource, Listen, Planned, Span};
 use grebespool_wire::*;
 use rstest::rstest;
@@ -32,27 +32,47 @@
         listen.handshake = Span(Duration::from_millis(500));
         let nowhere = ([127, 0, 0, 1], 1).into();
         let source = ListSource::new(nowhere, ListMode::Pushed, Span(SOON));
-        let start = Start { id: 9, seed: 1, epoch: 0 };
-        let serving =
-            serve(listener, start, Key::derive(KEY), deployment, listen, source, SOON, Untouched, Unwatched);
+        let incarnation = Incarnation { id: 9, seed: 1, term: 0 };
+        let config = ServerConfig {
+            incarnation,
+            key: FleetKey::derive(KEY),
+            deployment,
+            listen,
+            endpoint_source: source,
+            health_check_timeout: SOON,
+        };
+        let serving = serve(listener, config, PassThrough, NoObserver);
         spawn_local(async move { serving.await.unwrap() });
         what(address).await;
     });
 }
 
-async fn join(to: SocketAddr, key: &[u8], name: &str, zone: &str) -> std::io::Result<(TcpStream, Dialled)> {
+async fn join(
+    to: SocketAddr,
+    key: &[u8],
+    name: &str,
+    zone: &str,
+) -> std::io::Result<(TcpStream, WelcomedStream)> {
     let mut socket = TcpStream::connect(to).await?;
-    let peer = Peer { role: Role::Proxy, name, zone, rate: 1.0, bare: true, held: (0, 0), epoch: 0 };
-    let dialled = shake_hands(&mut socket, &Key::derive(key), [3; 16], &peer).await?;
+    let peer = Dialer {
+        role: Role::Proxy,
+        name,
+        zone,
+        calls_per_s: 1.0,
+        initial_table_only: true,
+        applied: AppliedUpdate::default(),
+        newest_term: 0,
+    };
+    let dialled = handshake(&mut socket, &FleetKey::derive(key), [3; 16], &peer).await?;
     Ok((socket, dialled))
 }
 
 /// What a stream is told before it is closed.
-async fn told(socket: &mut TcpStream) -> Option<Reason> {
-    let mut inbox = Inbox::new(MOST_BODY);
+async fn told(socket: &mut TcpStream) -> Option<CloseReason> {
+    let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
     loop {
-        match timeout(SOON, next(socket, &mut inbox)).await.expect("the stream stays open") {
-            Ok(Message::Bye { reason, .. }) => return Some(reason),
+        match timeout(SOON, read_message(socket, &mut inbox)).await.expect("the stream stays open") {
+            Ok(Message::Close(Close { reason, .. })) => return Some(reason),
             Ok(_) => {}
             Err(_) => return None,
         }
@@ -60,32 +80,34 @@
 }
 
 fn hello(version: u16, role: Role, name: &str) -> Vec<u8> {
-    Message::Hello { version, role, name: name.into(), nonce: [1; 16] }.frame()
+    Message::Hello(Hello { version, role, name: name.into(), nonce: [1; 16] }).to_frame()
 }
 
 #[rstest]
-#[case::oversized(vec![0x7f, 0xff, 0xff, 0xff], Reason::Malformed)]
-#[case::over_what_an_unjoined_one_may(vec![0, 0, 0x20, 0], Reason::Malformed)]
-#[case::unknown_kind(vec![0, 0, 0, 1, 200], Reason::Malformed)]
-#[case::empty(vec![0, 0, 0, 0], Reason::Malformed)]
-#[case::another_version(hello(VERSION + 1, Role::Proxy, "p"), Reason::Version)]
-#[case::no_name(hello(VERSION, Role::Proxy, ""), Reason::Refused)]
-#[case::another_role(hello(VERSION, Role::Watcher, "p"), Reason::Refused)]
-#[case::sums_before_it_joined(Message::Sums { met: vec![], came: vec![] }.frame(), Reason::State)]
-#[case::hello_twice([hello(VERSION, Role::Proxy, "p"), hello(VERSION, Role::Proxy, "p")].concat(), Reason::State)]
-#[case::silence(vec![], Reason::Silent)]
-#[case::silence_in_mid_frame(vec![0, 0, 0, 9, 1, 0], Reason::Silent)]
-fn what_must_not_be_said_closes_that_stream_alone(#[case] bytes: Vec<u8>, #[case] reason: Reason) {
+#[case::oversized(vec![0x7f, 0xff, 0xff, 0xff], CloseReason::Malformed)]
+#[case::over_what_an_unjoined_one_may(vec![0, 0, 0x20, 0], CloseReason::Malformed)]
+#[case::unknown_kind(vec![0, 0, 0, 1, 200], CloseReason::Malformed)]
+#[case::empty(vec![0, 0, 0, 0], CloseReason::Malformed)]
+#[case::another_version(hello(PROTOCOL_VERSION + 1, Role::Proxy, "p"), CloseReason::VersionMismatch)]
+#[case::no_name(hello(PROTOCOL_VERSION, Role::Proxy, ""), CloseReason::Rejected)]
+#[case::another_role(hello(PROTOCOL_VERSION, Role::Watcher, "p"), CloseReason::Rejected)]
+#[case::sums_before_it_joined(Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }).to_frame(), CloseReason::UnexpectedMessage)]
+#[case::hello_twice([hello(PROTOCOL_VERSION, Role::Proxy, "p"), hello(PROTOCOL_VERSION, Role::Proxy, "p")].concat(), CloseReason::UnexpectedMessage)]
+#[case::silence(vec![], CloseReason::TimedOut)]
+#[case::silence_in_mid_frame(vec![0, 0, 0, 9, 1, 0], CloseReason::TimedOut)]
+fn what_must_not_be_said_closes_that_stream_alone(#[case] bytes: Vec<u8>, #[case] reason: CloseReason) {
     with_planner(|to| async move {
         let (mut good, dialled) = join(to, KEY, "good", "east").await.unwrap();
         let mut bad = TcpStream::connect(to).await.unwrap();
         bad.write_all(&bytes).await.unwrap();
         assert_eq!(told(&mut bad).await, Some(reason));
         // The good one is still joined: what does not belong there is what it is told of next.
-        assert_eq!(dialled.start, 9);
-        good.write_all(&Message::Sums { met: vec![], came: vec![] }.frame()).await.unwrap();
-        good.write_all(&Message::Probe { number: 1 }.frame()).await.unwrap();
-        assert_eq!(told(&mut good).await, Some(Reason::State));
+        assert_eq!(dialled.incarnation, 9);
+        good.write_all(&Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }).to_frame())
+            .await
+            .unwrap();
+        good.write_all(&Message::HealthCheck(HealthCheck { server_number: 1 }).to_frame()).await.unwrap();
+        assert_eq!(told(&mut good).await, Some(CloseReason::UnexpectedMessage));
     });
 }
 
@@ -104,18 +126,33 @@
     with_planner(|to| async move {
         // A proof for one challenge, shown for the next.
         let mut first = TcpStream::connect(to).await.unwrap();
-        first.write_all(&hello(VERSION, Role::Proxy, "p")).await.unwrap();
-        let mut inbox = Inbox::new(MOST_BODY);
-        let Ok(Message::Challenge { start, nonce, .. }) = next(&mut first, &mut inbox).await else {
+        first.write_all(&hello(PROTOCOL_VERSION, Role::Proxy, "p")).await.unwrap();
+        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
+        let Ok(Message::Challenge(Challenge { incarnation: start, nonce, .. })) =
+            read_message(&mut first, &mut inbox).await
+        else {
             panic!("no challenge");
         };
-        let proof = Key::derive(KEY).peer([&[1; 16], &nonce], start, "p", "east");
-        let join =
-            Join { zone: "east".into(), rate: 1.0, bare: true, held_start: 0, held_seq: 0, epoch: 0, proof };
+        let proof = FleetKey::derive(KEY).dialer_proof(&Transcript {
+            dialer_nonce: &[1; 16],
+            listener_nonce: &nonce,
+            incarnation: start,
+            name: "p",
+            zone: "east",
+        });
+        let join = Join {
+            zone: "east".into(),
+            calls_per_s: 1.0,
+            initial_table_only: true,
+            applied_incarnation: 0,
+            applied_sequence: 0,
+            newest_term: 0,
+            proof,
+        };
         let mut second = TcpStream::connect(to).await.unwrap();
-        second.write_all(&hello(VERSION, Role::Proxy, "p")).await.unwrap();
-        second.write_all(&Message::Join(join).frame()).await.unwrap();
-        assert_eq!(told(&mut second).await, Some(Reason::Refused));
+        second.write_all(&hello(PROTOCOL_VERSION, Role::Proxy, "p")).await.unwrap();
+        second.write_all(&Message::Join(join).to_frame()).await.unwrap();
+        assert_eq!(told(&mut second).await, Some(CloseReason::Rejected));
     });
 }
 
@@ -124,7 +161,7 @@
     with_planner(|to| async move {
         let (mut older, _) = join(to, KEY, "p", "east").await.unwrap();
         let (_newer, dialled) = join(to, KEY, "p", "east").await.unwrap();
-        assert_eq!(told(&mut older).await, Some(Reason::Superseded));
+        assert_eq!(told(&mut older).await, Some(CloseReason::Superseded));
         assert!(dialled.stream > 1);
     });
 }
@@ -138,9 +175,16 @@
         listen.allow_only(&["10.0.0.0/8".parse().unwrap()]);
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let to = listener.local_addr().unwrap();
-        let start = Start { id: 9, seed: 1, epoch: 0 };
-        let serving =
-            serve(listener, start, Key::derive(KEY), deployment, listen, list, SOON, Untouched, Unwatched);
+        let incarnation = Incarnation { id: 9, seed: 1, term: 0 };
+        let config = ServerConfig {
+            incarnation,
+            key: FleetKey::derive(KEY),
+            deployment,
+            listen,
+            endpoint_source: list,
+            health_check_timeout: SOON,
+        };
+        let serving = serve(listener, config, PassThrough, NoObserver);
         spawn_local(async move { serving.await.unwrap() });
         let mut socket = TcpStream::connect(to).await.unwrap();
         let mut heard = vec![];
--- /dev/null
+++ b/crates/controller/src/controller/publishing.rs
@@ -0,0 +1,135 @@
+//! What a turn changed, as one update for each proxy concerned.
+
+use super::Controller;
+use crate::effects::{Effects, StreamId};
+use crate::event::ControllerEvent;
+use grebespool::host::RetryPolicy;
+use grebespool_assignments::{ProxyUpdate, ServerIndices};
+use grebespool_wire::{
+    self as wire, Change, CloseReason, ServerId, TableBinding, Update, UpdateCause, WeightChange,
+};
+use std::time::Duration;
+
+/// An update for one stream, and how many table entries of the channel it takes.
+struct OutgoingUpdate {
+    stream: StreamId,
+    update: Update,
+    entries: usize,
+}
+
+impl<E: Effects> Controller<E> {
+    /// Ends a turn: queues one update for each proxy concerned, and starts the health checks and the poll that the policy
+    /// asked for.
+    pub(super) fn publish(&mut self, now: Duration, cause: UpdateCause) {
+        for outgoing in self.take_updates(now, cause) {
+            self.enqueue(now, outgoing);
+        }
+        for server in self.assignments.take_health_checks() {
+            self.effects.start_health_check(*self.servers.id(server));
+        }
+        if self.assignments.take_poll_request() {
+            self.effects.poll_endpoints(self.endpoints.version());
+        }
+        self.send_due_updates(now);
+    }
+
+    fn take_updates(&mut self, now: Duration, cause: UpdateCause) -> Vec<OutgoingUpdate> {
+        let Controller { assignments, sessions, servers, endpoints, incarnation, .. } = self;
+        let mut updates = vec![];
+        assignments.publish(|proxy, proxy_update| {
+            let Some(session) = sessions.of_proxy_mut(proxy) else { return };
+            let (changes, entries) = changes(proxy_update, servers);
+            session.last_sequence += 1;
+            let update = Update {
+                term: incarnation.term,
+                incarnation: incarnation.id,
+                stream: session.stream,
+                sequence: session.last_sequence,
+                created_us: now.as_micros() as u64,
+                endpoints_version: endpoints.version(),
+                cause,
+                changes,
+            };
+            updates.push(OutgoingUpdate { stream: session.stream, update, entries });
+        });
+        updates
+    }
+
+    /// Queues an update; a proxy whose update does not fit has to join anew.
+    fn enqueue(&mut self, now: Duration, outgoing: OutgoingUpdate) {
+        let OutgoingUpdate { stream, update, entries } = outgoing;
+        if let Err(limit) = self.channel.enqueue(now, stream, update, entries) {
+            self.effects.report(ControllerEvent::UpdateNotQueued { stream, limit });
+            self.disconnect(stream, CloseReason::Overloaded, &limit.to_string());
+        }
+    }
+
+    /// Sends the updates that have left the channel by now.
+    pub(super) fn send_due_updates(&mut self, now: Duration) {
+        while let Some((stream, update)) = self.channel.dequeue(now) {
+            self.acks.sent(now, stream, update.sequence);
+            self.effects.send(stream, update);
+        }
+    }
+}
+
+/// The changes of an update, and how many table entries of the channel they take.
+fn changes(update: &ProxyUpdate, servers: &ServerIndices<ServerId>) -> (Vec<Change>, usize) {
+    let mut changes = match update.bound_routes {
+        Some(routes) => vec![Change::BindTable(table_binding(update, routes, servers))],
+        None => single_changes(update, servers),
+    };
+    let mut entries = match update.bound_routes {
+        Some(_) => 1 + update.weights.len() + update.admission.len(),
+        None => changes.len(),
+    };
+    if let Some(token) = update.ack_token {
+        changes.push(Change::RequestAck(token));
+        entries += 1;
+    }
+    (changes, entries)
+}
+
+fn table_binding(update: &ProxyUpdate, routes: u16, servers: &ServerIndices<ServerId>) -> TableBinding {
+    let weight = |weight: &grebespool_assignments::ServerWeight| wire::ServerWeight {
+        server: *servers.id(weight.server),
+        weight: weight.weight,
+    };
+    TableBinding {
+        table: update.table,
+        version: update.version,
+        routes,
+        weights: update.weights.iter().map(weight).collect(),
+        admission: update.admission.iter().map(admission_rule).collect(),
+    }
+}
+
+fn single_changes(update: &ProxyUpdate, servers: &ServerIndices<ServerId>) -> Vec<Change> {
+    let weight = |weight: &grebespool_assignments::ServerWeight| {
+        Change::SetWeight(WeightChange {
+            table: update.table,
+            version: update.version,
+            server: *servers.id(weight.server),
+            weight: weight.weight,
+        })
+    };
+    let weights = update.weights.iter().map(weight);
+    let admission = update.admission.iter().map(|rule| Change::SetAdmission(admission_rule(rule)));
+    weights.chain(admission).collect()
+}
+
+fn admission_rule(rule: &grebespool_assignments::AdmissionRule) -> wire::AdmissionRule {
+    wire::AdmissionRule {
+        routes: rule.routes,
+        admitted_fraction: rule.level,
+        retry_policy: retry_policy(rule.retry_policy),
+    }
+}
+
+fn retry_policy(policy: RetryPolicy) -> wire::RetryPolicy {
+    match policy {
+        RetryPolicy::Never => wire::RetryPolicy::Never,
+        RetryPolicy::IfNotExecuted => wire::RetryPolicy::IfNotExecuted,
+        RetryPolicy::AfterFailure => wire::RetryPolicy::AfterFailure,
+    }
+}
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,24 +1,35 @@
-//! Everything between the wire's messages and the decisions ([`grebespool::policy`]): indices for ids,
-//! timers, one message a turn for each proxy, the channel's queue and its pace, and what is believed of
-//! lists, sums and reports. Free of I/O and clocks: time comes in as spans since the planner's start.
+//! Everything between the wire's messages and the policy ([`grebespool::policy`]), free of I/O and clocks.
 //!
-//! Call one method of [`Engine`] for each thing that happens; it acts by calling the [`Outlet`] that it was
-//! started with. Call [`Engine::woken`] at [`Engine::due`]; later is no harm beyond the delay.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! Here are the ids of servers and proxies, one update a turn for each proxy, the paced channel through which updates
+//! leave, acknowledgements, and the validation of endpoint lists and load reports. Weights, admission and bindings are
+//! the policy's; sockets, tasks and clocks are the host's. Times are spans since the controller's start.
+//!
+//! Call one method of [`Controller`] for each thing that happens; it acts by calling the [`Effects`] that it was
+//! created with, before it returns. Call [`Controller::timer_fired`] at [`Controller::next_timer`]; later does no harm
+//! beyond the delay.
 
-mod admission;
-mod channel;
-mod confirm;
-mod door;
-mod engine;
-mod gather;
-mod trust;
-mod watch;
+mod acknowledgements;
+mod aggregation;
+mod config;
+mod controller;
+mod effects;
+mod endpoint_registry;
+mod event;
+mod join_limiter;
+mod metrics_validation;
+mod proxy_ids;
+mod sessions;
+mod site_watch;
+mod update_channel;
 
-pub use admission::Admission;
-pub use channel::{Channel, Overrun};
-pub use confirm::Confirm;
-pub use engine::{Arrival, Bounds, Dealt, Engine, Outlet, Start, StreamId, Unsupported};
+pub use acknowledgements::AckTracker;
+pub use config::{ControllerConfig, Incarnation, Limits, UnsupportedDeploymentError};
+pub use controller::{Controller, JoinRequest, PoolAssignment, PoolSnapshot, ProxyPool, SiteCommandError};
+pub use effects::{Effects, StreamId};
+pub use endpoint_registry::{EndpointListError, EndpointRegistry};
+pub use event::ControllerEvent;
 pub use grebespool_site_failover::{Order as SiteOrder, Pacing, Plan, Refused, Standing, Status, Timing};
-pub use trust::{ListSense, ReportSense, Untrusted};
+pub use join_limiter::JoinLimiter;
+pub use metrics_validation::MetricsValidator;
+pub use site_watch::SiteCommand;
+pub use update_channel::{ChannelFull, UpdateChannel};
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -2,10 +2,10 @@
 
 use crate::proxy::Proxy;
 use crate::world::World;
-use grebespool_controller_server::dial::next;
+use grebespool_controller_server::dial::read_message;
 use grebespool_invariants::Passed;
 use grebespool_settings::CallerKind;
-use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome};
+use grebespool_wire::{Call, CallOutcome, FrameDecoder, MAX_BODY_BYTES, Message, Response};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -18,7 +18,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, timeout};
 
-type Asked = Rc<RefCell<BTreeMap<(u64, u8), oneshot::Sender<Answer>>>>;
+type Asked = Rc<RefCell<BTreeMap<(u64, u8), oneshot::Sender<Response>>>>;
 
 /// A kept connection to one proxy.
 struct Way {
@@ -55,15 +55,15 @@
             let asked = Asked::default();
             spawn_local(async move {
                 while let Some(call) = waiting.recv().await {
-                    if to.write_all(&Message::Call(call).frame()).await.is_err() {
+                    if to.write_all(&Message::Call(call).to_frame()).await.is_err() {
                         break;
                     }
                 }
             });
             let waiters = asked.clone();
             spawn_local(async move {
-                let mut inbox = Inbox::new(MOST_BODY);
-                while let Ok(Message::Answer(answer)) = next(&mut from, &mut inbox).await {
+                let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
+                while let Ok(Message::Response(answer)) = read_message(&mut from, &mut inbox).await {
                     let waiter = waiters.borrow_mut().remove(&(answer.id, answer.attempt));
                     if let Some(waiter) = waiter {
                         let _ = waiter.send(answer);
@@ -105,7 +105,7 @@
         let mut way = self.way();
         let proxy = self.ways[way].proxy;
         self.world.put_at(due, Passed::Asked { id, route, zone, key, work_us, proxy });
-        let mut outcome = Outcome::Failed;
+        let mut outcome = CallOutcome::Failed;
         for attempt in 0..self.kind.attempts {
             let left = limit.saturating_sub(self.world.now() - due);
             if left.is_zero() {
@@ -114,15 +114,15 @@
             let call = Call {
                 id,
                 attempt,
-                tried: 0,
+                retry: 0,
                 route,
                 key,
                 work_us,
-                time_limit_us: left.min(limit.mul_f64(self.kind.patience)).as_micros() as u32,
+                timeout_us: left.min(limit.mul_f64(self.kind.patience)).as_micros() as u32,
                 proxy: 0,
             };
             outcome = self.attempt(&self.ways[way], call).await;
-            if outcome == Outcome::Answered || attempt + 1 == self.kind.attempts {
+            if outcome == CallOutcome::Answered || attempt + 1 == self.kind.attempts {
                 break;
             }
             let wait = self.kind.wait.0.mul_f64(self.rng.borrow_mut().random_range(0.5..1.5));
@@ -137,19 +137,19 @@
         self.rng.borrow_mut().random_range(0..self.ways.len())
     }
 
-    async fn attempt(&self, way: &Way, call: Call) -> Outcome {
+    async fn attempt(&self, way: &Way, call: Call) -> CallOutcome {
         let (sender, answer) = oneshot::channel();
         let place = (call.id, call.attempt);
         way.asked.borrow_mut().insert(place, sender);
         if way.calls.send(call).is_err() {
-            return Outcome::Failed;
+            return CallOutcome::Failed;
         }
-        let wait = Duration::from_micros(call.time_limit_us.into());
+        let wait = Duration::from_micros(call.timeout_us.into());
         match timeout(wait, answer).await {
             Ok(Ok(answer)) => answer.outcome,
             _ => {
                 way.asked.borrow_mut().remove(&place);
-                Outcome::Failed
+                CallOutcome::Failed
             }
         }
     }
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,9 +1,9 @@
 //! What runs the planner of a rehearsal, and can kill or stall it.
 
-use grebespool_controller::Start;
-use grebespool_controller_server::{Passage, Untouched, Unwatched, serve};
+use grebespool_controller::Incarnation;
+use grebespool_controller_server::{NoObserver, PassThrough, ServerConfig, UpdateFilter, serve};
 use grebespool_settings::{Deployment, ListSource, Listen, settings_text};
-use grebespool_wire::Key;
+use grebespool_wire::FleetKey;
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -52,24 +52,24 @@
     resume: Option<std::sync::mpsc::Sender<()>>,
 }
 
-/// A planner on a thread of its own, with a runtime of its own. A test may set what stands between its engine
+/// A planner on a thread of its own, with a runtime of its own. A test may set what stands between its controller
 /// and its streams.
 pub struct ThreadHost {
     starts: u64,
     seed: u64,
     stall: Duration,
-    passage: fn() -> Box<dyn Passage>,
+    filter: fn() -> Box<dyn UpdateFilter>,
     running: Option<Running>,
 }
 
 impl ThreadHost {
     /// `stall`: how long proxies may leave bytes untaken or orders unconfirmed.
     pub fn new(seed: u64, stall: Duration) -> ThreadHost {
-        Self::with_passage(seed, stall, || Box::new(Untouched))
+        Self::with_filter(seed, stall, || Box::new(PassThrough))
     }
 
-    pub fn with_passage(seed: u64, stall: Duration, passage: fn() -> Box<dyn Passage>) -> ThreadHost {
-        ThreadHost { starts: 0, seed, stall, passage, running: None }
+    pub fn with_filter(seed: u64, stall: Duration, filter: fn() -> Box<dyn UpdateFilter>) -> ThreadHost {
+        ThreadHost { starts: 0, seed, stall, filter, running: None }
     }
 }
 
@@ -82,23 +82,29 @@
     ) -> io::Result<Vec<SocketAddr>> {
         self.kill();
         self.starts += 1;
-        let start = Start { id: 1000 * self.seed + self.starts, seed: self.seed + self.starts, epoch: 0 };
-        let key = Key::derive(&std::fs::read(key_file)?);
+        let (id, seed) = (1000 * self.seed + self.starts, self.seed + self.starts);
+        let incarnation = Incarnation { id, seed, term: 0 };
+        let key = FleetKey::derive(&std::fs::read(key_file)?);
         let listener = std::net::TcpListener::bind(("127.0.0.1", 0))?;
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
         let listen = Listen::new(addr, PathBuf::new(), self.stall, Duration::from_secs(6));
         let (commands, mut told) = mpsc::unbounded_channel();
-        let (deployment, list, passage) = (deployment.clone(), list.clone(), self.passage);
+        let filter = self.filter;
+        let config = ServerConfig {
+            incarnation,
+            key,
+            deployment: deployment.clone(),
+            listen,
+            endpoint_source: list.clone(),
+            health_check_timeout: Duration::from_millis(500),
+        };
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let thread = std::thread::spawn(move || {
             let tasks = tokio::task::LocalSet::new();
             tasks.block_on(&runtime, async move {
                 let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { return };
-                let probe_limit = Duration::from_millis(500);
-                let passage = Boxed(passage());
-                let serving =
-                    serve(listener, start, key, deployment, listen, list, probe_limit, passage, Unwatched);
+                let serving = serve(listener, config, BoxedFilter(filter()), NoObserver);
                 let commanded = async {
                     loop {
                         match told.recv().await {
@@ -149,15 +155,15 @@
     }
 }
 
-struct Boxed(Box<dyn Passage>);
+struct BoxedFilter(Box<dyn UpdateFilter>);
 
-impl Passage for Boxed {
-    fn pass(
+impl UpdateFilter for BoxedFilter {
+    fn filter(
         &mut self,
         stream: grebespool_controller::StreamId,
-        orders: grebespool_wire::Orders,
-    ) -> Option<grebespool_wire::Orders> {
-        self.0.pass(stream, orders)
+        update: grebespool_wire::Update,
+    ) -> Option<grebespool_wire::Update> {
+        self.0.filter(stream, update)
     }
 }
 
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -2,7 +2,7 @@
 
 use crate::world::World;
 use grebespool_invariants::Passed;
-use grebespool_wire::{Inbox, MOST_BODY, Message};
+use grebespool_wire::{Challenge, FrameDecoder, MAX_BODY_BYTES, Message, UpdateAck, Welcome};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -166,7 +166,7 @@
         let (came, ended) = (Notify::new(), Cell::new(false));
         let start = Cell::new(0);
         let reading = async {
-            let mut inbox = Inbox::new(MOST_BODY);
+            let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
             let mut buffer = [0; 8 << 10];
             loop {
                 let part = match self.reads_per_s.get() {
@@ -177,12 +177,12 @@
                     _ => buffer.len(),
                 };
                 match from.read(&mut buffer[..part]).await {
-                    Ok(n) if n > 0 => inbox.take(&buffer[..n]),
+                    Ok(n) if n > 0 => inbox.push(&buffer[..n]),
                     _ => break,
                 }
-                while let Ok(Some(message)) = inbox.message() {
+                while let Ok(Some(message)) = inbox.next_message() {
                     let now = self.world.now();
-                    if let Message::Challenge { start: s, .. } = &message {
+                    if let Message::Challenge(Challenge { incarnation: s, .. }) = &message {
                         start.set(*s);
                     }
                     self.world.record.borrow_mut().ordered(now, self.proxy, &message);
@@ -211,7 +211,7 @@
                 };
                 tokio::time::sleep_until(self.world.began() + due).await;
                 self.while_held().await;
-                let frame = message.frame();
+                let frame = message.to_frame();
                 if self.bytes_per_s.get().is_finite() {
                     sleep(Duration::from_secs_f64(frame.len() as f64 / self.bytes_per_s.get())).await;
                 }
@@ -226,7 +226,7 @@
                 }
                 let now = self.world.now();
                 match &message {
-                    Message::Welcome { .. } => {
+                    Message::Welcome(Welcome { .. }) => {
                         welcomed.set(true);
                         self.world.put(Passed::Joined { proxy: self.proxy, start: start.get() });
                     }
@@ -242,17 +242,17 @@
 
     /// Proxy to planner.
     async fn up(&self, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) -> io::Result<()> {
-        let mut inbox = Inbox::new(MOST_BODY);
+        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
         let mut buffer = [0; 8 << 10];
         loop {
             match from.read(&mut buffer).await? {
                 0 => return Ok(()),
-                n => inbox.take(&buffer[..n]),
+                n => inbox.push(&buffer[..n]),
             }
             self.while_held().await;
-            while let Ok(Some(message)) = inbox.message() {
-                if !(self.unmarked.get() && matches!(message, Message::Applied { .. })) {
-                    to.write_all(&message.frame()).await?;
+            while let Ok(Some(message)) = inbox.next_message() {
+                if !(self.unmarked.get() && matches!(message, Message::UpdateAck(UpdateAck { .. }))) {
+                    to.write_all(&message.to_frame()).await?;
                 }
             }
         }
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -1,9 +1,13 @@
 //! The server list on a socket.
 
 use crate::world::World;
-use grebespool_controller_server::dial::next;
+use grebespool_controller_server::dial::read_message;
 use grebespool_invariants::{List, Passed};
-use grebespool_wire::{Entry, Inbox, Join, MOST_BODY, Message, Phase, Reason, ServerId, VERSION};
+use grebespool_wire::{
+    Challenge, Close, CloseReason, EndpointEntry, EndpointList, EndpointPoll, EndpointPollFailed,
+    EndpointState, FrameDecoder, Hello, Join, MAX_BODY_BYTES, Message, PROTOCOL_VERSION, ServerId,
+    Transcript, Welcome,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -18,12 +22,12 @@
 pub struct ServerList {
     world: Rc<World>,
     pub addr: SocketAddr,
-    entries: RefCell<BTreeMap<ServerId, Entry>>,
+    entries: RefCell<BTreeMap<ServerId, EndpointEntry>>,
     version: Cell<u64>,
     pub late: Cell<Duration>,
     pub fails: Cell<bool>,
     watchers: RefCell<Vec<mpsc::UnboundedSender<Message>>>,
-    changes: mpsc::UnboundedSender<(Duration, Vec<Entry>)>,
+    changes: mpsc::UnboundedSender<(Duration, Vec<EndpointEntry>)>,
 }
 
 impl ServerList {
@@ -54,22 +58,22 @@
     }
 
     /// What was there before the day began.
-    pub fn begin(&self, entries: Vec<Entry>) {
+    pub fn begin(&self, entries: Vec<EndpointEntry>) {
         self.entries.borrow_mut().extend(entries.into_iter().map(|e| (e.server, e)));
     }
 
     /// A change, told as late as the list is at this moment, and never before an earlier one.
-    pub fn change(&self, changed: Vec<Entry>) {
+    pub fn change(&self, changed: Vec<EndpointEntry>) {
         let _ = self.changes.send((self.world.now() + self.late.get(), changed));
     }
 
-    async fn publish(self: Rc<Self>, mut changes: mpsc::UnboundedReceiver<(Duration, Vec<Entry>)>) {
+    async fn publish(self: Rc<Self>, mut changes: mpsc::UnboundedReceiver<(Duration, Vec<EndpointEntry>)>) {
         while let Some((due, changed)) = changes.recv().await {
             tokio::time::sleep_until(self.world.began() + due).await;
             for e in &changed {
                 let mut entries = self.entries.borrow_mut();
-                match e.phase {
-                    Phase::Gone => drop(entries.remove(&e.server)),
+                match e.state {
+                    EndpointState::Removed => drop(entries.remove(&e.server)),
                     _ => drop(entries.insert(e.server, e.clone())),
                 }
             }
@@ -86,7 +90,7 @@
     }
 
     /// An older whole list, in which nothing has happened yet.
-    pub fn tell_old(&self, entries: Vec<Entry>) {
+    pub fn tell_old(&self, entries: Vec<EndpointEntry>) {
         self.tell(1, 0, entries);
     }
 
@@ -94,39 +98,53 @@
         self.version.get()
     }
 
-    fn tell(&self, version: u64, base: u64, entries: Vec<Entry>) {
+    fn tell(&self, version: u64, base: u64, entries: Vec<EndpointEntry>) {
         if self.fails.get() {
             return;
         }
-        let message = Message::List { version, base, now_ms: self.world.now_ms(), entries };
+        let message = Message::EndpointList(EndpointList {
+            version,
+            base_version: base,
+            now_ms: self.world.now_ms(),
+            entries,
+        });
         self.watchers.borrow_mut().retain(|w| w.send(message.clone()).is_ok());
     }
 
     async fn talk(&self, mut socket: TcpStream) -> io::Result<()> {
         socket.set_nodelay(true)?;
-        let mut inbox = Inbox::new(MOST_BODY);
+        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
         let key = &self.world.key;
-        let Message::Hello { name, nonce, .. } = next(&mut socket, &mut inbox).await? else {
+        let Message::Hello(Hello { name, nonce, .. }) = read_message(&mut socket, &mut inbox).await? else {
             return Err(io::ErrorKind::InvalidData.into());
         };
-        let challenge = Message::Challenge { version: VERSION, start: 1, nonce: [7; 16] };
-        socket.write_all(&challenge.frame()).await?;
-        let Message::Join(Join { zone, proof, .. }) = next(&mut socket, &mut inbox).await? else {
+        let challenge =
+            Message::Challenge(Challenge { version: PROTOCOL_VERSION, incarnation: 1, nonce: [7; 16] });
+        socket.write_all(&challenge.to_frame()).await?;
+        let Message::Join(Join { zone, proof, .. }) = read_message(&mut socket, &mut inbox).await? else {
             return Err(io::ErrorKind::InvalidData.into());
         };
-        let nonces = [&nonce, &[7; 16]];
-        if !proof.holds(&key.peer(nonces, 1, &name, &zone)) {
-            let bye = Message::Bye { reason: Reason::Refused, text: "another key".into() };
-            return socket.write_all(&bye.frame()).await;
+        let transcript = Transcript {
+            dialer_nonce: &nonce,
+            listener_nonce: &[7; 16],
+            incarnation: 1,
+            name: &name,
+            zone: &zone,
+        };
+        if !proof.matches(&key.dialer_proof(&transcript)) {
+            let bye = Message::Close(Close { reason: CloseReason::Rejected, text: "another key".into() });
+            return socket.write_all(&bye.to_frame()).await;
         }
-        let proof = key.planner(nonces, 1, &name, &zone);
-        socket.write_all(&Message::Welcome { stream: 1, epoch: 0, proof }.frame()).await?;
+        let proof = key.listener_proof(&transcript);
+        socket.write_all(&Message::Welcome(Welcome { stream: 1, term: 0, proof }).to_frame()).await?;
         let (mut from, mut to) = socket.into_split();
         let (sender, mut waiting) = mpsc::unbounded_channel::<Message>();
         let writing = async {
             while let Some(message) = waiting.recv().await {
-                to.write_all(&message.frame()).await?;
-                if let Message::List { version, base, now_ms, entries } = message {
+                to.write_all(&message.to_frame()).await?;
+                if let Message::EndpointList(EndpointList { version, base_version: base, now_ms, entries }) =
+                    message
+                {
                     self.world.put(Passed::ListTold(List { version, base, now_ms, entries }));
                 }
             }
@@ -134,16 +152,23 @@
         };
         let reading = async {
             loop {
-                match next(&mut from, &mut inbox).await? {
-                    Message::AskList { have, watch } => {
+                match read_message(&mut from, &mut inbox).await? {
+                    Message::EndpointPoll(EndpointPoll { known_version: have, watch }) => {
                         let (version, now_ms) = (self.version.get(), self.world.now_ms());
                         let answer = if self.fails.get() {
-                            Message::ListFailed { text: "the list is out of order".into() }
+                            Message::EndpointPollFailed(EndpointPollFailed {
+                                text: "the list is out of order".into(),
+                            })
                         } else if have == version {
-                            Message::List { version, base: version, now_ms, entries: vec![] }
+                            Message::EndpointList(EndpointList {
+                                version,
+                                base_version: version,
+                                now_ms,
+                                entries: vec![],
+                            })
                         } else {
                             let entries = self.entries.borrow().values().cloned().collect();
-                            Message::List { version, base: 0, now_ms, entries }
+                            Message::EndpointList(EndpointList { version, base_version: 0, now_ms, entries })
                         };
                         let _ = sender.send(answer);
                         let watched = self.watchers.borrow().iter().any(|w| w.same_channel(&sender));
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -2,12 +2,15 @@
 
 use crate::link::Link;
 use crate::world::World;
-use grebespool_controller_server::ALIVE;
-use grebespool_controller_server::dial::{Peer, next, shake_hands};
+use grebespool_controller_server::HEARTBEAT_INTERVAL;
+use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
 use grebespool_invariants::Passed;
 use grebespool_server_model::{Held, Sums};
 use grebespool_settings::ProxyKind;
-use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, Reason, Role, ServerId, Tries};
+use grebespool_wire::{
+    Call, CallOutcome, Close, CloseReason, FrameDecoder, MAX_BODY_BYTES, Message, Response, RetryPolicy,
+    Role, ServerId, UpdateAck,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -23,7 +26,7 @@
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
 /// What is wanted of a server's answer: who waits, by call, attempt and try.
-type Asked = Rc<RefCell<BTreeMap<(u64, u8, u8), oneshot::Sender<Answer>>>>;
+type Asked = Rc<RefCell<BTreeMap<(u64, u8, u8), oneshot::Sender<Response>>>>;
 
 struct Conn {
     calls: mpsc::UnboundedSender<Call>,
@@ -49,7 +52,7 @@
 
 /// How one try ended.
 enum Tried {
-    Answered(Outcome),
+    Answered(CallOutcome),
     /// Proven not to have run.
     NotRun,
     /// It may have run.
@@ -133,31 +136,31 @@
         let mut socket = TcpStream::connect(self.link.addr).await?;
         socket.set_nodelay(true)?;
         let dialled = timeout(Duration::from_secs(3), self.join(&mut socket, &self.name())).await??;
-        let mut inbox = dialled.inbox;
-        let welcomed = self.held.borrow_mut().welcomed(dialled.start, dialled.stream, dialled.epoch);
+        let mut inbox = dialled.decoder;
+        let welcomed = self.held.borrow_mut().welcomed(dialled.incarnation, dialled.stream, dialled.term);
         if welcomed.is_err() {
             let text = format!("epoch {} has been seen", self.held.borrow().epoch());
-            let bye = Message::Bye { reason: Reason::PassedOver, text };
-            return socket.write_all(&bye.frame()).await;
+            let bye = Message::Close(Close { reason: CloseReason::StaleTerm, text });
+            return socket.write_all(&bye.to_frame()).await;
         }
         joined.set(true);
         let (mut from, mut to) = socket.into_split();
         // Where nobody else would lead there is nothing to lose by waiting.
-        let patience = if dialled.epoch > 0 { ALIVE * 3 } else { Self::FOR_EVER };
+        let patience = if dialled.term > 0 { HEARTBEAT_INTERVAL * 3 } else { Self::FOR_EVER };
         let mut heard = Instant::now();
         let mut sums = tokio::time::interval(self.world.deployment.reports.cycle.0);
         loop {
             tokio::select! {
-                message = timeout_at(heard + patience, next(&mut from, &mut inbox)) => match message
+                message = timeout_at(heard + patience, read_message(&mut from, &mut inbox)) => match message
                     .inspect_err(|_| self.link.look_elsewhere())??
                 {
-                    Message::Alive => heard = Instant::now(),
-                    Message::Orders(orders) => {
+                    Message::Heartbeat => heard = Instant::now(),
+                    Message::Update(orders) => {
                         heard = Instant::now();
                         let obeyed = self.held.borrow_mut().obey(&orders);
                         if let Ok(mark) = obeyed {
-                            let (start, stream, seq) = (orders.start, orders.stream, orders.seq);
-                            to.write_all(&Message::Applied { start, stream, seq, mark }.frame()).await?;
+                            let (start, stream, seq) = (orders.incarnation, orders.stream, orders.sequence);
+                            to.write_all(&Message::UpdateAck(UpdateAck { incarnation: start, stream, sequence: seq, token: mark}).to_frame()).await?;
                             self.close_unnamed();
                         }
                     }
@@ -165,7 +168,7 @@
                 },
                 _ = sums.tick() => {
                     let told = self.sums.borrow_mut().tell();
-                    to.write_all(&told.frame()).await?;
+                    to.write_all(&told.to_frame()).await?;
                 },
             }
         }
@@ -175,14 +178,23 @@
         &self,
         socket: &mut TcpStream,
         name: &str,
-    ) -> io::Result<grebespool_controller_server::dial::Dialled> {
-        let (bare, held, epoch) = {
+    ) -> io::Result<grebespool_controller_server::dial::WelcomedStream> {
+        let (bare, applied, epoch) = {
             let held = self.held.borrow();
-            (held.bare(), held.last, held.epoch())
+            let (incarnation, sequence) = held.last;
+            (held.bare(), AppliedUpdate { incarnation, sequence }, held.epoch())
         };
         let zone = &self.world.deployment.zones[usize::from(self.zone)];
-        let peer = Peer { role: Role::Proxy, name, zone, rate: self.rate, bare, held, epoch };
-        shake_hands(socket, &self.world.key, self.nonce(), &peer).await
+        let peer = Dialer {
+            role: Role::Proxy,
+            name,
+            zone,
+            calls_per_s: self.rate,
+            initial_table_only: bare,
+            applied,
+            newest_term: epoch,
+        };
+        handshake(socket, &self.world.key, self.nonce(), &peer).await
     }
 
     fn close_unnamed(&self) {
@@ -197,55 +209,55 @@
 
     async fn serve(self: Rc<Self>, socket: TcpStream) {
         let (mut from, mut to) = socket.into_split();
-        let (answers, mut waiting) = mpsc::unbounded_channel::<Answer>();
+        let (answers, mut waiting) = mpsc::unbounded_channel::<Response>();
         spawn_local(async move {
             while let Some(answer) = waiting.recv().await {
-                if to.write_all(&Message::Answer(answer).frame()).await.is_err() {
+                if to.write_all(&Message::Response(answer).to_frame()).await.is_err() {
                     break;
                 }
             }
         });
-        let mut inbox = Inbox::new(MOST_BODY);
-        while let Ok(Message::Call(call)) = next(&mut from, &mut inbox).await {
+        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
+        while let Ok(Message::Call(call)) = read_message(&mut from, &mut inbox).await {
             let (proxy, answers) = (self.clone(), answers.clone());
             spawn_local(async move {
                 let outcome = proxy.carry_out(call).await;
                 let (id, attempt) = (call.id, call.attempt);
-                let _ = answers.send(Answer { id, attempt, tried: 0, outcome, report: None });
+                let _ = answers.send(Response { id, attempt, retry: 0, outcome, metrics: None });
             });
         }
     }
 
-    async fn carry_out(&self, call: Call) -> Outcome {
+    async fn carry_out(&self, call: Call) -> CallOutcome {
         self.sums.borrow_mut().came(call.route);
         let (share, tries) = self.held.borrow().level(call.route);
         if self.rng.borrow_mut().random_range(0.0..1.0) >= share {
-            return Outcome::Throttled;
+            return CallOutcome::Rejected;
         }
-        let most = if tries == Tries::One { 1 } else { 2 };
+        let most = if tries == RetryPolicy::Never { 1 } else { 2 };
         let route = &self.world.deployment.routes[usize::from(call.route)];
         let began = self.world.now();
-        let limit = Duration::from_micros(call.time_limit_us.into());
+        let limit = Duration::from_micros(call.timeout_us.into());
         let mut tried = vec![];
         loop {
             let left = limit.saturating_sub(self.world.now() - began);
             let picked = self.pick(call.route, &tried);
-            let Some(server) = picked.filter(|_| left > limit / 8) else { return Outcome::Throttled };
+            let Some(server) = picked.filter(|_| left > limit / 8) else { return CallOutcome::Rejected };
             let last = tried.len() + 1 >= most;
             let wait = match tries {
-                Tries::AfterFailure if !last => {
+                RetryPolicy::AfterFailure if !last => {
                     left.min(route.slo.0.mul_f64(self.world.deployment.proxies.try_factor))
                 }
                 _ => left,
             };
-            let sent = Call { tried: tried.len() as u8, proxy: self.number, ..call };
+            let sent = Call { retry: tried.len() as u8, proxy: self.number, ..call };
             tried.push(server);
             match self.attempt(server, sent, wait).await {
                 Tried::Answered(outcome) => return outcome,
                 Tried::NotRun if !last => {}
-                Tried::Unknown if !last && tries == Tries::AfterFailure => {}
-                Tried::NotRun => return Outcome::Throttled,
-                Tried::Unknown => return Outcome::Failed,
+                Tried::Unknown if !last && tries == RetryPolicy::AfterFailure => {}
+                Tried::NotRun => return CallOutcome::Rejected,
+                Tried::Unknown => return CallOutcome::Failed,
             }
         }
     }
@@ -264,11 +276,13 @@
         let mut report = None;
         let (tried, good) = match ended {
             Ok(Ok(answer)) => {
-                report = answer.report;
+                report = answer.metrics;
                 match answer.outcome {
-                    Outcome::Answered | Outcome::Repeat => (Tried::Answered(Outcome::Answered), true),
-                    Outcome::Throttled => (Tried::NotRun, false),
-                    Outcome::Failed => (Tried::Unknown, false),
+                    CallOutcome::Answered | CallOutcome::Duplicate => {
+                        (Tried::Answered(CallOutcome::Answered), true)
+                    }
+                    CallOutcome::Rejected => (Tried::NotRun, false),
+                    CallOutcome::Failed => (Tried::Unknown, false),
                 }
             }
             Ok(Err(not_run)) => (if not_run { Tried::NotRun } else { Tried::Unknown }, false),
@@ -280,9 +294,9 @@
     }
 
     /// The server's answer; an error tells whether it is proven that the call did not run.
-    async fn ask(&self, server: ServerId, call: Call) -> Result<Answer, bool> {
+    async fn ask(&self, server: ServerId, call: Call) -> Result<Response, bool> {
         let (sender, answer) = oneshot::channel();
-        let place = (call.id, call.attempt, call.tried);
+        let place = (call.id, call.attempt, call.retry);
         let known = self.conns.borrow().get(&server).filter(|c| !c.task.is_finished()).is_some();
         if !known {
             let far = self.zones.borrow().get(&server).copied().unwrap_or(self.zone);
@@ -319,18 +333,19 @@
         let task = spawn_local(async move {
             let writing = async {
                 while let Some(call) = waiting.recv().await {
-                    if !world.apart(zone, far) && to.write_all(&Message::Call(call).frame()).await.is_err() {
+                    if !world.apart(zone, far) && to.write_all(&Message::Call(call).to_frame()).await.is_err()
+                    {
                         break;
                     }
                 }
             };
             let reading = async {
-                let mut inbox = Inbox::new(MOST_BODY);
-                while let Ok(Message::Answer(answer)) = next(&mut from, &mut inbox).await {
+                let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
+                while let Ok(Message::Response(answer)) = read_message(&mut from, &mut inbox).await {
                     if world.apart(zone, far) {
                         continue;
                     }
-                    let place = (answer.id, answer.attempt, answer.tried);
+                    let place = (answer.id, answer.attempt, answer.retry);
                     let waiter = waiters.borrow_mut().remove(&place);
                     if let Some(waiter) = waiter {
                         let _ = waiter.send(answer);
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -12,7 +12,7 @@
 use grebespool_server_model::{Ability, Service, facts};
 use grebespool_settings::{Day, ListSource, Trouble, What};
 use grebespool_trace::Recorder;
-use grebespool_wire::{Entry, Key, Phase, ServerId};
+use grebespool_wire::{EndpointEntry, EndpointState, FleetKey, ServerId};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -68,7 +68,7 @@
     servers: Vec<Rc<Server>>,
     proxies: Vec<Rc<Proxy>>,
     list: Rc<ServerList>,
-    first_list: Vec<Entry>,
+    first_list: Vec<EndpointEntry>,
     host: RefCell<Box<dyn PlannerHost>>,
     planners: Rc<RefCell<Vec<std::net::SocketAddr>>>,
     source: ListSource,
@@ -91,7 +91,7 @@
     let key_file = folder.path().join("fleet.key");
     let key = format!("the key of a rehearsal, seed {}", day.seed);
     std::fs::write(&key_file, &key)?;
-    let world = Rc::new(World::new(Key::derive(key.as_bytes()), day.deployment.clone(), recorder));
+    let world = Rc::new(World::new(FleetKey::derive(key.as_bytes()), day.deployment.clone(), recorder));
     let mut rng = Pcg64Mcg::seed_from_u64(day.seed);
     let list = ServerList::new(world.clone(), day.list.late.0).await?;
     let mut servers = vec![];
@@ -106,7 +106,8 @@
             servers.push(Server::new(world.clone(), ability, 1 + servers.len() as u32).await?);
         }
     }
-    let first_list: Vec<Entry> = servers.iter().map(|s| entry(&world, s, Phase::Ready)).collect();
+    let first_list: Vec<EndpointEntry> =
+        servers.iter().map(|s| entry(&world, s, EndpointState::Ready)).collect();
     list.begin(first_list.clone());
     let source = ListSource::new(list.addr, day.list.mode, day.list.ask_within);
     let planners = Rc::new(RefCell::new(host.start(&day.deployment, &source, &key_file)?));
@@ -196,9 +197,9 @@
     Ok(std::mem::take(&mut *world.record.borrow_mut()))
 }
 
-fn entry(world: &World, server: &Server, phase: Phase) -> Entry {
+fn entry(world: &World, server: &Server, phase: EndpointState) -> EndpointEntry {
     let zone = world.deployment.zones[usize::from(server.zone)].clone();
-    Entry { server: server.id(), zone, phase, started_ms: server.started_ms.get() }
+    EndpointEntry { server: server.id(), zone, state: phase, started_ms: server.started_ms.get() }
 }
 
 impl Stage {
@@ -227,7 +228,7 @@
         (self.proxies.len() as f64 * share).ceil() as usize
     }
 
-    fn list_change(&self, servers: &[usize], phase: Phase) {
+    fn list_change(&self, servers: &[usize], phase: EndpointState) {
         let changed = servers.iter().map(|i| entry(&self.world, &self.servers[*i], phase)).collect();
         self.list.change(changed);
     }
@@ -411,14 +412,14 @@
     ) -> io::Result<()> {
         let server = &self.servers[i];
         if !drain.is_zero() {
-            self.list_change(&[i], Phase::Draining);
+            self.list_change(&[i], EndpointState::Draining);
             // It takes calls until all may know, and then turns them away for the rest.
             sleep(drain).await;
             server.manner.draining.set(true);
         }
         server.stop();
         if !other {
-            self.list_change(&[i], Phase::Gone);
+            self.list_change(&[i], EndpointState::Removed);
         }
         sleep(down).await;
         let number = if other {
@@ -429,7 +430,7 @@
         };
         server.start(number).await?;
         self.zones.borrow_mut().insert(server.id(), server.zone);
-        self.list_change(&[i], Phase::Ready);
+        self.list_change(&[i], EndpointState::Ready);
         self.give_back(&[i]);
         Ok(())
     }
@@ -452,12 +453,12 @@
             .collect();
         self.taken.borrow_mut().extend(lost.iter());
         lost.iter().for_each(|i| self.servers[*i].stop());
-        self.list_change(&lost, Phase::Gone);
+        self.list_change(&lost, EndpointState::Removed);
         sleep(lasts).await;
         for i in &lost {
             self.servers[*i].start(self.servers[*i].id().number).await?;
         }
-        self.list_change(&lost, Phase::Ready);
+        self.list_change(&lost, EndpointState::Ready);
         self.give_back(&lost);
         Ok(())
     }
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -1,10 +1,13 @@
 //! A server on a socket.
 
 use crate::world::World;
-use grebespool_controller_server::dial::next;
+use grebespool_controller_server::dial::read_message;
 use grebespool_invariants::Passed;
 use grebespool_server_model::{Ability, Machine};
-use grebespool_wire::{Answer, Call, Inbox, MOST_BODY, Message, Outcome, ProbeState, ServerId};
+use grebespool_wire::{
+    Call, CallOutcome, FrameDecoder, HealthCheck, HealthCheckResponse, HealthStatus, MAX_BODY_BYTES, Message,
+    Response, ServerId,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -167,7 +170,7 @@
                 for ticket in tickets {
                     let waiting = life.waiting.borrow_mut().remove(&ticket);
                     if let Some(w) = waiting {
-                        answer(&server, &life, w.call, Outcome::Answered, &w.to);
+                        answer(&server, &life, w.call, CallOutcome::Answered, &w.to);
                     }
                 }
             }
@@ -177,12 +180,18 @@
     }
 }
 
-fn answer(server: &Server, life: &Life, call: Call, outcome: Outcome, to: &mpsc::UnboundedSender<Message>) {
+fn answer(
+    server: &Server,
+    life: &Life,
+    call: Call,
+    outcome: CallOutcome,
+    to: &mpsc::UnboundedSender<Message>,
+) {
     let (now, fields) = (server.world.now(), &server.world.deployment.reports.fields);
     let report = Some(life.machine.borrow_mut().report(now, fields, server.manner.lie.get()));
     server.world.put(Passed::Answered { server: server.id(), call, outcome });
-    let (id, attempt, tried) = (call.id, call.attempt, call.tried);
-    let _ = to.send(Message::Answer(Answer { id, attempt, tried, outcome, report }));
+    let (id, attempt, tried) = (call.id, call.attempt, call.retry);
+    let _ = to.send(Message::Response(Response { id, attempt, retry: tried, outcome, metrics: report }));
 }
 
 struct Open(Rc<Life>);
@@ -200,18 +209,18 @@
     let (answers, mut waiting) = mpsc::unbounded_channel::<Message>();
     let writing = async move {
         while let Some(message) = waiting.recv().await {
-            if to.write_all(&message.frame()).await.is_err() {
+            if to.write_all(&message.to_frame()).await.is_err() {
                 break;
             }
         }
     };
     let reading = async {
-        let mut inbox = Inbox::new(MOST_BODY);
-        while let Ok(message) = next(&mut from, &mut inbox).await {
+        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
+        while let Ok(message) = read_message(&mut from, &mut inbox).await {
             let now = server.world.now();
             match message {
                 Message::Call(call) => take(&server, &life, call, &answers),
-                Message::Probe { number } => {
+                Message::HealthCheck(HealthCheck { server_number: number }) => {
                     if server.manner.silent.get()
                         || server.manner.frozen.get()
                         || life.machine.borrow().fallen
@@ -219,11 +228,18 @@
                         continue;
                     }
                     life.machine.borrow_mut().toil(now, Duration::from_millis(1));
-                    let state =
-                        if server.manner.draining.get() { ProbeState::Draining } else { ProbeState::Ready };
+                    let state = if server.manner.draining.get() {
+                        HealthStatus::Draining
+                    } else {
+                        HealthStatus::Ready
+                    };
                     // One that is another server by now does not answer for the former.
                     if number == server.number.get() {
-                        let _ = answers.send(Message::Probed { number, state, report: None });
+                        let _ = answers.send(Message::HealthCheckResponse(HealthCheckResponse {
+                            server_number: number,
+                            status: state,
+                            metrics: None,
+                        }));
                     }
                 }
                 _ => break,
@@ -246,11 +262,11 @@
         return;
     }
     if server.manner.draining.get() {
-        return answer(server, life, call, Outcome::Throttled, answers);
+        return answer(server, life, call, CallOutcome::Rejected, answers);
     }
     if server.manner.erring.get() {
         life.machine.borrow_mut().erred();
-        return answer(server, life, call, Outcome::Failed, answers);
+        return answer(server, life, call, CallOutcome::Failed, answers);
     }
     let ticket = life.next.get();
     life.next.set(ticket + 1);
@@ -267,6 +283,6 @@
         life.waiting.borrow_mut().insert(ticket, Waiting { call, to: answers.clone() });
         life.changed.notify_one();
     } else {
-        answer(server, life, call, Outcome::Throttled, answers);
+        answer(server, life, call, CallOutcome::Rejected, answers);
     }
 }
--- a/crates/emulator/src/visitor.rs
+++ b/crates/emulator/src/visitor.rs
@@ -2,9 +2,9 @@
 
 use crate::link::Link;
 use crate::world::World;
-use grebespool_controller_server::dial::{Peer, next, shake_hands};
+use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
 use grebespool_invariants::Passed;
-use grebespool_wire::{Message, Role};
+use grebespool_wire::{Message, Role, UpdateAck};
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -24,14 +24,27 @@
 async fn stay(world: &World, link: &Link, name: &str, nonce: u64, joined: &mut bool) -> io::Result<()> {
     let mut socket = TcpStream::connect(link.addr).await?;
     let zone = &world.deployment.zones[usize::from(link.zone)];
-    let peer = Peer { role: Role::Proxy, name, zone, rate: 1.0, bare: false, held: (0, 0), epoch: 0 };
+    let peer = Dialer {
+        role: Role::Proxy,
+        name,
+        zone,
+        calls_per_s: 1.0,
+        initial_table_only: false,
+        applied: AppliedUpdate::default(),
+        newest_term: 0,
+    };
     let nonce = (u128::MAX - u128::from(nonce)).to_be_bytes();
-    let mut dialled = shake_hands(&mut socket, &world.key, nonce, &peer).await?;
+    let mut dialled = handshake(&mut socket, &world.key, nonce, &peer).await?;
     *joined = true;
     loop {
-        if let Message::Orders(o) = next(&mut socket, &mut dialled.inbox).await? {
-            let applied = Message::Applied { start: o.start, stream: o.stream, seq: o.seq, mark: None };
-            socket.write_all(&applied.frame()).await?;
+        if let Message::Update(o) = read_message(&mut socket, &mut dialled.decoder).await? {
+            let applied = Message::UpdateAck(UpdateAck {
+                incarnation: o.incarnation,
+                stream: o.stream,
+                sequence: o.sequence,
+                token: None,
+            });
+            socket.write_all(&applied.to_frame()).await?;
         }
     }
 }
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -3,7 +3,7 @@
 use grebespool_invariants::{Passed, Record};
 use grebespool_settings::{Deployment, deployment_text};
 use grebespool_trace::{Call, Event, Listed, Phase, Recorder, Timed};
-use grebespool_wire::Key;
+use grebespool_wire::FleetKey;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::time::{Duration, SystemTime};
@@ -11,7 +11,7 @@
 
 pub struct World {
     began: Cell<Instant>,
-    pub key: Key,
+    pub key: FleetKey,
     pub deployment: Deployment,
     pub record: RefCell<Record>,
     /// The day as it is to be replayed.
@@ -24,7 +24,7 @@
 }
 
 impl World {
-    pub fn new(key: Key, deployment: Deployment, recorder: Option<Recorder>) -> World {
+    pub fn new(key: FleetKey, deployment: Deployment, recorder: Option<Recorder>) -> World {
         World {
             began: Cell::new(Instant::now()),
             key,
@@ -94,15 +94,15 @@
 }
 
 /// A list's entry as recordings have it.
-pub fn listed(entry: &grebespool_wire::Entry) -> Listed {
+pub fn listed(entry: &grebespool_wire::EndpointEntry) -> Listed {
     Listed {
         server: entry.server.addr.to_string(),
         number: entry.server.number,
         zone: entry.zone.clone(),
-        phase: match entry.phase {
-            grebespool_wire::Phase::Gone => Phase::Gone,
-            grebespool_wire::Phase::Ready => Phase::Ready,
-            grebespool_wire::Phase::Draining => Phase::Draining,
+        phase: match entry.state {
+            grebespool_wire::EndpointState::Removed => Phase::Gone,
+            grebespool_wire::EndpointState::Ready => Phase::Ready,
+            grebespool_wire::EndpointState::Draining => Phase::Draining,
         },
         started_ms: entry.started_ms,
     }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -4,12 +4,14 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_controller_server::{Passage, Untouched};
+use grebespool_controller_server::{PassThrough, UpdateFilter};
 use grebespool_emulator::{PlannerHost, Played, ThreadHost, rehearse};
 use grebespool_invariants::{Passed, Record, Rule, check};
 use grebespool_server_model::facts;
 use grebespool_settings::{Day, Deployment, ListSource};
-use grebespool_wire::{Call, Level, Order, Orders, Phase, ServerId, Tries};
+use grebespool_wire::{
+    AdmissionRule, Call, Change, EndpointState, RetryPolicy, ServerId, TableBinding, Update, WeightChange,
+};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::io;
@@ -25,12 +27,12 @@
     Day::parse(&text, "a test's day").unwrap_or_else(|bad| panic!("{bad}"))
 }
 
-fn host(passage: fn() -> Box<dyn Passage>) -> ThreadHost {
-    ThreadHost::with_passage(5, Duration::from_millis(1800), passage)
+fn host(filter: fn() -> Box<dyn UpdateFilter>) -> ThreadHost {
+    ThreadHost::with_filter(5, Duration::from_millis(1800), filter)
 }
 
 fn play(day: &Day) -> Played {
-    rehearse(day, Box::new(host(|| Box::new(Untouched))), None, None).unwrap()
+    rehearse(day, Box::new(host(|| Box::new(PassThrough))), None, None).unwrap()
 }
 
 fn assert_kept(played: &Played) {
@@ -136,41 +138,45 @@
 
 struct NoDrains;
 
-impl Passage for NoDrains {
-    fn pass(&mut self, _: u32, mut orders: Orders) -> Option<Orders> {
-        orders.parts.retain(|p| !matches!(p, Order::Line { weight, .. } if *weight == 0.0));
-        Some(orders)
+impl UpdateFilter for NoDrains {
+    fn filter(&mut self, _: u32, mut update: Update) -> Option<Update> {
+        update
+            .changes
+            .retain(|p| !matches!(p, Change::SetWeight(WeightChange { weight, .. }) if *weight == 0.0));
+        Some(update)
     }
 }
 
 struct Emptied;
 
-impl Passage for Emptied {
-    fn pass(&mut self, _: u32, mut orders: Orders) -> Option<Orders> {
-        for part in &mut orders.parts {
+impl UpdateFilter for Emptied {
+    fn filter(&mut self, _: u32, mut update: Update) -> Option<Update> {
+        for part in &mut update.changes {
             match part {
-                Order::Bind { lines, .. } => lines.clear(),
-                Order::Line { weight, .. } => *weight = 0.0,
+                Change::BindTable(TableBinding { weights: lines, .. }) => lines.clear(),
+                Change::SetWeight(WeightChange { weight, .. }) => *weight = 0.0,
                 _ => {}
             }
         }
-        Some(orders)
+        Some(update)
     }
 }
 
 struct TriesAlways;
 
-impl Passage for TriesAlways {
-    fn pass(&mut self, _: u32, mut orders: Orders) -> Option<Orders> {
-        let always = |l: &mut Level| l.tries = Tries::AfterFailure;
-        for part in &mut orders.parts {
+impl UpdateFilter for TriesAlways {
+    fn filter(&mut self, _: u32, mut update: Update) -> Option<Update> {
+        let always = |l: &mut AdmissionRule| l.retry_policy = RetryPolicy::AfterFailure;
+        for part in &mut update.changes {
             match part {
-                Order::Bind { levels, .. } => levels.iter_mut().for_each(always),
-                Order::Level(level) => always(level),
+                Change::BindTable(TableBinding { admission: levels, .. }) => {
+                    levels.iter_mut().for_each(always)
+                }
+                Change::SetAdmission(level) => always(level),
                 _ => {}
             }
         }
-        Some(orders)
+        Some(update)
     }
 }
 
@@ -178,16 +184,20 @@
 #[derive(Default)]
 struct NoRamp(BTreeSet<ServerId>);
 
-impl Passage for NoRamp {
-    fn pass(&mut self, _: u32, mut orders: Orders) -> Option<Orders> {
-        for part in &mut orders.parts {
+impl UpdateFilter for NoRamp {
+    fn filter(&mut self, _: u32, mut update: Update) -> Option<Update> {
+        for part in &mut update.changes {
             match part {
-                Order::Line { server, weight, .. } if *weight == 0.0 => drop(self.0.insert(*server)),
-                Order::Line { server, weight, .. } if self.0.contains(server) => *weight = 1000.0,
+                Change::SetWeight(WeightChange { server, weight, .. }) if *weight == 0.0 => {
+                    drop(self.0.insert(*server))
+                }
+                Change::SetWeight(WeightChange { server, weight, .. }) if self.0.contains(server) => {
+                    *weight = 1000.0
+                }
                 _ => {}
             }
         }
-        Some(orders)
+        Some(update)
     }
 }
 
@@ -219,26 +229,26 @@
 
 #[rstest]
 #[case::no_drains(
-    || Box::new(NoDrains) as Box<dyn Passage>,
+    || Box::new(NoDrains) as Box<dyn UpdateFilter>,
     "{ at = \"3s\", what = 'Deploy { servers = 3, every = \"500ms\", drain = \"4s\", down = \"400ms\" } }",
     &[Rule::Drained])]
-#[case::empty_tables(|| Box::new(Emptied) as Box<dyn Passage>, "", &[Rule::Served])]
+#[case::empty_tables(|| Box::new(Emptied) as Box<dyn UpdateFilter>, "", &[Rule::Served])]
 #[case::tries_after_any_failure(
-    || Box::new(TriesAlways) as Box<dyn Passage>,
+    || Box::new(TriesAlways) as Box<dyn UpdateFilter>,
     "{ at = \"3s\", lasts = \"6s\", what = 'Erring { servers = 4 } }",
     &[Rule::Once])]
 #[case::no_ramp(
-    || Box::new(NoRamp::default()) as Box<dyn Passage>,
+    || Box::new(NoRamp::default()) as Box<dyn UpdateFilter>,
     "{ at = \"8s\", what = 'Deploy { servers = 2, every = \"100ms\", drain = \"1s\", down = \"800ms\" } },
      { at = \"8s\", lasts = \"6s\", what = 'Burst { factor = 2 } }",
     &[Rule::Cold])]
 #[case::all_guards(
-    || Box::new(Untouched) as Box<dyn Passage>,
+    || Box::new(PassThrough) as Box<dyn UpdateFilter>,
     "{ at = \"8s\", what = 'Deploy { servers = 2, every = \"100ms\", drain = \"1s\", down = \"800ms\" } },
      { at = \"8s\", lasts = \"6s\", what = 'Burst { factor = 2 } }",
     &[])]
 fn a_removed_guard_is_found(
-    #[case] passage: fn() -> Box<dyn Passage>,
+    #[case] filter: fn() -> Box<dyn UpdateFilter>,
     #[case] troubles: &str,
     #[case] expected: &[Rule],
 ) {
@@ -246,7 +256,7 @@
     day.length.0 += Duration::from_secs(4);
     // Proxies that keep away from what turns calls away save many a server, so these fall more easily.
     day.rules.fall_multiple = 1.5;
-    let played = rehearse(&day, Box::new(host(passage)), None, None).unwrap();
+    let played = rehearse(&day, Box::new(host(filter)), None, None).unwrap();
     let broken: Vec<Rule> = played.verdicts.iter().filter(|v| v.first.is_some()).map(|v| v.rule).collect();
     assert_eq!(broken, expected);
 }
@@ -255,7 +265,7 @@
 fn a_channel_without_limits_is_found() {
     let mut day = day("{ at = \"3s\", what = 'StreamsBreak { share = 1 } }");
     day.deployment.channel.most_waiting = 60.0;
-    let played = rehearse(&day, Box::new(Unlimited(host(|| Box::new(Untouched)))), None, None).unwrap();
+    let played = rehearse(&day, Box::new(Unlimited(host(|| Box::new(PassThrough)))), None, None).unwrap();
     assert!(played.verdicts[4].first.is_some(), "{:?}", played.verdicts[4]);
 }
 
@@ -288,7 +298,13 @@
     for (_, passed) in events.iter_mut().filter(|(at, _)| at.as_secs() >= 3) {
         if let Passed::Delivered { proxy: 0, orders } = passed {
             let (table, version) = (0, 99);
-            orders.parts = vec![Order::Bind { table, version, routes: 0, lines: vec![], levels: vec![] }];
+            orders.changes = vec![Change::BindTable(TableBinding {
+                table,
+                version,
+                routes: 0,
+                weights: vec![],
+                admission: vec![],
+            })];
         }
     }
 }
@@ -302,7 +318,7 @@
 fn after_the_grace(events: &mut Events, call: Call) {
     let drain = events.iter().find_map(|(at, p)| match p {
         Passed::ListTold(list) => {
-            let drains = list.entries.iter().find(|e| e.phase == Phase::Draining);
+            let drains = list.entries.iter().find(|e| e.state == EndpointState::Draining);
             drains.map(|e| (*at, e.server))
         }
         _ => None,
--- a/crates/invariants/src/cold.rs
+++ b/crates/invariants/src/cold.rs
@@ -4,7 +4,7 @@
 use crate::check::Pass;
 use crate::record::{List, Passed};
 use crate::told::Ear;
-use grebespool_wire::{Phase, ServerId};
+use grebespool_wire::{EndpointState, ServerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     pub fn see(&mut self, at: Duration, passed: &Passed, ear: &Ear, pass: &mut Pass) {
         match passed {
             Passed::ListTold(List { version, entries, .. }) => {
-                for e in entries.iter().filter(|e| e.phase == Phase::Ready && e.started_ms > 0) {
+                for e in entries.iter().filter(|e| e.state == EndpointState::Ready && e.started_ms > 0) {
                     let first = ear.told.starts.get(&(e.server, e.started_ms)).map_or(at, |s| s.0);
                     let known = self.told_by_version.entry(e.server).or_insert((*version, first));
                     if first > known.1 {
@@ -48,7 +48,7 @@
             }
             Passed::Joined { proxy, .. } => drop(self.joined.insert(*proxy)),
             Passed::Left { proxy } => drop(self.joined.remove(proxy)),
-            Passed::Delivered { proxy, orders } => drop(self.knows.insert(*proxy, orders.list)),
+            Passed::Delivered { proxy, orders } => drop(self.knows.insert(*proxy, orders.endpoints_version)),
             Passed::Up { server, .. } => {
                 self.recent.remove(server);
                 self.told_by_version.remove(server);
--- a/crates/invariants/src/drained.rs
+++ b/crates/invariants/src/drained.rs
@@ -3,7 +3,7 @@
 use crate::check::Pass;
 use crate::record::{List, Passed};
 use crate::told::Ear;
-use grebespool_wire::Phase;
+use grebespool_wire::EndpointState;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
                 else {
                     return;
                 };
-                if *phase == Phase::Ready {
+                if *phase == EndpointState::Ready {
                     return;
                 }
                 pass.checked();
@@ -55,7 +55,9 @@
                 }
             }
             // Drains that were told count as checked even where all proxies had left the server in time.
-            Passed::ListTold(List { entries, .. }) if entries.iter().any(|e| e.phase != Phase::Ready) => {
+            Passed::ListTold(List { entries, .. })
+                if entries.iter().any(|e| e.state != EndpointState::Ready) =>
+            {
                 pass.checked();
             }
             _ => {}
--- a/crates/invariants/src/once.rs
+++ b/crates/invariants/src/once.rs
@@ -3,7 +3,7 @@
 
 use crate::check::{Pass, RouteFacts};
 use crate::record::{List, Passed};
-use grebespool_wire::{Call, Outcome, ServerId};
+use grebespool_wire::{Call, CallOutcome, ServerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -58,12 +58,12 @@
     }
 
     pub fn see(&mut self, at: Duration, passed: &Passed, pass: &mut Pass) {
-        let key = |c: &Call| (c.id, c.attempt, c.tried);
+        let key = |c: &Call| (c.id, c.attempt, c.retry);
         match passed {
             Passed::ListTold(List { entries, .. }) => {
                 self.zones.extend(entries.iter().map(|e| (e.server, e.zone.clone())));
             }
-            Passed::Answered { call, outcome: Outcome::Throttled, .. } => {
+            Passed::Answered { call, outcome: CallOutcome::Rejected, .. } => {
                 self.refused.entry(key(call)).or_insert(at);
             }
             Passed::Sent { proxy, server, call } => {
@@ -83,7 +83,7 @@
                         wrong = Some((*tried, *where_to));
                     }
                 }
-                earlier.push((call.tried, *server, at));
+                earlier.push((call.retry, *server, at));
                 pass.checked();
                 if let Some((tried, to)) = wrong {
                     let (id, what) = (
@@ -101,10 +101,10 @@
             }
             Passed::Delivered { proxy, orders } => {
                 pass.checked();
-                let this = (orders.start, orders.stream, orders.seq);
+                let this = (orders.incarnation, orders.stream, orders.sequence);
                 let (epoch, last) = self.newest.get(proxy).map_or((0, None), |n| (n.0, Some(n.1)));
                 let repeated = last.is_some_and(|l| l.0 == this.0 && l.1 == this.1 && l.2 >= this.2);
-                let stale = orders.epoch < epoch
+                let stale = orders.term < epoch
                     || self.former.get(proxy).is_some_and(|f| f.contains(&this.0))
                     || last.is_some_and(|l| l.0 == this.0 && l.1 > this.1);
                 if let Some(l) = last.filter(|l| l.0 != this.0) {
@@ -120,7 +120,7 @@
                         |p| matches!(p, Passed::Delivered { proxy, .. } if *proxy == number),
                     );
                 } else {
-                    self.newest.insert(*proxy, (orders.epoch, this));
+                    self.newest.insert(*proxy, (orders.term, this));
                 }
             }
             Passed::Done { id, .. } => {
--- a/crates/invariants/src/queue.rs
+++ b/crates/invariants/src/queue.rs
@@ -2,7 +2,7 @@
 
 use crate::check::Pass;
 use crate::record::Passed;
-use grebespool_wire::Order;
+use grebespool_wire::{Change, TableBinding};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -54,15 +54,17 @@
     pub fn see(&mut self, at: Duration, passed: &Passed, pass: &mut Pass) {
         let Passed::Ordered { proxy, orders } = passed else { return };
         pass.checked();
-        let ordered = Duration::from_micros(orders.ordered_us);
+        let ordered = Duration::from_micros(orders.created_us);
         let lies = at.saturating_sub(ordered);
-        self.began.entry(orders.start).and_modify(|b| *b = (*b).min(lies)).or_insert(lies);
-        let lines = |p: &Order| match p {
-            Order::Bind { lines, levels, .. } => 1 + lines.len() + levels.len(),
+        self.began.entry(orders.incarnation).and_modify(|b| *b = (*b).min(lies)).or_insert(lies);
+        let lines = |p: &Change| match p {
+            Change::BindTable(TableBinding { weights: lines, admission: levels, .. }) => {
+                1 + lines.len() + levels.len()
+            }
             _ => 1,
         };
-        let cost = orders.parts.iter().map(lines).sum::<usize>() as f64 + self.head;
-        let (start, stream) = (orders.start, orders.stream);
+        let cost = orders.changes.iter().map(lines).sum::<usize>() as f64 + self.head;
+        let (start, stream) = (orders.incarnation, orders.stream);
         self.out.push_back(Out { at, proxy: *proxy, start, stream, given: ordered, cost });
         while let Some(out) = self.out.pop_front_if(|o| at.saturating_sub(o.at) > Self::LEARNT) {
             self.look(out, pass);
--- a/crates/invariants/src/record.rs
+++ b/crates/invariants/src/record.rs
@@ -1,6 +1,6 @@
 //! What passed, and when.
 
-use grebespool_wire::{Call, Entry, Message, Orders, Outcome, ServerId};
+use grebespool_wire::{Call, CallOutcome, EndpointEntry, Message, ServerId, Update};
 use std::time::Duration;
 
 /// One thing that was seen at one end of a socket.
@@ -23,15 +23,15 @@
         proxy: u16,
         start: u64,
     },
-    /// Orders left the planner's end of a stream.
+    /// Update left the planner's end of a stream.
     Ordered {
         proxy: u16,
-        orders: Orders,
+        orders: Update,
     },
-    /// Orders came to the proxy's end of a stream.
+    /// Update came to the proxy's end of a stream.
     Delivered {
         proxy: u16,
-        orders: Orders,
+        orders: Update,
     },
     /// A proxy's stream ended at its own end.
     Left {
@@ -57,7 +57,7 @@
     Answered {
         server: ServerId,
         call: Call,
-        outcome: Outcome,
+        outcome: CallOutcome,
     },
     /// A server came up, able to do so much work a second once warm.
     Up {
@@ -84,7 +84,7 @@
     Done {
         id: u64,
         route: u8,
-        outcome: Outcome,
+        outcome: CallOutcome,
     },
 }
 
@@ -94,7 +94,7 @@
     pub version: u64,
     pub base: u64,
     pub now_ms: u64,
-    pub entries: Vec<Entry>,
+    pub entries: Vec<EndpointEntry>,
 }
 
 /// All that passed, in the order of time.
@@ -110,14 +110,14 @@
 
     /// What a tap on the planner's end of a proxy's stream saw go to the proxy.
     pub fn ordered(&mut self, at: Duration, proxy: u16, message: &Message) {
-        if let Message::Orders(orders) = message {
+        if let Message::Update(orders) = message {
             self.put(at, Passed::Ordered { proxy, orders: orders.clone() });
         }
     }
 
     /// What a tap on the proxy's end saw come.
     pub fn delivered(&mut self, at: Duration, proxy: u16, message: &Message) {
-        if let Message::Orders(orders) = message {
+        if let Message::Update(orders) = message {
             self.put(at, Passed::Delivered { proxy, orders: orders.clone() });
         }
     }
--- a/crates/invariants/src/served.rs
+++ b/crates/invariants/src/served.rs
@@ -3,20 +3,20 @@
 use crate::check::Pass;
 use crate::record::Passed;
 use crate::told::{Ear, Told};
-use grebespool_wire::{Order, Phase, ServerId};
+use grebespool_wire::{Change, EndpointState, ServerId, TableBinding, WeightChange};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 type Lines = BTreeMap<ServerId, f32>;
-fn obey(tables: &mut BTreeMap<u16, Lines>, parts: &[Order]) {
+fn obey(tables: &mut BTreeMap<u16, Lines>, parts: &[Change]) {
     for part in parts {
         match part {
-            Order::Bind { table, lines, .. } => {
+            Change::BindTable(TableBinding { table, weights, .. }) => {
                 // A proxy is bound to one table for each route; what it held before is replaced.
                 tables.clear();
-                tables.insert(*table, lines.iter().copied().collect());
+                tables.insert(*table, weights.iter().map(|w| (w.server, w.weight)).collect());
             }
-            Order::Line { table, server, weight, .. } => {
+            Change::SetWeight(WeightChange { table, server, weight, .. }) => {
                 let lines = tables.entry(*table).or_default();
                 match *weight > 0.0 {
                     true => lines.insert(*server, *weight),
@@ -58,7 +58,8 @@
     fn any_warm(&self, told: &Told, now: Duration) -> bool {
         told.entries.iter().any(|(id, (phase, _, started))| {
             let (told_at, age) = told.starts.get(&(*id, *started)).copied().unwrap_or_default();
-            *phase == Phase::Ready && (*started == 0 || now.saturating_sub(told_at) + age >= self.warm_up)
+            *phase == EndpointState::Ready
+                && (*started == 0 || now.saturating_sub(told_at) + age >= self.warm_up)
         })
     }
 
@@ -80,7 +81,7 @@
                 Some(*proxy)
             }
             Passed::Delivered { proxy, orders } => {
-                obey(&mut self.proxies.entry(*proxy).or_default().tables, &orders.parts);
+                obey(&mut self.proxies.entry(*proxy).or_default().tables, &orders.changes);
                 pass.checked();
                 Some(*proxy)
             }
--- a/crates/invariants/src/told.rs
+++ b/crates/invariants/src/told.rs
@@ -1,7 +1,7 @@
 //! What the planner had been told of servers.
 
 use crate::record::{List, Passed};
-use grebespool_wire::{Phase, ServerId};
+use grebespool_wire::{EndpointState, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 /// record's clock.
 #[derive(Default)]
 pub(crate) struct Told {
-    pub entries: BTreeMap<ServerId, (Phase, Duration, u64)>,
+    pub entries: BTreeMap<ServerId, (EndpointState, Duration, u64)>,
     /// When each start of a server was first told, and how long past it was.
     pub starts: BTreeMap<(ServerId, u64), (Duration, Duration)>,
     version: u64,
@@ -28,8 +28,8 @@
         let here: BTreeMap<_, u32> = entries.iter().map(|e| (e.server.addr, e.server.number)).collect();
         for (id, entry) in &mut self.entries {
             let replaced = here.get(&id.addr).is_some_and(|n| *n != id.number);
-            if !named.contains(id) && (base == 0 || replaced) && entry.0 != Phase::Gone {
-                *entry = (Phase::Gone, at, entry.2);
+            if !named.contains(id) && (base == 0 || replaced) && entry.0 != EndpointState::Removed {
+                *entry = (EndpointState::Removed, at, entry.2);
             }
         }
         for e in entries {
@@ -37,9 +37,11 @@
             self.starts.entry((e.server, e.started_ms)).or_insert((at, age));
             match self.entries.get_mut(&e.server) {
                 // Gone after draining is no news of it.
-                Some(old) if old.0 != Phase::Ready && e.phase != Phase::Ready => old.0 = e.phase,
-                Some(old) if old.0 == e.phase => old.2 = e.started_ms,
-                _ => drop(self.entries.insert(e.server, (e.phase, at, e.started_ms))),
+                Some(old) if old.0 != EndpointState::Ready && e.state != EndpointState::Ready => {
+                    old.0 = e.state
+                }
+                Some(old) if old.0 == e.state => old.2 = e.started_ms,
+                _ => drop(self.entries.insert(e.server, (e.state, at, e.started_ms))),
             }
         }
     }
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -33,41 +33,50 @@
     Facts { limits, routes: vec![RouteFacts::Freely, marked, RouteFacts::Never] }
 }
 
-fn entry(n: u32, phase: Phase, started_ms: u64) -> Entry {
-    Entry { server: id(n), zone: if n < 3 { "a" } else { "b" }.into(), phase, started_ms }
+fn entry(n: u32, phase: EndpointState, started_ms: u64) -> EndpointEntry {
+    EndpointEntry { server: id(n), zone: if n < 3 { "a" } else { "b" }.into(), state: phase, started_ms }
 }
 
-fn list(version: u64, base: u64, entries: Vec<Entry>) -> Passed {
+fn list(version: u64, base: u64, entries: Vec<EndpointEntry>) -> Passed {
     Passed::ListTold(List { version, base, now_ms: 1_000_000, entries })
 }
 
-fn orders(start: u64, seq: u64, ordered: u64, list: u64, parts: Vec<Order>) -> Orders {
-    Orders { epoch: 0, start, stream: 1, seq, ordered_us: ordered * 1000, list, cause: Cause::List, parts }
+fn orders(start: u64, seq: u64, ordered: u64, list: u64, parts: Vec<Change>) -> Update {
+    Update {
+        term: 0,
+        incarnation: start,
+        stream: 1,
+        sequence: seq,
+        created_us: ordered * 1000,
+        endpoints_version: list,
+        cause: UpdateCause::EndpointsChanged,
+        changes: parts,
+    }
 }
 
-fn bind(lines: &[u32]) -> Order {
-    let lines = lines.iter().map(|n| (id(*n), 1.0)).collect();
-    Order::Bind { table: 0, version: 1, routes: 0, lines, levels: vec![] }
+fn bind(lines: &[u32]) -> Change {
+    let weights = lines.iter().map(|n| ServerWeight { server: id(*n), weight: 1.0 }).collect();
+    Change::BindTable(TableBinding { table: 0, version: 1, routes: 0, weights, admission: vec![] })
 }
 
-fn weight(n: u32, weight: f32) -> Order {
-    Order::Line { table: 0, version: 2, server: id(n), weight }
+fn weight(n: u32, weight: f32) -> Change {
+    Change::SetWeight(WeightChange { table: 0, version: 2, server: id(n), weight })
 }
 
 fn call(id: u64, route: u8, tried: u8, proxy: u16) -> Call {
     let (key, work_us, time_limit_us) = (0, 100_000, 1_000_000);
-    Call { id, attempt: 0, tried, route, key, work_us, time_limit_us, proxy }
+    Call { id, attempt: 0, retry: tried, route, key, work_us, timeout_us: time_limit_us, proxy }
 }
 
 fn sent(n: u32, id_: u64, route: u8, tried: u8) -> Passed {
     Passed::Sent { proxy: 1, server: id(n), call: call(id_, route, tried, 1) }
 }
 
-fn answered(n: u32, id_: u64, route: u8, tried: u8, outcome: Outcome) -> Passed {
+fn answered(n: u32, id_: u64, route: u8, tried: u8, outcome: CallOutcome) -> Passed {
     Passed::Answered { server: id(n), call: call(id_, route, tried, 1), outcome }
 }
 
-fn delivered(at: u64, o: Orders) -> Vec<(u64, Passed)> {
+fn delivered(at: u64, o: Update) -> Vec<(u64, Passed)> {
     vec![
         (at, Passed::Ordered { proxy: 1, orders: o.clone() }),
         (at + 5, Passed::Delivered { proxy: 1, orders: o }),
@@ -76,7 +85,7 @@
 
 /// A list of four, a proxy that joins and is bound, a drain of one that is told in time.
 fn day() -> Vec<(u64, Passed)> {
-    let all = (1..=4).map(|n| entry(n, Phase::Ready, 0)).collect();
+    let all = (1..=4).map(|n| entry(n, EndpointState::Ready, 0)).collect();
     let mut day = vec![
         (0, Passed::Began { proxy: 1, lines: vec![(id(1), 1.0)] }),
         (10, list(1, 0, all)),
@@ -85,17 +94,17 @@
     day.extend(delivered(110, orders(7, 1, 105, 1, vec![bind(&[1, 2, 3, 4])])));
     day.extend([
         (500, sent(2, 1, 0, 0)),
-        (520, answered(2, 1, 0, 0, Outcome::Throttled)),
+        (520, answered(2, 1, 0, 0, CallOutcome::Rejected)),
         (530, sent(3, 1, 0, 1)),
         (600, sent(2, 2, 2, 0)),
-        (610, answered(2, 2, 2, 0, Outcome::Throttled)),
+        (610, answered(2, 2, 2, 0, CallOutcome::Rejected)),
         (620, sent(3, 2, 2, 1)),
         (700, sent(1, 3, 1, 0)),
         (1200, sent(2, 3, 1, 1)),
-        (2000, list(2, 1, vec![entry(4, Phase::Draining, 0)])),
+        (2000, list(2, 1, vec![entry(4, EndpointState::Draining, 0)])),
         (2300, sent(4, 9, 0, 0)),
     ]);
-    day.extend(delivered(2500, orders(7, 2, 2100, 2, vec![weight(4, 0.0), Order::Mark(1)])));
+    day.extend(delivered(2500, orders(7, 2, 2100, 2, vec![weight(4, 0.0), Change::RequestAck(1)])));
     day
 }
 
@@ -129,7 +138,7 @@
 fn cold(multiple: u64, knowing: bool) -> Vec<(u64, Passed)> {
     let mut day = vec![
         (20_000, Passed::Up { server: id(2), capacity: 2.0, cold: 0.3 }),
-        (20_100, list(3, 2, vec![entry(2, Phase::Ready, 999_900)])),
+        (20_100, list(3, 2, vec![entry(2, EndpointState::Ready, 999_900)])),
     ];
     if knowing {
         day.extend(delivered(20_200, orders(7, 3, 20_150, 3, vec![weight(2, 0.2)])));
@@ -146,7 +155,7 @@
 #[case::a_table_emptied_while_not_joined([vec![(2950, Passed::Left { proxy: 1 })], emptied()].concat(), &[])]
 #[case::a_mutating_call_sent_again_unproven(vec![(4000, sent(1, 50, 2, 0)), (4100, sent(2, 50, 2, 1))], &[Rule::Once])]
 #[case::after_an_error(
-    vec![(4000, sent(1, 50, 2, 0)), (4050, answered(1, 50, 2, 0, Outcome::Failed)), (4100, sent(2, 50, 2, 1))],
+    vec![(4000, sent(1, 50, 2, 0)), (4050, answered(1, 50, 2, 0, CallOutcome::Failed)), (4100, sent(2, 50, 2, 1))],
     &[Rule::Once])]
 #[case::a_repeatable_one(vec![(4000, sent(1, 50, 0, 0)), (4100, sent(2, 50, 0, 1))], &[])]
 #[case::a_marked_one_past_its_window(vec![(4000, sent(1, 50, 1, 0)), (5100, sent(2, 50, 1, 1))], &[Rule::Once])]
@@ -162,7 +171,7 @@
 #[case::a_planner_that_stood_still(
     vec![(2100, Passed::PlannerStalled), (4000, Passed::PlannerResumed), (6500, sent(4, 60, 0, 0))], &[])]
 #[case::a_list_told_again_restarts_no_clock(
-    vec![(4900, list(3, 2, vec![entry(4, Phase::Gone, 0)])), (5100, sent(4, 60, 0, 0))], &[Rule::Drained])]
+    vec![(4900, list(3, 2, vec![entry(4, EndpointState::Removed, 0)])), (5100, sent(4, 60, 0, 0))], &[Rule::Drained])]
 #[case::pushed_over_knowing(cold(30, true), &[Rule::Cold])]
 #[case::pushed_over_unknowing(cold(30, false), &[])]
 #[case::a_long_queue(messages(12, |_| 12_000, |i| 12_100 + 3000 * i), &[Rule::Queue])]
--- a/crates/replay/src/past.rs
+++ b/crates/replay/src/past.rs
@@ -181,9 +181,9 @@
         number: e.number,
         zone: e.zone.clone(),
         phase: match e.phase {
-            Phase::Gone => wire::Phase::Gone,
-            Phase::Ready => wire::Phase::Ready,
-            Phase::Draining => wire::Phase::Draining,
+            Phase::Gone => wire::EndpointState::Removed,
+            Phase::Ready => wire::EndpointState::Ready,
+            Phase::Draining => wire::EndpointState::Draining,
         },
         age: (e.started_ms > 0).then(|| Duration::from_millis(unix_ms.saturating_sub(e.started_ms))),
     }
--- a/crates/server-model/src/held.rs
+++ b/crates/server-model/src/held.rs
@@ -1,12 +1,14 @@
 //! What a proxy holds: tables, levels, and how it picks. Free of I/O.
 
 use grebespool_settings::Picks;
-use grebespool_wire::{Level, Order, Orders, ServerId, Tries};
+use grebespool_wire::{
+    AdmissionRule, Change, Exclusion, RetryPolicy, ServerId, ServerWeight, TableBinding, Update, WeightChange,
+};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Orders from before a restart or a broken stream, or that came before: not obeyed.
+/// Update from before a restart or a broken stream, or that came before: not obeyed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stale;
 
@@ -27,7 +29,7 @@
     picks: Picks,
     avoids: (u32, Duration),
     tables: Vec<Table>,
-    levels: BTreeMap<u16, Level>,
+    levels: BTreeMap<u16, AdmissionRule>,
     withdrawn: BTreeSet<ServerId>,
     failures: BTreeMap<ServerId, (u32, Duration)>,
     stream: Option<(u64, u32)>,
@@ -95,23 +97,25 @@
     /// # Errors
     ///
     /// The orders are stale, and nothing of them is put in force.
-    pub fn obey(&mut self, orders: &Orders) -> Result<Option<u16>, Stale> {
-        let of_stream = self.stream == Some((orders.start, orders.stream)) && orders.epoch == self.epoch;
-        if !of_stream || orders.seq <= self.seq {
+    pub fn obey(&mut self, orders: &Update) -> Result<Option<u16>, Stale> {
+        let of_stream = self.stream == Some((orders.incarnation, orders.stream)) && orders.term == self.epoch;
+        if !of_stream || orders.sequence <= self.seq {
             return Err(Stale);
         }
-        (self.seq, self.last) = (orders.seq, (orders.start, orders.seq));
+        (self.seq, self.last) = (orders.sequence, (orders.incarnation, orders.sequence));
         let mut mark = None;
-        for part in &orders.parts {
+        for part in &orders.changes {
             match part {
-                Order::Bind { table, routes, lines, levels, .. } => {
+                Change::BindTable(TableBinding {
+                    table, routes, weights: lines, admission: levels, ..
+                }) => {
                     self.tables.retain(|t| *routes != 0 && t.routes & routes == 0 && t.routes != 0);
-                    let line = |l: &(ServerId, f32)| Line { server: l.0, weight: l.1, credit: 0.0 };
+                    let line = |w: &ServerWeight| Line { server: w.server, weight: w.weight, credit: 0.0 };
                     let lines = lines.iter().map(line).collect();
                     self.tables.push(Table { number: *table, routes: *routes, lines });
                     self.levels = levels.iter().map(|l| (l.routes, *l)).collect();
                 }
-                Order::Line { table, server, weight, .. } => {
+                Change::SetWeight(WeightChange { table, server, weight, .. }) => {
                     for t in self.tables.iter_mut().filter(|t| t.number == *table) {
                         let held = t.lines.iter().position(|l| l.server == *server);
                         match (held, *weight > 0.0) {
@@ -124,10 +128,10 @@
                         }
                     }
                 }
-                Order::Level(level) => drop(self.levels.insert(level.routes, *level)),
-                Order::Withdraw { server, out: true } => drop(self.withdrawn.insert(*server)),
-                Order::Withdraw { server, out: false } => drop(self.withdrawn.remove(server)),
-                Order::Mark(number) => mark = Some(*number),
+                Change::SetAdmission(level) => drop(self.levels.insert(level.routes, *level)),
+                Change::Exclude(Exclusion { server, excluded: true }) => drop(self.withdrawn.insert(*server)),
+                Change::Exclude(Exclusion { server, excluded: false }) => drop(self.withdrawn.remove(server)),
+                Change::RequestAck(number) => mark = Some(*number),
             }
         }
         Ok(mark)
@@ -138,9 +142,9 @@
     }
 
     /// The share of a route's calls that is let in, and when they are tried again.
-    pub fn level(&self, route: u8) -> (f32, Tries) {
+    pub fn level(&self, route: u8) -> (f32, RetryPolicy) {
         let level = self.levels.values().find(|l| Self::has(l.routes, route));
-        level.map_or((1.0, Tries::AfterProof), |l| (l.share, l.tries))
+        level.map_or((1.0, RetryPolicy::IfNotExecuted), |l| (l.admitted_fraction, l.retry_policy))
     }
 
     /// Whether any table names the server.
--- a/crates/server-model/src/machine.rs
+++ b/crates/server-model/src/machine.rs
@@ -1,7 +1,7 @@
 //! A server's work: cores, a waiting room, a cold start and falling over. Free of I/O.
 
 use grebespool_settings::{Figure, ServerKind};
-use grebespool_wire::Report;
+use grebespool_wire::ServerMetrics;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -213,7 +213,7 @@
     }
 
     /// The newest report, made anew where the last is old enough.
-    pub fn report(&mut self, now: Duration, fields: &[Figure], lie: Option<f32>) -> Report {
+    pub fn report(&mut self, now: Duration, fields: &[Figure], lie: Option<f32>) -> ServerMetrics {
         self.pass(now);
         let span = now.saturating_sub(self.busy_from).as_secs_f64();
         if self.number == 0 || span >= self.ability.kind.refresh.0.as_secs_f64() {
@@ -235,6 +235,6 @@
             Some(figure) => vec![figure; self.report.len()],
             None => self.report.clone(),
         };
-        Report { start: self.start_id, number: self.number, figures }
+        ServerMetrics { incarnation: self.start_id, sequence: self.number, values: figures }
     }
 }
--- a/crates/server-model/src/service.rs
+++ b/crates/server-model/src/service.rs
@@ -3,7 +3,7 @@
 
 use grebespool_invariants::{Passed, Record};
 use grebespool_settings::Deployment;
-use grebespool_wire::{Outcome, ServerId};
+use grebespool_wire::{CallOutcome, ServerId};
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -202,7 +202,7 @@
                 let Some(open) = self.open.remove(id) else { return };
                 let (service, waits) = &mut self.routes[open.route];
                 match outcome {
-                    Outcome::Answered | Outcome::Repeat => {
+                    CallOutcome::Answered | CallOutcome::Duplicate => {
                         let (stated, took) = (&self.stated[open.route], at.saturating_sub(open.due));
                         service.answered += 1;
                         let _ = waits.record(took.as_micros() as u64);
@@ -216,8 +216,8 @@
                             }
                         }
                     }
-                    Outcome::Throttled => service.throttled += 1,
-                    Outcome::Failed => {}
+                    CallOutcome::Rejected => service.throttled += 1,
+                    CallOutcome::Failed => {}
                 }
             }
             Passed::ListTold(list) => {
@@ -233,13 +233,13 @@
                 let from = self.open.get(&call.id).map(|o| o.zone);
                 self.crossed += u64::from(home.zip(from).is_some_and(|(to, from)| *to != from));
             }
-            Passed::Answered { call, outcome: Outcome::Answered, .. } => {
+            Passed::Answered { call, outcome: CallOutcome::Answered, .. } => {
                 self.work_us += u64::from(call.work_us);
             }
             Passed::Connected { .. } => self.connections += 1,
             Passed::Ordered { orders, .. } => {
                 self.messages += 1;
-                self.lines += orders.parts.len() as u64;
+                self.lines += orders.changes.len() as u64;
             }
             Passed::Joined { .. } => self.joins += 1,
             _ => {}
--- a/crates/server-model/src/sums.rs
+++ b/crates/server-model/src/sums.rs
@@ -1,6 +1,6 @@
 //! What a proxy met since it last told.
 
-use grebespool_wire::{CameLine, Message, MetLine, Report, ServerId};
+use grebespool_wire::{Message, ProxyReport, RouteLoad, ServerId, ServerLoad, ServerMetrics};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
     tries: u32,
     dropped: u32,
     waited: Duration,
-    report: Option<Report>,
+    report: Option<ServerMetrics>,
 }
 
 #[derive(Default)]
@@ -24,7 +24,7 @@
     }
 
     /// A try at a server ended: answered after so long, or dropped. A report that came with it is kept.
-    pub fn met(&mut self, server: ServerId, took: Option<Duration>, report: Option<Report>) {
+    pub fn met(&mut self, server: ServerId, took: Option<Duration>, report: Option<ServerMetrics>) {
         let met = self.met.entry(server).or_default();
         met.tries += 1;
         met.report = report.or(met.report.take());
@@ -36,18 +36,21 @@
 
     /// All that was met since this was last called.
     pub fn tell(&mut self) -> Message {
-        let line = |(server, m): (ServerId, Met)| MetLine {
+        let line = |(server, m): (ServerId, Met)| ServerLoad {
             server,
-            tries: m.tries,
+            attempts: m.tries,
             dropped: m.dropped,
-            wait_us: match m.tries - m.dropped {
+            mean_latency_us: match m.tries - m.dropped {
                 0 => 0,
                 n => (m.waited / n).as_micros().max(1) as u32,
             },
-            report: m.report,
+            metrics: m.report,
         };
         let met = std::mem::take(&mut self.met).into_iter().map(line).collect();
         let came = std::mem::take(&mut self.came).into_iter();
-        Message::Sums { met, came: came.map(|(route, calls)| CameLine { route, calls }).collect() }
+        Message::ProxyReport(ProxyReport {
+            servers: met,
+            routes: came.map(|(route, calls)| RouteLoad { route, calls }).collect(),
+        })
     }
 }
--- a/crates/server-model/tests/cores.rs
+++ b/crates/server-model/tests/cores.rs
@@ -5,7 +5,10 @@
 
 use grebespool_server_model::{Ability, Held, Machine, Stale};
 use grebespool_settings::{Figure, Picks, ServerKind, Span};
-use grebespool_wire::{Cause, Level, Order, Orders, ServerId, Tries};
+use grebespool_wire::{
+    AdmissionRule, Change, RetryPolicy, ServerId, ServerWeight, TableBinding, Update, UpdateCause,
+    WeightChange,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -16,20 +19,30 @@
     ServerId { addr: ([127, 0, 0, 1], 9000 + n as u16).into(), number: n }
 }
 
-fn orders(start: u64, stream: u32, seq: u64, parts: Vec<Order>) -> Orders {
-    Orders { epoch: 0, start, stream, seq, ordered_us: 0, list: 0, cause: Cause::Join, parts }
+fn orders(start: u64, stream: u32, seq: u64, parts: Vec<Change>) -> Update {
+    Update {
+        term: 0,
+        incarnation: start,
+        stream,
+        sequence: seq,
+        created_us: 0,
+        endpoints_version: 0,
+        cause: UpdateCause::ProxyJoined,
+        changes: parts,
+    }
 }
 
-fn bind(weights: &[f32]) -> Order {
-    let lines = weights.iter().enumerate().map(|(i, w)| (id(i as u32), *w)).collect();
-    let levels = vec![Level { routes: 1, share: 0.5, tries: Tries::One }];
-    Order::Bind { table: 0, version: 1, routes: 0, lines, levels }
+fn bind(weights: &[f32]) -> Change {
+    let weight = |(i, weight): (usize, &f32)| ServerWeight { server: id(i as u32), weight: *weight };
+    let weights = weights.iter().enumerate().map(weight).collect();
+    let levels = vec![AdmissionRule { routes: 1, admitted_fraction: 0.5, retry_policy: RetryPolicy::Never }];
+    Change::BindTable(TableBinding { table: 0, version: 1, routes: 0, weights, admission: levels })
 }
 
 fn held(picks: Picks, weights: &[f32]) -> Held {
     let mut held = Held::new(picks, (3, Duration::from_secs(2)), &[id(7)]);
     held.welcomed(1, 1, 0).unwrap();
-    held.obey(&orders(1, 1, 1, vec![bind(weights), Order::Mark(5)])).unwrap();
+    held.obey(&orders(1, 1, 1, vec![bind(weights), Change::RequestAck(5)])).unwrap();
     held
 }
 
@@ -45,8 +58,8 @@
     #[case] obeyed: Result<Option<u16>, Stale>,
 ) {
     let mut held = held(Picks::Weighted, &[1.0, 1.0]);
-    let line = Order::Line { table: 0, version: 2, server: id(0), weight: 0.0 };
-    assert_eq!(held.obey(&orders(start, stream, seq, vec![line, Order::Mark(9)])), obeyed);
+    let line = Change::SetWeight(WeightChange { table: 0, version: 2, server: id(0), weight: 0.0 });
+    assert_eq!(held.obey(&orders(start, stream, seq, vec![line, Change::RequestAck(9)])), obeyed);
     assert_eq!(held.names(id(0)), obeyed.is_err());
 }
 
@@ -54,7 +67,10 @@
 fn a_bound_table_replaces_what_it_began_with() {
     let held = held(Picks::Weighted, &[1.0]);
     assert!(held.names(id(0)) && !held.names(id(7)) && !held.bare());
-    assert_eq!((held.level(0), held.level(1)), ((0.5, Tries::One), (1.0, Tries::AfterProof)));
+    assert_eq!(
+        (held.level(0), held.level(1)),
+        ((0.5, RetryPolicy::Never), (1.0, RetryPolicy::IfNotExecuted))
+    );
 }
 
 #[rstest]
@@ -172,8 +188,8 @@
     machine.arrive(at(0), 1, at(500), 0);
     machine.done(at(500));
     let report = machine.report(at(1000), &[Figure::CpuShare, Figure::Pending], None);
-    assert_eq!(report.figures, [0.25, 0.0]);
-    assert_eq!(machine.report(at(1050), &[Figure::CpuShare], Some(0.0)).figures, [0.0, 0.0]);
+    assert_eq!(report.values, [0.25, 0.0]);
+    assert_eq!(machine.report(at(1050), &[Figure::CpuShare], Some(0.0)).values, [0.0, 0.0]);
 }
 
 #[rstest]
@@ -184,7 +200,7 @@
 fn a_proxy_obeys_no_epoch_older_than_the_newest_that_it_has_seen(#[case] epoch: u64, #[case] obeyed: bool) {
     let mut held = Held::new(Picks::Weighted, (0, Duration::ZERO), &[]);
     held.welcomed(7, 1, 4).unwrap();
-    let bind = |epoch, start| Orders { epoch, ..orders(start, 1, 1, vec![Order::Mark(3)]) };
+    let bind = |epoch, start| Update { term: epoch, ..orders(start, 1, 1, vec![Change::RequestAck(3)]) };
     assert_eq!(held.obey(&bind(3, 7)), Err(Stale), "orders that say another epoch than their stream's");
     assert_eq!(held.obey(&bind(4, 7)), Ok(Some(3)));
     // Kept over a broken stream.
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -2,7 +2,7 @@
 
 use crate::read::{Bad, field, nickel, parse, read};
 use grebespool::host;
-use grebespool_controller::Bounds;
+use grebespool_controller::{ControllerConfig, Incarnation, Limits};
 use ipnet::IpNet;
 use iprange::IpRange;
 use serde::{Deserialize, Deserializer, de::Error as _};
@@ -536,9 +536,25 @@
         })
     }
 
-    /// `unconfirmed`: how long a proxy may leave orders unconfirmed.
-    pub fn bounds(&self, unconfirmed: Duration) -> Bounds {
+    /// What a controller of this deployment is created with. `ack_timeout`: how long a proxy may leave updates
+    /// unacknowledged. `endpoint_poll_interval`: how long the endpoint list may go without a poll; `None` where changes
+    /// are pushed.
+    pub fn controller_config(
+        &self,
+        incarnation: Incarnation,
+        ack_timeout: Duration,
+        endpoint_poll_interval: Option<Duration>,
+    ) -> ControllerConfig {
         let (servers, proxies, joins) = (self.servers.most, self.proxies.most, self.proxies.joins);
-        Bounds { servers, proxies, joins, unconfirmed }
+        ControllerConfig {
+            incarnation,
+            limits: Limits { servers, proxies, joins, ack_timeout },
+            zones: self.zones.clone(),
+            routes: self.routes(),
+            capabilities: self.plane(),
+            timeouts: self.graces(),
+            channel: self.pace(),
+            observability: self.sight(endpoint_poll_interval),
+        }
     }
 }
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -1,9 +1,11 @@
 //! What is due, and what the planner asks for, put on the agenda.
 
 use grebespool::host::HealthCheckResult;
-use grebespool_controller::{Outlet, StreamId};
+use grebespool_controller::{ControllerEvent, Effects, StreamId};
 use grebespool_invariants::Passed;
-use grebespool_wire::{Answer, Call, Entry, Message, Orders, Reason, ServerId};
+use grebespool_wire::{
+    Call, Close, CloseReason, EndpointEntry, Join, Message, Response, ServerId, Update, Welcome,
+};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -37,7 +39,7 @@
         life: u32,
     },
     AtProxy {
-        answer: Answer,
+        answer: Response,
     },
     /// The try failed, proven not to have run or not.
     Lost {
@@ -59,12 +61,12 @@
     Sums(StreamId),
     Asked(u64),
     Publish {
-        changed: Vec<Entry>,
+        changed: Vec<EndpointEntry>,
     },
     ListAt {
         version: u64,
         base: u64,
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
     },
     Probed {
         server: ServerId,
@@ -164,10 +166,10 @@
 
     fn carry(&mut self, stream: StreamId, message: Message) {
         let Some(&proxy) = self.streams.get(&stream) else { return };
-        if let Message::Orders(orders) = &message {
+        if let Message::Update(orders) = &message {
             self.put(Passed::Ordered { proxy: proxy as u16, orders: orders.clone() });
         }
-        let length = message.frame().len() as f64;
+        let length = message.to_frame().len() as f64;
         let way = &mut self.ways[proxy];
         let begins = (self.now + HOP + way.delay).max(way.free_at);
         let takes = if way.bytes_per_s.is_finite() { length / way.bytes_per_s } else { 0.0 };
@@ -183,25 +185,25 @@
     pub agenda: Rc<RefCell<Agenda>>,
 }
 
-impl Outlet for Out {
+impl Effects for Out {
     fn welcome(&mut self, stream: StreamId) {
         let proof = grebespool_wire::Proof([0; 32]);
-        self.agenda.borrow_mut().carry(stream, Message::Welcome { stream, epoch: 0, proof });
+        self.agenda.borrow_mut().carry(stream, Message::Welcome(Welcome { stream, term: 0, proof }));
     }
-    fn send(&mut self, stream: StreamId, orders: Orders) {
-        self.agenda.borrow_mut().carry(stream, Message::Orders(orders));
+    fn send(&mut self, stream: StreamId, orders: Update) {
+        self.agenda.borrow_mut().carry(stream, Message::Update(orders));
     }
-    fn close(&mut self, stream: StreamId, reason: Reason, text: &str) {
-        self.agenda.borrow_mut().carry(stream, Message::Bye { reason, text: text.into() });
+    fn close(&mut self, stream: StreamId, reason: CloseReason, text: &str) {
+        self.agenda.borrow_mut().carry(stream, Message::Close(Close { reason, text: text.into() }));
     }
-    fn probe(&mut self, server: ServerId) {
+    fn start_health_check(&mut self, server: ServerId) {
         let mut agenda = self.agenda.borrow_mut();
         let refused = (HOP * 2, HealthCheckResult::Failed);
         let (takes, result) = agenda.probes.get(&server).copied().unwrap_or(refused);
         agenda.after(takes, Due::Probed { server, result });
     }
-    fn ask_list(&mut self, have: u64) {
+    fn poll_endpoints(&mut self, have: u64) {
         self.agenda.borrow_mut().after(HOP, Due::Asked(have));
     }
-    fn refused(&mut self, _: &str) {}
+    fn report(&mut self, _: ControllerEvent) {}
 }
--- a/crates/simulation/src/best.rs
+++ b/crates/simulation/src/best.rs
@@ -2,7 +2,7 @@
 
 use crate::agenda::HOP;
 use crate::play::Model;
-use grebespool_wire::{Call, Phase, ServerId};
+use grebespool_wire::{Call, EndpointState, ServerId};
 use std::time::Duration;
 
 impl Model<'_> {
@@ -49,7 +49,7 @@
 
     /// Puts evenly what the list calls ready into every proxy's table.
     pub fn spread_evenly(&mut self) {
-        let ready = self.list.entries.values().filter(|e| e.phase == Phase::Ready);
+        let ready = self.list.entries.values().filter(|e| e.state == EndpointState::Ready);
         let ready: Vec<ServerId> = ready.map(|e| e.server).collect();
         for p in &mut self.proxies {
             p.held.hold_evenly(&ready);
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{Due, HOP, TryId};
 use crate::play::{Model, PlannedBy};
 use grebespool_invariants::Passed;
-use grebespool_wire::{Answer, Call, Outcome, Report, ServerId, Tries};
+use grebespool_wire::{Call, CallOutcome, Response, RetryPolicy, ServerId, ServerMetrics};
 use rand::Rng;
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     due: Duration,
     proxy: usize,
     attempt_from: Duration,
-    tries: Tries,
+    tries: RetryPolicy,
     tried: Vec<ServerId>,
     /// The try that is waited for, since when.
     open: Option<(TryId, Duration)>,
@@ -61,9 +61,10 @@
         let (work_us, zone) = (work.as_micros() as u32, self.proxies[proxy].zone);
         let asked = Passed::Asked { id, route, zone, key, work_us, proxy: proxy as u16 };
         self.agenda.borrow_mut().passed.push((due, asked));
-        let call = Call { id, attempt: 0, tried: 0, route, key, work_us, time_limit_us: 0, proxy: 0 };
+        let call = Call { id, attempt: 0, retry: 0, route, key, work_us, timeout_us: 0, proxy: 0 };
         let (tried, open) = (vec![], None);
-        let active = Active { kind, call, due, proxy, attempt_from: due, tries: Tries::One, tried, open };
+        let active =
+            Active { kind, call, due, proxy, attempt_from: due, tries: RetryPolicy::Never, tried, open };
         self.active.insert(id, active);
         self.attempt(id);
     }
@@ -75,17 +76,17 @@
         let limit = self.day.deployment.routes[usize::from(a.call.route)].time_limit.0;
         let left = limit.saturating_sub(now - a.due);
         if left.is_zero() {
-            return self.done(id, Outcome::Failed);
+            return self.done(id, CallOutcome::Failed);
         }
         let patience = limit.mul_f64(self.day.callers[a.kind].patience);
-        a.call.time_limit_us = left.min(patience).as_micros() as u32;
+        a.call.timeout_us = left.min(patience).as_micros() as u32;
         (a.attempt_from, a.tried) = (now, vec![]);
         let p = &mut self.proxies[a.proxy];
         p.sums.came(a.call.route);
         let (share, tries) = p.held.level(a.call.route);
         a.tries = tries;
         if p.rng.random_range(0.0..1.0) >= share {
-            return self.end_attempt(id, Outcome::Throttled);
+            return self.end_attempt(id, CallOutcome::Rejected);
         }
         self.try_next(id);
     }
@@ -94,7 +95,7 @@
         let now = self.now();
         let Some(a) = self.active.get_mut(&id) else { return };
         let route = &self.day.deployment.routes[usize::from(a.call.route)];
-        let limit = Duration::from_micros(a.call.time_limit_us.into());
+        let limit = Duration::from_micros(a.call.timeout_us.into());
         let left = limit.saturating_sub(now - a.attempt_from);
         let (proxy, call) = (a.proxy, a.call);
         let picked = match self.by {
@@ -110,12 +111,12 @@
         let Some(a) = self.active.get_mut(&id) else { return };
         let p = &self.proxies[proxy];
         let Some(server) = picked.filter(|_| left > limit / 8) else {
-            return self.end_attempt(id, Outcome::Throttled);
+            return self.end_attempt(id, CallOutcome::Rejected);
         };
-        let most = if a.tries == Tries::One { 1 } else { 2 };
+        let most = if a.tries == RetryPolicy::Never { 1 } else { 2 };
         let last = a.tried.len() + 1 >= most;
         let wait = match a.tries {
-            Tries::AfterFailure if !last => {
+            RetryPolicy::AfterFailure if !last => {
                 left.min(route.slo.0.mul_f64(self.day.deployment.proxies.try_factor))
             }
             _ => left,
@@ -161,7 +162,7 @@
 
     fn send(&mut self, id: TryId, server: ServerId) {
         let Some(a) = self.active.get(&id.0) else { return };
-        let call = Call { attempt: id.1, tried: id.2, proxy: a.proxy as u16, ..a.call };
+        let call = Call { attempt: id.1, retry: id.2, proxy: a.proxy as u16, ..a.call };
         let p = &mut self.proxies[a.proxy];
         *p.conns.entry(server).or_default() += 1;
         let zone = p.zone;
@@ -173,15 +174,16 @@
         }
     }
 
-    pub fn at_proxy(&mut self, answer: Answer) {
-        let id = (answer.id, answer.attempt, answer.tried);
+    pub fn at_proxy(&mut self, answer: Response) {
+        let id = (answer.id, answer.attempt, answer.retry);
         let Some((proxy, server, since)) = self.close_try(id) else { return };
-        let (now, good) = (self.now(), matches!(answer.outcome, Outcome::Answered | Outcome::Repeat));
-        self.count(proxy, server, good.then(|| now - since), answer.report);
+        let (now, good) =
+            (self.now(), matches!(answer.outcome, CallOutcome::Answered | CallOutcome::Duplicate));
+        self.count(proxy, server, good.then(|| now - since), answer.metrics);
         match answer.outcome {
-            Outcome::Answered | Outcome::Repeat => self.done(id.0, Outcome::Answered),
-            Outcome::Throttled => self.follow(id, true),
-            Outcome::Failed => self.follow(id, false),
+            CallOutcome::Answered | CallOutcome::Duplicate => self.done(id.0, CallOutcome::Answered),
+            CallOutcome::Rejected => self.follow(id, true),
+            CallOutcome::Failed => self.follow(id, false),
         }
     }
 
@@ -203,7 +205,13 @@
         Some((a.proxy, server, since))
     }
 
-    fn count(&mut self, proxy: usize, server: ServerId, took: Option<Duration>, report: Option<Report>) {
+    fn count(
+        &mut self,
+        proxy: usize,
+        server: ServerId,
+        took: Option<Duration>,
+        report: Option<ServerMetrics>,
+    ) {
         let (now, p) = (self.now(), &mut self.proxies[proxy]);
         p.sums.met(server, took, report);
         p.held.met(now, server, took.is_some());
@@ -212,15 +220,15 @@
     /// Whether the proxy tries again, or the attempt has failed.
     fn follow(&mut self, id: TryId, not_run: bool) {
         let Some(a) = self.active.get(&id.0) else { return };
-        let last = a.tried.len() >= if a.tries == Tries::One { 1 } else { 2 };
-        if !last && (not_run || a.tries == Tries::AfterFailure) {
+        let last = a.tried.len() >= if a.tries == RetryPolicy::Never { 1 } else { 2 };
+        if !last && (not_run || a.tries == RetryPolicy::AfterFailure) {
             self.try_next(id.0);
         } else {
-            self.end_attempt(id.0, if not_run { Outcome::Throttled } else { Outcome::Failed });
+            self.end_attempt(id.0, if not_run { CallOutcome::Rejected } else { CallOutcome::Failed });
         }
     }
 
-    fn end_attempt(&mut self, id: u64, outcome: Outcome) {
+    fn end_attempt(&mut self, id: u64, outcome: CallOutcome) {
         let Some(a) = self.active.get_mut(&id) else { return };
         let kind = &self.day.callers[a.kind];
         a.call.attempt += 1;
@@ -233,7 +241,7 @@
         self.agenda.borrow_mut().after(wait, Due::Attempt(id));
     }
 
-    fn done(&mut self, id: u64, outcome: Outcome) {
+    fn done(&mut self, id: u64, outcome: CallOutcome) {
         if let Some(a) = self.active.remove(&id) {
             self.agenda.borrow_mut().put(Passed::Done { id, route: a.call.route, outcome });
         }
--- a/crates/simulation/src/past.rs
+++ b/crates/simulation/src/past.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{Due, HOP};
 use crate::calls::FirstCall;
 use crate::play::{Model, Unplayable};
-use grebespool_wire::{Entry, Phase};
+use grebespool_wire::{Call, EndpointEntry, EndpointState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     pub server: String,
     pub number: u32,
     pub zone: String,
-    pub phase: Phase,
+    pub phase: EndpointState,
     /// How long before this list it had started; `None`: long before.
     pub age: Option<Duration>,
 }
@@ -67,8 +67,11 @@
             self.agenda.borrow_mut().ways[*p].closed = true;
         });
         let Some(opening) = opening else { return };
-        let named: BTreeSet<usize> =
-            opening.iter().filter(|e| e.phase != Phase::Gone).filter_map(|e| self.place(e)).collect();
+        let named: BTreeSet<usize> = opening
+            .iter()
+            .filter(|e| e.phase != EndpointState::Removed)
+            .filter_map(|e| self.place(e))
+            .collect();
         for s in 0..self.servers.len() {
             if !named.contains(&s) {
                 self.servers[s].machine = None;
@@ -134,11 +137,11 @@
             return;
         }
         self.past_version = version;
-        let mut changed: BTreeMap<Phase, Vec<usize>> = BTreeMap::new();
+        let mut changed: BTreeMap<EndpointState, Vec<usize>> = BTreeMap::new();
         let mut named = BTreeSet::new();
         for entry in entries {
             // What goes and was never listed leaves nothing behind.
-            if entry.phase == Phase::Gone && !self.known.contains_key(&entry.server) {
+            if entry.phase == EndpointState::Removed && !self.known.contains_key(&entry.server) {
                 continue;
             }
             let Some(s) = self.place(entry) else { continue };
@@ -151,11 +154,11 @@
             for s in (0..self.servers.len()).filter(|s| !named.contains(s)).collect::<Vec<_>>() {
                 if self.servers[s].machine.is_some() {
                     self.stop(s);
-                    changed.entry(Phase::Gone).or_default().push(s);
+                    changed.entry(EndpointState::Removed).or_default().push(s);
                 }
             }
         }
-        let changed: Vec<Entry> =
+        let changed: Vec<EndpointEntry> =
             changed.iter().flat_map(|(phase, at)| at.iter().map(|s| self.entry(*s, *phase))).collect();
         if !changed.is_empty() {
             self.publish(changed);
@@ -163,19 +166,21 @@
     }
 
     /// The server becomes what the entry says of it. Gives the phase in which it is to be listed anew.
-    fn take_past(&mut self, s: usize, entry: &PastEntry) -> Option<Phase> {
+    fn take_past(&mut self, s: usize, entry: &PastEntry) -> Option<EndpointState> {
         let up = self.servers[s].machine.is_some();
-        let was = self.list.entries.get(&self.servers[s].id).map(|e| e.phase);
+        let was = self.list.entries.get(&self.servers[s].id).map(|e| e.state);
         match entry.phase {
             // Of a server whose place another has taken since.
-            Phase::Gone if self.servers[s].number_told.is_some_and(|n| n != entry.number) => return None,
-            Phase::Gone => {
+            EndpointState::Removed if self.servers[s].number_told.is_some_and(|n| n != entry.number) => {
+                return None;
+            }
+            EndpointState::Removed => {
                 if up {
                     self.stop(s);
                 }
-                return was.map(|_| Phase::Gone);
+                return was.map(|_| EndpointState::Removed);
             }
-            Phase::Ready | Phase::Draining => {
+            EndpointState::Ready | EndpointState::Draining => {
                 let other = up && self.servers[s].number_told.is_some_and(|n| n != entry.number);
                 self.servers[s].number_told = Some(entry.number);
                 if other {
@@ -186,7 +191,7 @@
                     let warm = self.servers[s].ability.warm_up;
                     self.start(s, self.next_number, entry.age.unwrap_or(warm));
                 }
-                self.servers[s].leaving = entry.phase == Phase::Draining;
+                self.servers[s].leaving = entry.phase == EndpointState::Draining;
             }
         }
         (was != Some(entry.phase)).then_some(entry.phase)
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -6,11 +6,11 @@
 use crate::proxies::Proxy;
 use crate::servers::{Listing, Server, ability, server_id};
 use crate::troubles::InHand;
-use grebespool_controller::{Dealt, Engine, Start, StreamId, Unsupported};
+use grebespool_controller::{Controller, Incarnation, PoolAssignment, StreamId, UnsupportedDeploymentError};
 use grebespool_invariants::{Checker, List, Passed, Verdict};
 use grebespool_server_model::{Held, Service, Sums, Tally, facts};
 use grebespool_settings::{Day, ListMode, What};
-use grebespool_wire::{Entry, Phase, ServerId};
+use grebespool_wire::{EndpointEntry, EndpointList, EndpointState, ServerId};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -51,7 +51,7 @@
 pub enum Unplayable {
     /// A deployment of a kind that nothing is decided for.
     #[error(transparent)]
-    Unsupported(#[from] Unsupported),
+    Unsupported(#[from] UnsupportedDeploymentError),
     #[error("the recorded day: {0}")]
     Past(Box<dyn std::error::Error + Send + Sync>),
 }
@@ -60,9 +60,9 @@
 #[derive(Clone)]
 pub(crate) struct Remembered {
     version: u64,
-    entries: Vec<Entry>,
+    entries: Vec<EndpointEntry>,
     weights: BTreeMap<ServerId, f64>,
-    dealt: Dealt,
+    dealt: PoolAssignment,
 }
 
 pub(crate) struct Model<'a> {
@@ -76,7 +76,7 @@
     /// What the members of a fleet remember of their leader.
     pub memory: Option<Remembered>,
     pub agenda: Rc<RefCell<Agenda>>,
-    pub engine: Option<Engine<Out>>,
+    pub engine: Option<Controller<Out>>,
     starts: u64,
     pub start_id: u64,
     began: Duration,
@@ -87,7 +87,7 @@
     pub servers: Vec<Server>,
     pub by_id: BTreeMap<ServerId, usize>,
     pub list: Listing,
-    pub first_list: Vec<Entry>,
+    pub first_list: Vec<EndpointEntry>,
     pub proxies: Vec<Proxy>,
     pub by_zone: Vec<Vec<usize>>,
     pub rate: f64,
@@ -225,7 +225,7 @@
         self.begin_past();
         let all: Vec<usize> =
             (0..self.servers.len()).filter(|s| self.servers[*s].machine.is_some()).collect();
-        self.first_list = all.iter().map(|s| self.entry(*s, Phase::Ready)).collect();
+        self.first_list = all.iter().map(|s| self.entry(*s, EndpointState::Ready)).collect();
         self.list.entries = self.first_list.iter().map(|e| (e.server, e.clone())).collect();
         all.iter().for_each(|s| self.set_probe(*s));
         self.launch()?;
@@ -258,7 +258,7 @@
         Ok(())
     }
 
-    fn launch(&mut self) -> Result<(), Unsupported> {
+    fn launch(&mut self) -> Result<(), UnsupportedDeploymentError> {
         if self.by != PlannedBy::Planner {
             return Ok(());
         }
@@ -267,22 +267,12 @@
         self.start_id = 1000 * self.day.seed + self.starts;
         self.began = self.now();
         self.wake_at = None;
-        let start = Start { id: self.start_id, seed: self.day.seed + self.starts, epoch: 0 };
+        let incarnation = Incarnation { id: self.start_id, seed: self.day.seed + self.starts, term: 0 };
         let out = Out { agenda: self.agenda.clone() };
         // As `rehearse` has it: orders have to be known in force within the grace.
         let unconfirmed = self.day.rules.grace.0.mul_f64(0.75).max(Duration::from_millis(500));
         let asked = (self.day.list.mode == ListMode::Asked).then_some(self.day.list.ask_within.0);
-        self.engine = Some(Engine::start(
-            out,
-            start,
-            d.bounds(unconfirmed),
-            d.zones.clone(),
-            d.routes(),
-            d.plane(),
-            d.graces(),
-            d.pace(),
-            d.sight(asked),
-        )?);
+        self.engine = Some(Controller::new(out, d.controller_config(incarnation, unconfirmed, asked))?);
         if let (Some(engine), Some(timing)) = (&mut self.engine, d.watch()) {
             engine.watch_sites(&d.routes(), timing);
         }
@@ -295,9 +285,10 @@
 
     fn remember(&mut self) {
         let now = self.planner_now();
-        if let Some(engine) = self.engine.as_ref().filter(|e| e.list_version() > 0) {
-            let (version, _, entries) = engine.believed(now);
-            let (weights, dealt) = (engine.learnt().into_iter().collect(), engine.dealt());
+        if let Some(engine) = self.engine.as_ref().filter(|e| e.endpoints_version() > 0) {
+            let EndpointList { version, entries, .. } = engine.endpoint_list(now);
+            let weights = engine.learned_weights().into_iter().collect();
+            let dealt = engine.pool_assignment();
             self.memory = Some(Remembered { version, entries, weights, dealt });
         }
         self.agenda.borrow_mut().after(Self::REMEMBER, Due::Remember);
@@ -311,9 +302,10 @@
         let told = List { version, base: 0, now_ms, entries: entries.clone() };
         self.agenda.borrow_mut().put(Passed::ListTold(told));
         self.plan(|engine| {
-            engine.list(Duration::ZERO, version, 0, now_ms, &entries);
-            engine.recall_dealt(&dealt);
-            engine.recall(&weights);
+            let list = EndpointList { version, base_version: 0, now_ms, entries };
+            engine.endpoints_received(Duration::ZERO, &list);
+            engine.restore_pools(&dealt);
+            engine.restore_weights(&weights);
         });
     }
 
@@ -340,10 +332,10 @@
     }
 
     /// Calls the engine, and puts on the agenda when it is due next.
-    pub fn plan(&mut self, what: impl FnOnce(&mut Engine<Out>)) {
+    pub fn plan(&mut self, what: impl FnOnce(&mut Controller<Out>)) {
         let Some(engine) = &mut self.engine else { return };
         what(engine);
-        let due = self.began + engine.due();
+        let due = self.began + engine.next_timer();
         if self.wake_at.is_none_or(|at| due < at) {
             self.wake_at = Some(due);
             self.agenda.borrow_mut().at(due, Due::Wake);
@@ -369,7 +361,7 @@
                 let now = self.planner_now();
                 if self.wake_at.is_some_and(|at| at <= self.now()) {
                     self.wake_at = None;
-                    self.plan(|engine| engine.woken(now));
+                    self.plan(|engine| engine.timer_fired(now));
                 }
             }
             Due::Caller(kind) => self.caller(kind),
@@ -387,7 +379,7 @@
             Due::Join(stream) => self.join(stream),
             Due::ToProxy { stream, message } => self.reach_proxy(stream, message),
             Due::ToPlanner { stream, message } => self.reach_planner(stream, message),
-            Due::Ended(stream) => self.plan(|engine| engine.left(stream)),
+            Due::Ended(stream) => self.plan(|engine| engine.stream_closed(stream)),
             Due::Sums(stream) => self.sums(stream),
             Due::Asked(have) => self.asked(have),
             Due::Publish { changed } => self.publish(changed),
@@ -398,7 +390,7 @@
             Due::ListAt { version, base, entries } => self.list_at(version, base, entries),
             Due::Probed { server, result } => {
                 let now = self.planner_now();
-                self.plan(|engine| engine.probed(now, server, result));
+                self.plan(|engine| engine.health_check_finished(now, server, result));
             }
             Due::Remember => self.remember(),
             Due::Begin(i) => self.begin(i),
--- a/crates/simulation/src/proxies.rs
+++ b/crates/simulation/src/proxies.rs
@@ -2,11 +2,11 @@
 
 use crate::agenda::{Due, HOP};
 use crate::play::{Model, PlannedBy};
-use grebespool_controller::{Arrival, StreamId};
+use grebespool_controller::{JoinRequest, StreamId};
 use grebespool_invariants::Passed;
 use grebespool_server_model::{Held, Sums};
 use grebespool_settings::ProxyKind;
-use grebespool_wire::{Message, ServerId};
+use grebespool_wire::{Message, ServerId, UpdateAck};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -54,9 +54,9 @@
         let (name, bare) = (format!("proxy-{proxy}"), p.held.bare());
         let zone = self.day.deployment.zones[usize::from(p.zone)].clone();
         let rate = self.rate as f32;
-        let arrival = Arrival { name: &name, zone: &zone, rate, bare };
+        let request = JoinRequest { name: &name, zone: &zone, calls_per_s: rate, initial_table_only: bare };
         self.plan(|engine| {
-            engine.joined(now, stream, arrival);
+            engine.proxy_joined(now, stream, request);
         });
     }
 
@@ -85,7 +85,7 @@
         }
         let (number, start) = (proxy as u16, self.start_id);
         match message {
-            Message::Welcome { .. } => {
+            Message::Welcome(_) => {
                 let p = &mut self.proxies[proxy];
                 // All planners of a modelled day share nothing, so none is older than another.
                 p.joined = p.held.welcomed(start, stream, 0).is_ok();
@@ -93,13 +93,18 @@
                 agenda.put(Passed::Joined { proxy: number, start });
                 agenda.after(Duration::ZERO, Due::Sums(stream));
             }
-            Message::Orders(orders) => {
+            Message::Update(orders) => {
                 let obeyed = self.proxies[proxy].held.obey(&orders);
                 let mut agenda = self.agenda.borrow_mut();
                 if let Ok(mark) = obeyed {
-                    let (start, seq) = (orders.start, orders.seq);
+                    let (start, seq) = (orders.incarnation, orders.sequence);
                     if !agenda.ways[proxy].unmarked {
-                        let message = Message::Applied { start, stream, seq, mark };
+                        let message = Message::UpdateAck(UpdateAck {
+                            incarnation: start,
+                            stream,
+                            sequence: seq,
+                            token: mark,
+                        });
                         agenda.after(HOP, Due::ToPlanner { stream, message });
                     }
                 }
@@ -120,10 +125,8 @@
         }
         let now = self.planner_now();
         self.plan(|engine| match message {
-            Message::Sums { met, came } => engine.sums(stream, &met, &came),
-            Message::Applied { start, stream: told, seq, mark } => {
-                engine.applied(now, stream, (start, told), seq, mark);
-            }
+            Message::ProxyReport(report) => engine.load_reported(stream, &report),
+            Message::UpdateAck(ack) => engine.update_acknowledged(now, stream, &ack),
             _ => {}
         });
     }
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -6,7 +6,7 @@
 use grebespool_invariants::{List, Passed};
 use grebespool_server_model::{Ability, Machine};
 use grebespool_settings::{Day, ServerKind};
-use grebespool_wire::{Answer, Call, Entry, Outcome, Phase, ServerId};
+use grebespool_wire::{Call, CallOutcome, EndpointEntry, EndpointList, EndpointState, Response, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
 
 /// The list as its service has it.
 pub struct Listing {
-    pub entries: BTreeMap<ServerId, Entry>,
+    pub entries: BTreeMap<ServerId, EndpointEntry>,
     pub version: u64,
     pub late: Duration,
     pub fails: bool,
@@ -89,10 +89,10 @@
         1_000_000_000 + self.now().as_millis() as u64
     }
 
-    pub fn entry(&self, server: usize, phase: Phase) -> Entry {
+    pub fn entry(&self, server: usize, phase: EndpointState) -> EndpointEntry {
         let s = &self.servers[server];
         let zone = self.day.deployment.zones[usize::from(s.zone)].clone();
-        Entry { server: s.id, zone, phase, started_ms: s.started_ms }
+        EndpointEntry { server: s.id, zone, state: phase, started_ms: s.started_ms }
     }
 
     /// One more, of the first kind of its zone, or of any if the zone has none; not up yet.
@@ -110,17 +110,17 @@
         self.servers.len() - 1
     }
 
-    pub fn list_change(&mut self, servers: &[usize], phase: Phase) {
+    pub fn list_change(&mut self, servers: &[usize], phase: EndpointState) {
         let changed = servers.iter().map(|s| self.entry(*s, phase)).collect();
         let due = (self.now() + self.list.late).max(self.list.last);
         self.list.last = due;
         self.agenda.borrow_mut().at(due, Due::Publish { changed });
     }
 
-    pub fn publish(&mut self, changed: Vec<Entry>) {
+    pub fn publish(&mut self, changed: Vec<EndpointEntry>) {
         for e in &changed {
-            match e.phase {
-                Phase::Gone => drop(self.list.entries.remove(&e.server)),
+            match e.state {
+                EndpointState::Removed => drop(self.list.entries.remove(&e.server)),
                 _ => drop(self.list.entries.insert(e.server, e.clone())),
             }
         }
@@ -140,7 +140,7 @@
         let version = self.list.version;
         if self.list.fails {
             let now = self.planner_now();
-            self.plan(|engine| engine.list_failed(now));
+            self.plan(|engine| engine.endpoint_poll_failed(now));
         } else if have == version {
             let due = Due::ListAt { version, base: version, entries: vec![] };
             self.agenda.borrow_mut().after(HOP, due);
@@ -150,7 +150,7 @@
         }
     }
 
-    pub fn list_at(&mut self, version: u64, base: u64, entries: Vec<Entry>) {
+    pub fn list_at(&mut self, version: u64, base: u64, entries: Vec<EndpointEntry>) {
         let (now_ms, now) = (self.now_ms(), self.planner_now());
         if self.by == PlannedBy::Evenly && version == self.list.version {
             self.spread_evenly();
@@ -160,7 +160,8 @@
         }
         let told = List { version, base, now_ms, entries: entries.clone() };
         self.agenda.borrow_mut().put(Passed::ListTold(told));
-        self.plan(|engine| engine.list(now, version, base, now_ms, &entries));
+        let list = EndpointList { version, base_version: base, now_ms, entries };
+        self.plan(|engine| engine.endpoints_received(now, &list));
     }
 
     /// What a probe of the server would meet from here on.
@@ -230,11 +231,11 @@
             return;
         }
         if s.draining {
-            return self.answer(server, call, Outcome::Throttled);
+            return self.answer(server, call, CallOutcome::Rejected);
         }
         if s.erring {
             machine.erred();
-            return self.answer(server, call, Outcome::Failed);
+            return self.answer(server, call, CallOutcome::Failed);
         }
         let (had_fallen, ticket) = (machine.fallen, s.next);
         s.next += 1;
@@ -249,7 +250,7 @@
             s.waiting.insert(ticket, (id, call));
             self.work_on(server);
         } else {
-            self.answer(server, call, Outcome::Throttled);
+            self.answer(server, call, CallOutcome::Rejected);
         }
     }
 
@@ -286,13 +287,13 @@
         s.work_at = s.work_at.filter(|at| *at > now);
         for ticket in tickets {
             if let Some((_, call)) = self.servers[server].waiting.remove(&ticket) {
-                self.answer(server, call, Outcome::Answered);
+                self.answer(server, call, CallOutcome::Answered);
             }
         }
         self.work_on(server);
     }
 
-    fn answer(&mut self, server: usize, call: Call, outcome: Outcome) {
+    fn answer(&mut self, server: usize, call: Call, outcome: CallOutcome) {
         let now = self.now();
         let s = &mut self.servers[server];
         let Some(machine) = &mut s.machine else { return };
@@ -300,8 +301,8 @@
         let (id, zone) = (s.id, s.zone);
         self.agenda.borrow_mut().put(Passed::Answered { server: id, call, outcome });
         if !self.apart(zone, self.proxies[usize::from(call.proxy)].zone) {
-            let (id, attempt, tried) = (call.id, call.attempt, call.tried);
-            let answer = Answer { id, attempt, tried, outcome, report };
+            let (id, attempt, tried) = (call.id, call.attempt, call.retry);
+            let answer = Response { id, attempt, retry: tried, outcome, metrics: report };
             self.agenda.borrow_mut().after(HOP, Due::AtProxy { answer });
         }
     }
--- a/crates/simulation/src/troubles.rs
+++ b/crates/simulation/src/troubles.rs
@@ -4,7 +4,7 @@
 use crate::play::{Model, PlannedBy};
 use grebespool_invariants::Passed;
 use grebespool_settings::What;
-use grebespool_wire::Phase;
+use grebespool_wire::EndpointState;
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
@@ -117,7 +117,7 @@
                 hand.servers = (0..self.servers.len()).filter(lost).collect();
                 self.taken.extend(hand.servers.iter());
                 hand.servers.iter().for_each(|s| self.stop(*s));
-                self.list_change(&hand.servers, Phase::Gone);
+                self.list_change(&hand.servers, EndpointState::Removed);
             }
             What::Burst { factor } => self.burst = *factor,
             What::Unmarked { proxies } => {
@@ -210,7 +210,7 @@
                 for s in &hand.servers {
                     self.start(*s, self.servers[*s].id.number, Duration::ZERO);
                 }
-                self.list_change(&hand.servers, Phase::Ready);
+                self.list_change(&hand.servers, EndpointState::Ready);
                 self.taken.retain(|s| !hand.servers.contains(s));
             }
             What::Burst { .. } => self.burst = 1.0,
@@ -232,14 +232,14 @@
         match step {
             0 => {
                 self.servers[server].leaving = true;
-                self.list_change(&[server], Phase::Draining);
+                self.list_change(&[server], EndpointState::Draining);
                 self.agenda.borrow_mut().after(drain, next(1));
             }
             1 => {
                 self.servers[server].draining = true;
                 self.stop(server);
                 if !other {
-                    self.list_change(&[server], Phase::Gone);
+                    self.list_change(&[server], EndpointState::Removed);
                 }
                 self.agenda.borrow_mut().after(down, next(2));
             }
@@ -251,7 +251,7 @@
                     self.servers[server].id.number
                 };
                 self.start(server, number, Duration::ZERO);
-                self.list_change(&[server], Phase::Ready);
+                self.list_change(&[server], EndpointState::Ready);
                 self.taken.remove(&server);
             }
         }
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -6,7 +6,7 @@
 use grebespool_invariants::{Passed, Record, Rule};
 use grebespool_settings::{Day, What};
 use grebespool_simulation::{FirstCall, Modelled, Past, PastEntry, PlannedBy, Recording, model};
-use grebespool_wire::{Outcome, Phase};
+use grebespool_wire::{CallOutcome, EndpointState};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -109,7 +109,7 @@
         server: format!("{zone}-{i}"),
         number: 1,
         zone: zone.into(),
-        phase: Phase::Ready,
+        phase: EndpointState::Ready,
         age: None,
     };
     assert!(by_zone.iter().all(|(z, _)| day.deployment.zones.iter().any(|d| d == z)));
@@ -132,7 +132,7 @@
     let at = Duration::from_secs;
     past.extend(lost.iter().map(|p| (at(6), Past::Left { proxy: *p })));
     let entry = |phase| PastEntry { phase, ..ready(&day, &[("east", 1)]).remove(0) };
-    past.push((at(8), Past::List { version: 2, base: 1, entries: vec![entry(Phase::Draining)] }));
+    past.push((at(8), Past::List { version: 2, base: 1, entries: vec![entry(EndpointState::Draining)] }));
     past.extend(lost.iter().map(|p| (at(15), Past::Joined { proxy: *p })));
     past.sort_by_key(|p| p.0);
     let mut past = past.into_iter();
@@ -141,7 +141,9 @@
     let played = play_by(&day, PlannedBy::Planner, Some(Recording { opening, apart: BTreeSet::new(), next }));
     assert!(played.modelled.kept(), "{:?}", played.modelled.verdicts);
     let draining = (played.record.passed.iter()).find_map(|(_, p)| match p {
-        Passed::ListTold(list) => list.entries.iter().find(|e| e.phase == Phase::Draining).map(|e| e.server),
+        Passed::ListTold(list) => {
+            list.entries.iter().find(|e| e.state == EndpointState::Draining).map(|e| e.server)
+        }
         _ => None,
     });
     let sent = |proxies: &dyn Fn(usize) -> bool, from: u64, to: u64| {
@@ -185,7 +187,7 @@
     let at = Duration::from_secs;
     let mut past = calls(1500, at(2), Duration::from_millis(10), 12);
     let opening = ready(&day, &[("east", 4), ("west", 5)]);
-    let gone = PastEntry { phase: Phase::Gone, ..opening[0].clone() };
+    let gone = PastEntry { phase: EndpointState::Removed, ..opening[0].clone() };
     let never = PastEntry { server: "nobody".into(), ..gone.clone() };
     past.extend([
         (at(0), Past::PlannerBegan { planner: 1 }),
@@ -254,7 +256,7 @@
     for (at, p) in &played.record.passed {
         match p {
             Passed::Asked { id, .. } => asked.push((*id, *at)),
-            Passed::Done { id, outcome: Outcome::Answered, .. } => {
+            Passed::Done { id, outcome: CallOutcome::Answered, .. } => {
                 let due = asked.iter().find(|a| a.0 == *id).unwrap().1;
                 lateness.insert(due, *at - due);
             }
--- a/crates/wire/benches/frames.rs
+++ b/crates/wire/benches/frames.rs
@@ -18,35 +18,39 @@
 /// What a planner sends and hears most: small changes, and sums of a hundred servers.
 fn orders() -> Message {
     let server = |n: u16| ServerId { addr: ([127, 0, 0, 1], n).into(), number: n.into() };
-    let line = |n: u16| Order::Line { table: 3, version: 9, server: server(n), weight: 1.25 };
-    let mut parts: Vec<Order> = (0..12).map(line).collect();
-    parts.push(Order::Mark(7));
-    Message::Orders(Orders {
-        epoch: 3,
-        start: 1,
+    let line =
+        |n: u16| Change::SetWeight(WeightChange { table: 3, version: 9, server: server(n), weight: 1.25 });
+    let mut parts: Vec<Change> = (0..12).map(line).collect();
+    parts.push(Change::RequestAck(7));
+    Message::Update(Update {
+        term: 3,
+        incarnation: 1,
         stream: 2,
-        seq: 3,
-        ordered_us: 4,
-        list: 5,
-        cause: Cause::Interval,
-        parts,
+        sequence: 3,
+        created_us: 4,
+        endpoints_version: 5,
+        cause: UpdateCause::Interval,
+        changes: parts,
     })
 }
 
 fn sums() -> Message {
-    let met = |n: u16| MetLine {
+    let met = |n: u16| ServerLoad {
         server: ServerId { addr: ([127, 0, 0, 1], n).into(), number: n.into() },
-        tries: 9,
+        attempts: 9,
         dropped: 1,
-        wait_us: 4000,
-        report: Some(Report { start: 1, number: 2, figures: vec![0.5, 3.0] }),
+        mean_latency_us: 4000,
+        metrics: Some(ServerMetrics { incarnation: 1, sequence: 2, values: vec![0.5, 3.0] }),
     };
-    Message::Sums { met: (0..100).map(met).collect(), came: vec![CameLine { route: 0, calls: 900 }] }
+    Message::ProxyReport(ProxyReport {
+        servers: (0..100).map(met).collect(),
+        routes: vec![RouteLoad { route: 0, calls: 900 }],
+    })
 }
 
 fn bytes(message: &Message) -> Vec<u8> {
     let mut out = vec![];
-    (0..FRAMES).for_each(|_| message.write(&mut out));
+    (0..FRAMES).for_each(|_| message.write_frame(&mut out));
     out
 }
 
@@ -54,10 +58,10 @@
 fn parse(bencher: Bencher, which: &str) {
     let all = bytes(&if which == "orders" { orders() } else { sums() });
     bencher.counter(ItemsCount::new(FRAMES)).counter(BytesCount::new(all.len())).bench(|| {
-        let mut inbox = Inbox::new(MOST_BODY);
+        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
         for part in all.chunks(16 << 10) {
-            inbox.take(part);
-            while let Ok(Some(message)) = inbox.message() {
+            inbox.push(part);
+            while let Ok(Some(message)) = inbox.next_message() {
                 black_box(message);
             }
         }
