--- a/crates/wire/examples/fuzz.rs
+++ b/crates/wire/examples/fuzz.rs
@@ -22,37 +22,62 @@
 
 fn samples() -> Vec<Vec<u8>> {
     let server = ServerId { addr: ([127, 0, 0, 1], 80).into(), number: 4 };
-    let report = Some(Report { start: 1, number: 2, figures: vec![0.5, 2.0] });
-    let levels = vec![Level { routes: 3, share: 0.5, tries: Tries::AfterFailure }];
+    let report = Some(ServerMetrics { incarnation: 1, sequence: 2, values: vec![0.5, 2.0] });
+    let levels =
+        vec![AdmissionRule { routes: 3, admitted_fraction: 0.5, retry_policy: RetryPolicy::AfterFailure }];
     let parts = vec![
-        Order::Bind { table: 1, version: 2, routes: 0, lines: vec![(server, 1.5); 3], levels },
-        Order::Line { table: 1, version: 3, server, weight: 0.0 },
-        Order::Withdraw { server, out: true },
-        Order::Mark(9),
+        Change::BindTable(TableBinding {
+            table: 1,
+            version: 2,
+            routes: 0,
+            weights: vec![ServerWeight { server, weight: 1.5 }; 3],
+            admission: levels,
+        }),
+        Change::SetWeight(WeightChange { table: 1, version: 3, server, weight: 0.0 }),
+        Change::Exclude(Exclusion { server, excluded: true }),
+        Change::RequestAck(9),
     ];
-    let entry = Entry { server, zone: "east".into(), phase: Phase::Ready, started_ms: 8 };
+    let entry = EndpointEntry { server, zone: "east".into(), state: EndpointState::Ready, started_ms: 8 };
     [
-        Message::Hello { version: 1, role: Role::Proxy, name: "p".into(), nonce: [1; 16] },
-        Message::Orders(Orders {
-            epoch: 3,
-            start: 1,
+        Message::Hello(Hello { version: 1, role: Role::Proxy, name: "p".into(), nonce: [1; 16] }),
+        Message::Update(Update {
+            term: 3,
+            incarnation: 1,
             stream: 2,
-            seq: 3,
-            ordered_us: 4,
-            list: 5,
-            cause: Cause::List,
-            parts,
+            sequence: 3,
+            created_us: 4,
+            endpoints_version: 5,
+            cause: UpdateCause::EndpointsChanged,
+            changes: parts,
+        }),
+        Message::ProxyReport(ProxyReport {
+            servers: vec![
+                ServerLoad {
+                    server,
+                    attempts: 2,
+                    dropped: 1,
+                    mean_latency_us: 3,
+                    metrics: report.clone()
+                };
+                2
+            ],
+            routes: vec![RouteLoad { route: 0, calls: 5 }],
+        }),
+        Message::EndpointList(EndpointList {
+            version: 2,
+            base_version: 1,
+            now_ms: 3,
+            entries: vec![entry; 2],
+        }),
+        Message::HealthCheckResponse(HealthCheckResponse {
+            server_number: 1,
+            status: HealthStatus::Busy,
+            metrics: report,
         }),
-        Message::Sums {
-            met: vec![MetLine { server, tries: 2, dropped: 1, wait_us: 3, report: report.clone() }; 2],
-            came: vec![CameLine { route: 0, calls: 5 }],
-        },
-        Message::List { version: 2, base: 1, now_ms: 3, entries: vec![entry; 2] },
-        Message::Probed { number: 1, state: ProbeState::Busy, report },
-        Message::Bye { reason: Reason::Slow, text: "slow".into() },
+        Message::Close(Close { reason: CloseReason::TooSlow, text: "slow".into() }),
     ]
     .iter()
-    .map(Message::frame)
+    .map(Message::to_frame)
     .collect()
 }
 
@@ -77,22 +102,22 @@
                 }
             }
             tried += 1;
-            let mut inbox = Inbox::new(1 << 12);
+            let mut inbox = FrameDecoder::new(1 << 12);
             let cut = chance.below(frame.len());
-            inbox.take(&frame[..cut]);
+            inbox.push(&frame[..cut]);
             let mut messages = vec![];
-            while let Ok(Some(m)) = inbox.message() {
+            while let Ok(Some(m)) = inbox.next_message() {
                 messages.push(m);
             }
-            inbox.take(&frame[cut..]);
-            while let Ok(Some(m)) = inbox.message() {
+            inbox.push(&frame[cut..]);
+            while let Ok(Some(m)) = inbox.next_message() {
                 messages.push(m);
             }
             for m in messages {
                 read += 1;
-                let again = m.frame();
+                let again = m.to_frame();
                 assert_eq!(
-                    Message::read(&again[4..]).map(|m| m.frame()),
+                    Message::decode(&again[4..]).map(|m| m.to_frame()),
                     Ok(again),
                     "written otherwise: {m:?}"
                 );
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,23 +1,47 @@
-//! The planner's own protocol (`docs/protocol.md`): frames and messages, free of I/O.
+//! The controller's protocol (`docs/protocol.md`): frames and messages, free of I/O.
 //!
-//! [`Inbox`] turns bytes, split anywhere, into messages; [`Message::write`] appends one as a frame. Every
-//! count and length is checked against what the frame still holds before anything is allocated for it.
+//! [`FrameDecoder`] turns bytes, split anywhere, into messages; [`Message::write_frame`] appends one as a frame. It is
+//! assumed that the transport keeps bytes in order. Every count and length is checked against what the frame still
+//! holds before memory is allocated for it, so a peer that has not authenticated itself cannot make this crate
+//! allocate more than one frame. What a message means is up to its reader: nothing is judged here beyond its form.
 
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-
-mod bytes;
-mod inbox;
+mod call;
+mod close;
+mod codec;
+mod decode_error;
+mod endpoint;
+mod frame;
+mod handshake;
+mod health_check;
 mod message;
 mod proof;
+mod proxy_report;
+mod reader;
+mod server;
+mod update;
+mod writer;
+
+pub use call::{Call, CallOutcome, Response};
+pub use close::{Close, CloseReason};
+pub use decode_error::DecodeError;
+pub use endpoint::{EndpointEntry, EndpointList, EndpointPoll, EndpointPollFailed, EndpointState};
+pub use frame::FrameDecoder;
+pub use handshake::{Challenge, Hello, Join, Role, Welcome};
+pub use health_check::{HealthCheck, HealthCheckResponse, HealthStatus};
+pub use message::Message;
+pub use proof::{FleetKey, Nonce, Proof, Transcript};
+pub use proxy_report::{ProxyReport, RouteLoad, ServerLoad};
+pub use server::{ServerId, ServerMetrics};
+pub use update::{
+    AdmissionRule, Change, Exclusion, RetryPolicy, ServerWeight, TableBinding, Update, UpdateAck,
+    UpdateCause, WeightChange,
+};
 
-pub use bytes::Malformed;
-pub use inbox::Inbox;
-pub use message::*;
-pub use proof::{Key, Proof};
+/// The protocol version of this crate. A peer of another version is told so and disconnected.
+pub const PROTOCOL_VERSION: u16 = 2;
 
-/// The version that this crate speaks. A peer of another version is told so and closed.
-pub const VERSION: u16 = 2;
+/// Most bytes of a frame's body on a stream that has joined.
+pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The most bytes that a frame's body may have, and what is taken from a peer that has not joined yet.
-pub const MOST_BODY: usize = 4 << 20;
-pub const MOST_BODY_UNJOINED: usize = 4 << 10;
+/// Most bytes of a frame's body before the peer has joined, that is before it has shown the fleet's key.
+pub const MAX_BODY_BYTES_BEFORE_JOIN: usize = 4 << 10;
--- a/crates/wire/src/proof.rs
+++ b/crates/wire/src/proof.rs
@@ -1,18 +1,45 @@
-//! Proof that a peer holds the shared key, bound to both sides' nonces so that none can be played again.
+//! Proof that a peer holds the fleet's key, bound to the nonces of both sides so that none can be replayed.
 
 use std::fmt;
 
-/// The key that all of one fleet share.
+/// Domain of the key derivation. Stored: do not rename.
+const KEY_CONTEXT: &str = "grebespool 2026 fleet key";
+
+/// Domain of the dialing side's proofs. On the wire: do not rename.
+const DIALER_DOMAIN: &str = "peer";
+
+/// Domain of the listening side's proofs. On the wire: do not rename.
+const LISTENER_DOMAIN: &str = "planner";
+
+/// Random bytes that a peer uses for one handshake only.
+pub type Nonce = [u8; 16];
+
+/// The key that all processes of one fleet share.
 #[derive(Clone)]
-pub struct Key([u8; 32]);
+pub struct FleetKey([u8; 32]);
 
-/// What a peer shows for the key.
+/// What a peer shows for the key in one handshake.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Proof(pub [u8; 32]);
 
-impl fmt::Debug for Key {
+/// What one handshake was about; both proofs of it are bound to all of this.
+#[derive(Debug, Clone, Copy)]
+pub struct Transcript<'a> {
+    /// The nonce of the dialing side.
+    pub dialer_nonce: &'a Nonce,
+    /// The nonce of the listening side.
+    pub listener_nonce: &'a Nonce,
+    /// The incarnation of the listening side.
+    pub incarnation: u64,
+    /// The name of the dialing side.
+    pub name: &'a str,
+    /// The zone of the dialing side, by name; empty where it has none.
+    pub zone: &'a str,
+}
+
+impl fmt::Debug for FleetKey {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Key(..)")
+        f.write_str("FleetKey(..)")
     }
 }
 
@@ -22,38 +49,43 @@
     }
 }
 
-impl Key {
-    /// A key from the bytes of its file.
-    pub fn derive(bytes: &[u8]) -> Key {
-        Key(blake3::derive_key("grebespool 2026 fleet key", bytes))
+impl FleetKey {
+    /// Derives the key from the bytes of its file.
+    pub fn derive(bytes: &[u8]) -> FleetKey {
+        FleetKey(blake3::derive_key(KEY_CONTEXT, bytes))
     }
 
-    fn over(&self, side: &str, nonces: [&[u8; 16]; 2], start: u64, who: [&str; 2]) -> blake3::Hash {
-        let mut hasher = blake3::Hasher::new_keyed(&self.0);
-        for part in [side.as_bytes(), nonces[0], nonces[1], &start.to_be_bytes()] {
-            hasher.update(&(part.len() as u64).to_be_bytes()).update(part);
-        }
-        for part in who {
-            hasher.update(&(part.len() as u64).to_be_bytes()).update(part.as_bytes());
-        }
-        hasher.finalize()
+    /// What the dialing side shows in its join.
+    pub fn dialer_proof(&self, transcript: &Transcript) -> Proof {
+        self.proof(DIALER_DOMAIN, transcript)
     }
 
-    /// What a peer of that name and zone shows to the planner of that start. `nonces`: the peer's, then the
-    /// planner's.
-    pub fn peer(&self, nonces: [&[u8; 16]; 2], start: u64, name: &str, zone: &str) -> Proof {
-        Proof(*self.over("peer", nonces, start, [name, zone]).as_bytes())
+    /// What the listening side shows in its welcome.
+    pub fn listener_proof(&self, transcript: &Transcript) -> Proof {
+        self.proof(LISTENER_DOMAIN, transcript)
     }
 
-    /// What the planner shows to that peer in return.
-    pub fn planner(&self, nonces: [&[u8; 16]; 2], start: u64, name: &str, zone: &str) -> Proof {
-        Proof(*self.over("planner", nonces, start, [name, zone]).as_bytes())
+    fn proof(&self, domain: &str, transcript: &Transcript) -> Proof {
+        // On the wire: the order and the lengths before the parts stay as they are.
+        let parts: [&[u8]; 6] = [
+            domain.as_bytes(),
+            transcript.dialer_nonce,
+            transcript.listener_nonce,
+            &transcript.incarnation.to_be_bytes(),
+            transcript.name.as_bytes(),
+            transcript.zone.as_bytes(),
+        ];
+        let mut hasher = blake3::Hasher::new_keyed(&self.0);
+        for part in parts {
+            hasher.update(&(part.len() as u64).to_be_bytes()).update(part);
+        }
+        Proof(*hasher.finalize().as_bytes())
     }
 }
 
 impl Proof {
     /// Whether both are the same, in a time that does not depend on where they differ.
-    pub fn holds(&self, expected: &Proof) -> bool {
+    pub fn matches(&self, expected: &Proof) -> bool {
         blake3::Hash::from_bytes(self.0) == blake3::Hash::from_bytes(expected.0)
     }
 }
--- /dev/null
+++ b/crates/wire/src/writer.rs
@@ -0,0 +1,81 @@
+//! Writes the plain fields of a message body, big-endian.
+
+use crate::reader::{ADDRESS_V4, ADDRESS_V6};
+use std::net::{IpAddr, SocketAddr};
+
+/// Most bytes of a text; its length is one byte.
+const MAX_TEXT_BYTES: usize = 255;
+
+/// Appends fields to a frame that is being written; its methods mirror those of [`Reader`].
+pub(crate) struct Writer<'a> {
+    out: &'a mut Vec<u8>,
+}
+
+impl<'a> Writer<'a> {
+    pub(crate) fn new(out: &'a mut Vec<u8>) -> Self {
+        Writer { out }
+    }
+
+    pub(crate) fn array<const N: usize>(&mut self, bytes: &[u8; N]) {
+        self.out.extend_from_slice(bytes);
+    }
+
+    pub(crate) fn u8(&mut self, value: &u8) {
+        self.array(&value.to_be_bytes());
+    }
+
+    pub(crate) fn u16(&mut self, value: &u16) {
+        self.array(&value.to_be_bytes());
+    }
+
+    pub(crate) fn u32(&mut self, value: &u32) {
+        self.array(&value.to_be_bytes());
+    }
+
+    pub(crate) fn u64(&mut self, value: &u64) {
+        self.array(&value.to_be_bytes());
+    }
+
+    pub(crate) fn non_negative(&mut self, value: &f32) {
+        self.array(&value.to_be_bytes());
+    }
+
+    pub(crate) fn flag(&mut self, value: &bool) {
+        self.u8(&u8::from(*value));
+    }
+
+    /// A longer text than [`MAX_TEXT_BYTES`] is cut at a character.
+    pub(crate) fn text(&mut self, text: &str) {
+        let cut = &text[..text.floor_char_boundary(MAX_TEXT_BYTES)];
+        self.u8(&(cut.len() as u8));
+        self.out.extend_from_slice(cut.as_bytes());
+    }
+
+    pub(crate) fn address(&mut self, address: &SocketAddr) {
+        match address.ip() {
+            IpAddr::V4(ip) => {
+                self.u8(&ADDRESS_V4);
+                self.array(&ip.octets());
+            }
+            IpAddr::V6(ip) => {
+                self.u8(&ADDRESS_V6);
+                self.array(&ip.octets());
+            }
+        }
+        self.u16(&address.port());
+    }
+
+    pub(crate) fn optional_u16(&mut self, value: &Option<u16>) {
+        self.flag(&value.is_some());
+        if let Some(value) = value {
+            self.u16(value);
+        }
+    }
+
+    pub(crate) fn f32_list(&mut self, values: &[f32]) {
+        self.u32(&(values.len() as u32));
+        for value in values {
+            self.array(&value.to_be_bytes());
+        }
+    }
+}
--- a/crates/wire/tests/fixtures.rs
+++ b/crates/wire/tests/fixtures.rs
@@ -15,23 +15,25 @@
 // Every value of the enums in the order of its byte on the wire: the place in these tables, and nothing that the
 // crate says, is the byte that the fixtures are named by.
 const ROLES: [Role; 2] = [Role::Proxy, Role::Watcher];
-const PHASES: [Phase; 3] = [Phase::Gone, Phase::Ready, Phase::Draining];
-const TRIES: [Tries; 3] = [Tries::One, Tries::AfterProof, Tries::AfterFailure];
-const CAUSES: [Cause; 3] = [Cause::Join, Cause::List, Cause::Interval];
-const OUTCOMES: [Outcome; 4] = [Outcome::Answered, Outcome::Throttled, Outcome::Failed, Outcome::Repeat];
-const STATES: [ProbeState; 3] = [ProbeState::Ready, ProbeState::Draining, ProbeState::Busy];
-const REASONS: [Reason; 11] = [
-    Reason::Stopping,
-    Reason::Malformed,
-    Reason::Version,
-    Reason::Refused,
-    Reason::Superseded,
-    Reason::Slow,
-    Reason::Silent,
-    Reason::Busy,
-    Reason::State,
-    Reason::Elsewhere,
-    Reason::PassedOver,
+const PHASES: [EndpointState; 3] = [EndpointState::Removed, EndpointState::Ready, EndpointState::Draining];
+const TRIES: [RetryPolicy; 3] = [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::AfterFailure];
+const CAUSES: [UpdateCause; 3] =
+    [UpdateCause::ProxyJoined, UpdateCause::EndpointsChanged, UpdateCause::Interval];
+const OUTCOMES: [CallOutcome; 4] =
+    [CallOutcome::Answered, CallOutcome::Rejected, CallOutcome::Failed, CallOutcome::Duplicate];
+const STATES: [HealthStatus; 3] = [HealthStatus::Ready, HealthStatus::Draining, HealthStatus::Busy];
+const REASONS: [CloseReason; 11] = [
+    CloseReason::ShuttingDown,
+    CloseReason::Malformed,
+    CloseReason::VersionMismatch,
+    CloseReason::Rejected,
+    CloseReason::Superseded,
+    CloseReason::TooSlow,
+    CloseReason::TimedOut,
+    CloseReason::Overloaded,
+    CloseReason::UnexpectedMessage,
+    CloseReason::NotLeader,
+    CloseReason::StaleTerm,
 ];
 
 fn hex(bytes: &[u8]) -> String {
@@ -64,46 +66,52 @@
     ServerId { addr: "[2001:db8::17]:443".parse().unwrap(), number: 9 }
 }
 
-fn report() -> Report {
-    Report { start: 0x1112_1314_1516_1718, number: 0x2122_2324, figures: vec![0.5, 3.25, 1e6] }
+fn report() -> ServerMetrics {
+    ServerMetrics { incarnation: 0x1112_1314_1516_1718, sequence: 0x2122_2324, values: vec![0.5, 3.25, 1e6] }
 }
 
-fn level(tries: Tries) -> Level {
-    Level { routes: 0x8001, share: 0.75, tries }
+fn level(tries: RetryPolicy) -> AdmissionRule {
+    AdmissionRule { routes: 0x8001, admitted_fraction: 0.75, retry_policy: tries }
 }
 
-fn orders(cause: Cause, parts: Vec<Order>) -> Message {
-    Message::Orders(Orders {
-        epoch: 0x0a0b,
-        start: 0x1112_1314_1516_1718,
+fn orders(cause: UpdateCause, parts: Vec<Change>) -> Message {
+    Message::Update(Update {
+        term: 0x0a0b,
+        incarnation: 0x1112_1314_1516_1718,
         stream: 0x3132_3334,
-        seq: 0x4142,
-        ordered_us: 0x5152_5354,
-        list: 0x6162,
+        sequence: 0x4142,
+        created_us: 0x5152_5354,
+        endpoints_version: 0x6162,
         cause,
-        parts,
+        changes: parts,
     })
 }
 
-fn order_parts() -> Vec<(String, Order)> {
+fn order_parts() -> Vec<(String, Change)> {
     let (table, version) = (0x0708, 0x090a_0b0c);
-    let lines = vec![(server_v4(), 1.5), (server_v6(), 0.25)];
+    let weight = |server, weight| ServerWeight { server, weight };
+    let weights = vec![weight(server_v4(), 1.5), weight(server_v6(), 0.25)];
     let levels = TRIES.map(level).to_vec();
     let mut parts = vec![
-        ("bind".into(), Order::Bind { table, version, routes: 0x0003, lines, levels }),
-        ("line".into(), Order::Line { table, version, server: server_v6(), weight: 2.5 }),
-        ("withdraw-out".into(), Order::Withdraw { server: server_v4(), out: true }),
-        ("withdraw-in".into(), Order::Withdraw { server: server_v4(), out: false }),
-        ("mark".into(), Order::Mark(0xbeef)),
+        (
+            "bind".into(),
+            Change::BindTable(TableBinding { table, version, routes: 0x0003, weights, admission: levels }),
+        ),
+        ("line".into(), Change::SetWeight(WeightChange { table, version, server: server_v6(), weight: 2.5 })),
+        ("withdraw-out".into(), Change::Exclude(Exclusion { server: server_v4(), excluded: true })),
+        ("withdraw-in".into(), Change::Exclude(Exclusion { server: server_v4(), excluded: false })),
+        ("mark".into(), Change::RequestAck(0xbeef)),
     ];
     for (byte, tries) in TRIES.into_iter().enumerate() {
-        parts.push((format!("level-{byte}"), Order::Level(level(tries))));
+        parts.push((format!("level-{byte}"), Change::SetAdmission(level(tries))));
     }
     parts
 }
 
-fn entry(phase: Phase) -> Entry {
-    Entry { server: server_v6(), zone: "östlich".into(), phase, started_ms: 1_700_000_000_123 }
+fn entry(phase: EndpointState) -> EndpointEntry {
+    EndpointEntry {
+        server: server_v6(), zone: "östlich".into(), state: phase, started_ms: 1_700_000_000_123
+    }
 }
 
 /// Each fixture's name and the message that its bytes stand for.
@@ -113,83 +121,112 @@
         assert!(messages.insert(name.clone(), message).is_none(), "{name} is there twice");
     };
     for (byte, role) in ROLES.into_iter().enumerate() {
-        let hello = Message::Hello { version: 0x0102, role, name: "proxy-é".into(), nonce: nonce(0x10) };
+        let hello =
+            Message::Hello(Hello { version: 0x0102, role, name: "proxy-é".into(), nonce: nonce(0x10) });
         put(format!("hello-{byte}"), hello);
     }
     let start = 0x1112_1314_1516_1718;
-    put("challenge".into(), Message::Challenge { version: 0x0102, start, nonce: nonce(0x30) });
+    put(
+        "challenge".into(),
+        Message::Challenge(Challenge { version: 0x0102, incarnation: start, nonce: nonce(0x30) }),
+    );
     for bare in [false, true] {
         let join = Join {
             zone: "west".into(),
-            rate: 120.5,
-            bare,
-            held_start: 0x0101_0202,
-            held_seq: 0x0303,
-            epoch: 0x0404,
+            calls_per_s: 120.5,
+            initial_table_only: bare,
+            applied_incarnation: 0x0101_0202,
+            applied_sequence: 0x0303,
+            newest_term: 0x0404,
             proof: Proof(std::array::from_fn(|place| 0xff - place as u8)),
         };
         put(format!("join-bare-{bare}"), Message::Join(join));
     }
     let proof = Proof(std::array::from_fn(|place| place as u8));
-    put("welcome".into(), Message::Welcome { stream: 0x3132_3334, epoch: 0x0a0b, proof });
+    put("welcome".into(), Message::Welcome(Welcome { stream: 0x3132_3334, term: 0x0a0b, proof }));
     for (byte, cause) in CAUSES.into_iter().enumerate() {
         put(format!("orders-none-cause-{byte}"), orders(cause, vec![]));
     }
     for (name, part) in order_parts() {
-        put(format!("orders-{name}"), orders(Cause::Interval, vec![part]));
+        put(format!("orders-{name}"), orders(UpdateCause::Interval, vec![part]));
     }
-    put("orders-all".into(), orders(Cause::List, order_parts().into_iter().map(|part| part.1).collect()));
+    put(
+        "orders-all".into(),
+        orders(UpdateCause::EndpointsChanged, order_parts().into_iter().map(|part| part.1).collect()),
+    );
     for mark in [None, Some(0xbeef)] {
-        let applied = Message::Applied { start, stream: 0x3132_3334, seq: 0x4142, mark };
+        let applied = Message::UpdateAck(UpdateAck {
+            incarnation: start,
+            stream: 0x3132_3334,
+            sequence: 0x4142,
+            token: mark,
+        });
         put(format!("applied-mark-{}", mark.is_some()), applied);
     }
-    let met = |server, report| MetLine { server, tries: 0x0102_0304, dropped: 7, wait_us: 123_456, report };
+    let met = |server, report| ServerLoad {
+        server,
+        attempts: 0x0102_0304,
+        dropped: 7,
+        mean_latency_us: 123_456,
+        metrics: report,
+    };
     put(
         "sums".into(),
-        Message::Sums {
-            met: vec![met(server_v4(), None), met(server_v6(), Some(report()))],
-            came: vec![CameLine { route: 0, calls: 5 }, CameLine { route: 15, calls: 0x0a0b_0c0d }],
-        },
+        Message::ProxyReport(ProxyReport {
+            servers: vec![met(server_v4(), None), met(server_v6(), Some(report()))],
+            routes: vec![RouteLoad { route: 0, calls: 5 }, RouteLoad { route: 15, calls: 0x0a0b_0c0d }],
+        }),
     );
-    put("sums-empty".into(), Message::Sums { met: vec![], came: vec![] });
+    put("sums-empty".into(), Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }));
     for (byte, reason) in REASONS.into_iter().enumerate() {
-        put(format!("bye-{byte}"), Message::Bye { reason, text: "why: 10.0.0.1:5".into() });
+        put(format!("bye-{byte}"), Message::Close(Close { reason, text: "why: 10.0.0.1:5".into() }));
     }
     for watch in [false, true] {
-        put(format!("ask-list-watch-{watch}"), Message::AskList { have: 0x6162, watch });
+        put(
+            format!("ask-list-watch-{watch}"),
+            Message::EndpointPoll(EndpointPoll { known_version: 0x6162, watch }),
+        );
     }
-    let list = Message::List {
+    let list = Message::EndpointList(EndpointList {
         version: 0x6163,
-        base: 0x6162,
+        base_version: 0x6162,
         now_ms: 1_700_000_005_000,
         entries: PHASES.map(entry).to_vec(),
-    };
+    });
     put("list".into(), list);
-    put("list-failed".into(), Message::ListFailed { text: "no answer".into() });
-    put("probe".into(), Message::Probe { number: 0x0102_0304 });
+    put("list-failed".into(), Message::EndpointPollFailed(EndpointPollFailed { text: "no answer".into() }));
+    put("probe".into(), Message::HealthCheck(HealthCheck { server_number: 0x0102_0304 }));
     for (byte, state) in STATES.into_iter().enumerate() {
-        let probed = Message::Probed { number: 0x0102_0304, state, report: Some(report()) };
+        let probed = Message::HealthCheckResponse(HealthCheckResponse {
+            server_number: 0x0102_0304,
+            status: state,
+            metrics: Some(report()),
+        });
         put(format!("probed-{byte}"), probed);
     }
-    let probed = Message::Probed { number: 0x0102_0304, state: ProbeState::Ready, report: None };
+    let probed = Message::HealthCheckResponse(HealthCheckResponse {
+        server_number: 0x0102_0304,
+        status: HealthStatus::Ready,
+        metrics: None,
+    });
     put("probed-without-report".into(), probed);
     let call = Call {
         id: 0x0102_0304_0506_0708,
         attempt: 2,
-        tried: 1,
+        retry: 1,
         route: 3,
         key: 0x1112_1314_1516_1718,
         work_us: 0x2122_2324,
-        time_limit_us: 0x3132_3334,
+        timeout_us: 0x3132_3334,
         proxy: 0x4142,
     };
     put("call".into(), Message::Call(call));
     for (byte, outcome) in OUTCOMES.into_iter().enumerate() {
-        let report = (outcome == Outcome::Answered).then(report);
-        let answer = Answer { id: 0x0102_0304_0506_0708, attempt: 2, tried: 1, outcome, report };
-        put(format!("answer-{byte}"), Message::Answer(answer));
+        let report = (outcome == CallOutcome::Answered).then(report);
+        let answer = Response { id: 0x0102_0304_0506_0708, attempt: 2, retry: 1, outcome, metrics: report };
+        put(format!("answer-{byte}"), Message::Response(answer));
     }
-    put("alive".into(), Message::Alive);
+    put("alive".into(), Message::Heartbeat);
     messages
 }
 
@@ -197,16 +234,20 @@
 fn every_fixture_decodes_to_the_expected_message_and_encodes_to_the_same_bytes() {
     let (fixtures, expected) = (lines(MESSAGES), expected());
     for (name, message) in &expected {
-        assert!(fixtures.contains_key(name), "no fixture; today's line is\n{name} {}", hex(&message.frame()));
+        assert!(
+            fixtures.contains_key(name),
+            "no fixture; today's line is\n{name} {}",
+            hex(&message.to_frame())
+        );
     }
     assert_eq!(fixtures.len(), expected.len());
     for (name, frame) in &fixtures {
-        let mut inbox = Inbox::new(MOST_BODY);
-        inbox.take(frame);
-        let decoded = inbox.message().unwrap_or_else(|error| panic!("{name}: {error}"));
+        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
+        inbox.push(frame);
+        let decoded = inbox.next_message().unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(decoded.as_ref(), Some(&expected[name]), "{name}");
-        assert_eq!(inbox.pending(), 0, "{name}");
-        assert_eq!(hex(&decoded.unwrap().frame()), hex(frame), "{name}");
+        assert_eq!(inbox.buffered_bytes(), 0, "{name}");
+        assert_eq!(hex(&decoded.unwrap().to_frame()), hex(frame), "{name}");
     }
 }
 
@@ -228,7 +269,7 @@
 #[case::before_the_first(0)]
 #[case::after_the_last(17)]
 fn kinds_beyond_those_of_the_fixtures_are_unknown(#[case] kind: u8) {
-    assert_eq!(Message::read(&[kind]), Err(Malformed::UnknownKind(kind)));
+    assert_eq!(Message::decode(&[kind]), Err(DecodeError::UnknownKind(kind)));
 }
 
 /// A key cannot be looked at, so its derivation is fixed by what it proves.
@@ -236,13 +277,49 @@
 fn the_proofs_of_a_fixed_key_and_fixed_nonces_stay_the_same() {
     let fixtures = lines(PROOFS);
     let (own, theirs, start) = (nonce(0x10), nonce(0x30), 0x1112_1314_1516_1718);
-    let key = Key::derive(b"the key file of the fixtures\n");
-    let empty = Key::derive(b"");
+    let key = FleetKey::derive(b"the key file of the fixtures\n");
+    let empty = FleetKey::derive(b"");
     let proofs = [
-        ("peer", key.peer([&own, &theirs], start, "proxy-1", "west")),
-        ("planner", key.planner([&own, &theirs], start, "proxy-1", "west")),
-        ("peer-without-zone", key.peer([&own, &theirs], start, "planner-9", "")),
-        ("peer-of-the-empty-key", empty.peer([&own, &theirs], start, "proxy-1", "west")),
+        (
+            "peer",
+            key.dialer_proof(&Transcript {
+                dialer_nonce: &own,
+                listener_nonce: &theirs,
+                incarnation: start,
+                name: "proxy-1",
+                zone: "west",
+            }),
+        ),
+        (
+            "planner",
+            key.listener_proof(&Transcript {
+                dialer_nonce: &own,
+                listener_nonce: &theirs,
+                incarnation: start,
+                name: "proxy-1",
+                zone: "west",
+            }),
+        ),
+        (
+            "peer-without-zone",
+            key.dialer_proof(&Transcript {
+                dialer_nonce: &own,
+                listener_nonce: &theirs,
+                incarnation: start,
+                name: "planner-9",
+                zone: "",
+            }),
+        ),
+        (
+            "peer-of-the-empty-key",
+            empty.dialer_proof(&Transcript {
+                dialer_nonce: &own,
+                listener_nonce: &theirs,
+                incarnation: start,
+                name: "proxy-1",
+                zone: "west",
+            }),
+        ),
     ];
     for (name, proof) in proofs {
         let fixture = fixtures.get(name).map(|bytes| hex(bytes));
