--- a/crates/controller-server/src/snapshot.rs
+++ b/crates/controller-server/src/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::effects::SocketEffects;
 use crate::shared::Shared;
-use grebespool_controller::{Controller, PoolAssignment, PoolSnapshot, ProxyPool};
+use grebespool_controller::{Controller, FleetPools, PoolSnapshot, ProxyPool};
 use grebespool_leader_election::{Drain, Held, Listed, Memory, Phase, Weight};
 use grebespool_wire::{EndpointEntry, EndpointList, EndpointState, ServerId};
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
         entries: snapshot.list.iter().map(wire_entry).collect(),
     };
     controller.endpoints_received(Duration::ZERO, &list);
-    controller.restore_pools(&pool_assignment(snapshot));
+    controller.restore_pools(&fleet_pools(snapshot));
     controller.restore_weights(&snapshot.weights());
 }
 
@@ -35,14 +35,14 @@
     EndpointEntry { server: listed.server(), zone: listed.zone.clone(), state, started_ms: listed.started_ms }
 }
 
-fn pool_assignment(snapshot: &Memory) -> PoolAssignment {
+fn fleet_pools(snapshot: &Memory) -> FleetPools {
     let server = |place: &u32| snapshot.list.get(*place as usize).map(Listed::server);
     let pool = |(zone, places): &(String, Vec<u32>)| PoolSnapshot {
         zone: zone.clone(),
         servers: places.iter().filter_map(server).collect(),
     };
     let proxy_pool = |(proxy, pool): &(String, u32)| ProxyPool { proxy: proxy.clone(), pool: *pool as usize };
-    PoolAssignment {
+    FleetPools {
         pools: snapshot.pools.iter().map(pool).collect(),
         proxies: snapshot.bound.iter().map(proxy_pool).collect(),
     }
@@ -54,7 +54,7 @@
     let list: Vec<Listed> = endpoints.entries.into_iter().filter_map(listed).collect();
     let places: BTreeMap<ServerId, u32> =
         list.iter().enumerate().map(|(place, listed)| (listed.server(), place as u32)).collect();
-    let PoolAssignment { pools, proxies } = controller.pool_assignment();
+    let FleetPools { pools, proxies } = controller.fleet_pools();
     let pool = |pool: PoolSnapshot| {
         let servers = pool.servers.iter().filter_map(|server| places.get(server).copied());
         (pool.zone, servers.collect())
--- a/crates/controller-server/tests/streams.rs
+++ b/crates/controller-server/tests/streams.rs
@@ -1,7 +1,6 @@
 //! Peers that say what they must not: each is told why and closed, and the others go on.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_controller::Incarnation;
 use grebespool_controller_server::dial::{AppliedUpdate, Dialer, WelcomedStream, handshake, read_message};
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -12,7 +12,7 @@
 
 pub use joins::JoinRequest;
 pub use sites::SiteCommandError;
-pub use snapshot::{PoolAssignment, PoolSnapshot, ProxyPool};
+pub use snapshot::{FleetPools, PoolSnapshot, ProxyPool};
 
 use crate::acknowledgements::AckTracker;
 use crate::aggregation::LoadAggregator;
--- a/crates/controller/src/controller/snapshot.rs
+++ b/crates/controller/src/controller/snapshot.rs
@@ -2,7 +2,7 @@
 
 use super::Controller;
 use crate::effects::Effects;
-use grebespool::host::{ProxyId, ServerIndex, ZoneId};
+use grebespool::host::{FormerBinding, PoolAssignments, PoolSubset, ProxyId, ServerIndex, ZoneId};
 use grebespool_wire::{EndpointList, ServerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 
 /// Which servers each pool holds, and which pool each proxy has.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct PoolAssignment {
+pub struct FleetPools {
     /// All pools.
     pub pools: Vec<PoolSnapshot>,
     /// All proxies that have a pool, by name.
@@ -47,38 +47,35 @@
 
     /// Begins with the pools of a former leader. To be called after the first endpoint list, before
     /// [`Controller::restore_weights`] and any join.
-    pub fn restore_pools(&mut self, assignment: &PoolAssignment) {
+    pub fn restore_pools(&mut self, assignment: &FleetPools) {
         let pool = |pool: &PoolSnapshot| {
             let servers = pool.servers.iter().filter_map(|id| self.listed_server(id)).collect();
-            Some((self.endpoints.zone(&pool.zone)?, servers))
+            Some(PoolSubset { zone: self.endpoints.zone(&pool.zone)?, servers })
         };
         // With a zone less, the pools' places would not be those that proxies had.
         let Some(pools) = assignment.pools.iter().map(pool).collect::<Option<Vec<_>>>() else { return };
         let mut proxies = BTreeMap::new();
         for ProxyPool { proxy, pool } in &assignment.proxies {
-            let place = pools.get(*pool).map(|(zone, _)| (*zone, *pool));
+            let former = pools.get(*pool).map(|subset| FormerBinding { zone: subset.zone, pool: *pool });
             let proxy = self.proxies.get_or_add(proxy, self.limits.proxies);
-            if let Some((proxy, place)) = proxy.zip(place) {
-                proxies.insert(proxy, place);
+            if let Some((proxy, former)) = proxy.zip(former) {
+                proxies.insert(proxy, former);
             }
         }
         self.policy.restore_pool_assignments(&pools, &proxies);
     }
 
     /// What each pool holds, and which pool each proxy has.
-    pub fn pool_assignment(&self) -> PoolAssignment {
-        let (pools, pool_of) = self.policy.pool_assignments();
-        let pools = pools.iter().map(|(zone, servers)| PoolSnapshot {
-            zone: self.zone_name(*zone),
-            servers: servers.iter().map(|server| *self.servers.id(*server)).collect(),
+    pub fn fleet_pools(&self) -> FleetPools {
+        let PoolAssignments { pools, pool_by_proxy } = self.policy.pool_assignments();
+        let pools = pools.iter().map(|pool| PoolSnapshot {
+            zone: self.zone_name(pool.zone),
+            servers: pool.servers.iter().map(|server| *self.servers.id(*server)).collect(),
         });
         let proxy_pool = |(name, proxy): (&str, ProxyId)| {
-            Some(ProxyPool { proxy: name.to_string(), pool: *pool_of.get(&proxy)? })
+            Some(ProxyPool { proxy: name.to_string(), pool: *pool_by_proxy.get(&proxy)? })
         };
-        PoolAssignment {
-            pools: pools.collect(),
-            proxies: self.proxies.iter().filter_map(proxy_pool).collect(),
-        }
+        FleetPools { pools: pools.collect(), proxies: self.proxies.iter().filter_map(proxy_pool).collect() }
     }
 
     fn zone_name(&self, zone: ZoneId) -> String {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -24,7 +24,7 @@
 
 pub use acknowledgements::AckTracker;
 pub use config::{ControllerConfig, Incarnation, Limits, UnsupportedDeploymentError};
-pub use controller::{Controller, JoinRequest, PoolAssignment, PoolSnapshot, ProxyPool, SiteCommandError};
+pub use controller::{Controller, FleetPools, JoinRequest, PoolSnapshot, ProxyPool, SiteCommandError};
 pub use effects::{Effects, StreamId};
 pub use endpoint_registry::{EndpointListError, EndpointRegistry};
 pub use event::ControllerEvent;
--- a/crates/controller/src/site_watch.rs
+++ b/crates/controller/src/site_watch.rs
@@ -135,8 +135,8 @@
             return false;
         }
         self.evaluated_at = now;
-        for (zone, (capacity, demand)) in policy.zone_capacity(now).into_iter().enumerate() {
-            self.sites.room(zone, capacity, demand);
+        for (zone, capacity) in policy.zone_capacity(now).into_iter().enumerate() {
+            self.sites.room(zone, capacity.capacity_per_s, capacity.received_per_s);
         }
         self.sites.look(now, &mut VerdictTarget { now, policy, effects, names: &self.names });
         true
--- a/crates/controller/tests/controller.rs
+++ b/crates/controller/tests/controller.rs
@@ -1,7 +1,6 @@
 //! The controller through time: what proxies hold after lists, joins, stalls and implausible reports.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 mod helpers;
 
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -189,7 +189,7 @@
         for part in &mut update.changes {
             match part {
                 Change::SetWeight(WeightChange { server, weight, .. }) if *weight == 0.0 => {
-                    drop(self.0.insert(*server))
+                    self.0.insert(*server);
                 }
                 Change::SetWeight(WeightChange { server, weight, .. }) if self.0.contains(server) => {
                     *weight = 1000.0
--- /dev/null
+++ b/crates/platform-protocol/src/wire/outgoing.rs
@@ -0,0 +1,140 @@
+//! Messages to peers, encoded as frames.
+
+use super::frame::encode_frame;
+use super::names::{field, kind};
+use grebespool::host::{RetryPolicy, RouteSet, ServerIndex};
+use grebespool_assignments::{AdmissionRule, ProxyUpdate, ServerWeight};
+use serde_json::{Map, Value, json};
+
+/// The answer to a ping.
+pub(crate) fn encode_pong() -> Vec<u8> {
+    encode_frame(&json!({ field::KIND: kind::PONG }))
+}
+
+/// Tells a peer why its connection is closed.
+pub(crate) fn encode_refusal(reason: &str) -> Vec<u8> {
+    encode_frame(&json!({ field::KIND: kind::NACK, field::REASON: reason }))
+}
+
+/// Encodes updates for proxies, in the platform's names of routes and servers.
+pub(crate) struct UpdateEncoder<'a, F> {
+    route_names: &'a [String],
+    server_id: F,
+}
+
+impl<'a, F: Fn(ServerIndex) -> &'a str> UpdateEncoder<'a, F> {
+    /// An encoder that takes the names from here.
+    pub(crate) fn new(route_names: &'a [String], server_id: F) -> Self {
+        UpdateEncoder { route_names, server_id }
+    }
+
+    /// One message, as a frame for each of its parts.
+    ///
+    /// The first part holds the weights and the admission of the routes that these are for: a full table makes the proxy
+    /// forget earlier admission, so the others follow. The last part holds the ack token.
+    pub(crate) fn encode(&self, update: &ProxyUpdate) -> Vec<u8> {
+        let mut rules = self.merge_rules(update.admission).into_iter().peekable();
+        let mut first = self.weights_part(update);
+        let routes = update.bound_routes.unwrap_or(ALL_ROUTES);
+        if let Some(rule) = rules.next_if(|rule| rule.routes == routes) {
+            insert_rule(&mut first, &rule);
+        }
+        let mut parts = vec![];
+        if !first.is_empty() {
+            parts.push(first);
+        }
+        parts.extend(rules.map(|rule| self.admission_part(&rule)));
+        if let (Some(token), Some(last)) = (update.ack_token, parts.last_mut()) {
+            last.insert(field::ACK_TOKEN.into(), json!(token));
+        }
+        encode_parts(parts)
+    }
+
+    fn weights_part(&self, update: &ProxyUpdate) -> Map<String, Value> {
+        let mut part = Map::new();
+        if update.bound_routes.is_some() || !update.weights.is_empty() {
+            let weights = update.weights.iter().map(|weight| self.weight(weight));
+            part.insert(field::WEIGHTS.into(), weights.collect());
+        }
+        if let Some(routes) = update.bound_routes {
+            part.insert(field::FULL_TABLE.into(), json!(true));
+            self.insert_routes(&mut part, routes);
+        }
+        part
+    }
+
+    fn weight(&self, weight: &ServerWeight) -> Value {
+        json!([(self.server_id)(weight.server), shortest_number(weight.weight)])
+    }
+
+    fn admission_part(&self, rule: &AdmissionRule) -> Map<String, Value> {
+        let mut part = Map::new();
+        self.insert_routes(&mut part, rule.routes);
+        insert_rule(&mut part, rule);
+        part
+    }
+
+    fn insert_routes(&self, part: &mut Map<String, Value>, routes: RouteSet) {
+        if routes == ALL_ROUTES {
+            return;
+        }
+        let names = self.route_names.iter().enumerate();
+        let names = names.filter(|(position, _)| routes & (1 << position) != 0);
+        part.insert(field::ROUTES.into(), names.map(|(_, name)| json!(name)).collect());
+    }
+
+    /// Routes with equal rules under one rule, in the order of their sets.
+    fn merge_rules(&self, rules: &[AdmissionRule]) -> Vec<AdmissionRule> {
+        let mut merged: Vec<AdmissionRule> = vec![];
+        for rule in rules {
+            let equal = merged
+                .iter_mut()
+                .find(|other| other.level == rule.level && other.retry_policy == rule.retry_policy);
+            match equal {
+                Some(equal) => equal.routes |= rule.routes,
+                None => merged.push(*rule),
+            }
+        }
+        merged.sort_by_key(|rule| rule.routes);
+        let every_route = (0..self.route_names.len()).fold(0, |routes, position| routes | (1 << position));
+        for rule in merged.iter_mut().filter(|rule| rule.routes == every_route) {
+            rule.routes = ALL_ROUTES;
+        }
+        merged
+    }
+}
+
+/// On the wire, a part without routes is for all of them.
+const ALL_ROUTES: RouteSet = 0;
+
+fn insert_rule(part: &mut Map<String, Value>, rule: &AdmissionRule) {
+    part.insert(field::ADMITTED.into(), shortest_number(rule.level));
+    part.insert(field::RETRY.into(), json!(retry_code(rule.retry_policy)));
+}
+
+/// On the wire: do not renumber.
+fn retry_code(retries: RetryPolicy) -> u8 {
+    match retries {
+        RetryPolicy::Never => 0,
+        RetryPolicy::IfNotExecuted => 1,
+        RetryPolicy::AfterFailure => 2,
+    }
+}
+
+/// The number by its shortest text: widened to 64 bits it would be written with digits that it does not have.
+fn shortest_number(number: f32) -> Value {
+    number.to_string().parse::<f64>().map_or(Value::Null, |number| json!(number))
+}
+
+fn encode_parts(parts: Vec<Map<String, Value>>) -> Vec<u8> {
+    let last = parts.len().saturating_sub(1);
+    let mut bytes = vec![];
+    for (position, mut part) in parts.into_iter().enumerate() {
+        part.insert(field::KIND.into(), json!(kind::CONFIG));
+        if position < last {
+            part.insert(field::MORE.into(), json!(true));
+        }
+        bytes.extend(encode_frame(&Value::Object(part)));
+    }
+    bytes
+}
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -4,7 +4,7 @@
 use grebespool_controller::{ControllerEvent, Effects, StreamId};
 use grebespool_invariants::Passed;
 use grebespool_wire::{
-    Call, Close, CloseReason, EndpointEntry, Join, Message, Response, ServerId, Update, Welcome,
+    Call, Close, CloseReason, EndpointEntry, Message, Response, ServerId, Update, Welcome,
 };
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/simulation/src/past.rs
+++ b/crates/simulation/src/past.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{Due, HOP};
 use crate::calls::FirstCall;
 use crate::play::{Model, Unplayable};
-use grebespool_wire::{Call, EndpointEntry, EndpointState};
+use grebespool_wire::{EndpointEntry, EndpointState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
 use std::time::Duration;
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -6,7 +6,7 @@
 use crate::proxies::Proxy;
 use crate::servers::{Listing, Server, ability, server_id};
 use crate::troubles::InHand;
-use grebespool_controller::{Controller, Incarnation, PoolAssignment, StreamId, UnsupportedDeploymentError};
+use grebespool_controller::{Controller, FleetPools, Incarnation, StreamId, UnsupportedDeploymentError};
 use grebespool_invariants::{Checker, List, Passed, Verdict};
 use grebespool_server_model::{Held, Service, Sums, Tally, facts};
 use grebespool_settings::{Day, ListMode, What};
@@ -62,7 +62,7 @@
     version: u64,
     entries: Vec<EndpointEntry>,
     weights: BTreeMap<ServerId, f64>,
-    dealt: PoolAssignment,
+    dealt: FleetPools,
 }
 
 pub(crate) struct Model<'a> {
@@ -288,7 +288,7 @@
         if let Some(engine) = self.engine.as_ref().filter(|e| e.endpoints_version() > 0) {
             let EndpointList { version, entries, .. } = engine.endpoint_list(now);
             let weights = engine.learned_weights().into_iter().collect();
-            let dealt = engine.pool_assignment();
+            let dealt = engine.fleet_pools();
             self.memory = Some(Remembered { version, entries, weights, dealt });
         }
         self.agenda.borrow_mut().after(Self::REMEMBER, Due::Remember);
--- a/crates/wire/benches/frames.rs
+++ b/crates/wire/benches/frames.rs
@@ -1,11 +1,13 @@
 //! Frames parsed and written on one core, beside the same bytes copied plainly over loopback in the same run.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use divan::counter::{BytesCount, ItemsCount};
 use divan::{Bencher, black_box};
-use grebespool_wire::*;
+use grebespool_wire::{
+    Change, FrameDecoder, MAX_BODY_BYTES, Message, ProxyReport, RouteLoad, ServerId, ServerLoad,
+    ServerMetrics, Update, UpdateCause, WeightChange,
+};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 
--- a/crates/wire/examples/fuzz.rs
+++ b/crates/wire/examples/fuzz.rs
@@ -3,9 +3,13 @@
 //! inputs were tried and how many of them were read whole.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_wire::*;
+use grebespool_wire::{
+    AdmissionRule, Change, Close, CloseReason, EndpointEntry, EndpointList, EndpointState, Exclusion,
+    FrameDecoder, HealthCheckResponse, HealthStatus, Hello, Message, ProxyReport, RetryPolicy, Role,
+    RouteLoad, ServerId, ServerLoad, ServerMetrics, ServerWeight, TableBinding, Update, UpdateCause,
+    WeightChange,
+};
 use std::time::{Duration, Instant};
 
 /// Xorshift: the example brings no crate for chance.
--- a/crates/wire/tests/fixtures.rs
+++ b/crates/wire/tests/fixtures.rs
@@ -2,7 +2,6 @@
 //! every enum value, `fixtures/proofs.hex` the key derivation and both proofs.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_wire::*;
 use rstest::rstest;
@@ -15,14 +14,16 @@
 // Every value of the enums in the order of its byte on the wire: the place in these tables, and nothing that the
 // crate says, is the byte that the fixtures are named by.
 const ROLES: [Role; 2] = [Role::Proxy, Role::Watcher];
-const PHASES: [EndpointState; 3] = [EndpointState::Removed, EndpointState::Ready, EndpointState::Draining];
-const TRIES: [RetryPolicy; 3] = [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::AfterFailure];
+const ENDPOINT_STATES: [EndpointState; 3] =
+    [EndpointState::Removed, EndpointState::Ready, EndpointState::Draining];
+const RETRY_POLICIES: [RetryPolicy; 3] =
+    [RetryPolicy::Never, RetryPolicy::IfNotExecuted, RetryPolicy::AfterFailure];
 const CAUSES: [UpdateCause; 3] =
     [UpdateCause::ProxyJoined, UpdateCause::EndpointsChanged, UpdateCause::Interval];
 const OUTCOMES: [CallOutcome; 4] =
     [CallOutcome::Answered, CallOutcome::Rejected, CallOutcome::Failed, CallOutcome::Duplicate];
-const STATES: [HealthStatus; 3] = [HealthStatus::Ready, HealthStatus::Draining, HealthStatus::Busy];
-const REASONS: [CloseReason; 11] = [
+const HEALTH_STATUSES: [HealthStatus; 3] = [HealthStatus::Ready, HealthStatus::Draining, HealthStatus::Busy];
+const CLOSE_REASONS: [CloseReason; 11] = [
     CloseReason::ShuttingDown,
     CloseReason::Malformed,
     CloseReason::VersionMismatch,
@@ -36,6 +37,8 @@
     CloseReason::StaleTerm,
 ];
 
+const INCARNATION: u64 = 0x1112_1314_1516_1718;
+
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -66,46 +69,46 @@
     ServerId { addr: "[2001:db8::17]:443".parse().unwrap(), number: 9 }
 }
 
-fn report() -> ServerMetrics {
-    ServerMetrics { incarnation: 0x1112_1314_1516_1718, sequence: 0x2122_2324, values: vec![0.5, 3.25, 1e6] }
+fn metrics() -> ServerMetrics {
+    ServerMetrics { incarnation: INCARNATION, sequence: 0x2122_2324, values: vec![0.5, 3.25, 1e6] }
 }
 
-fn level(tries: RetryPolicy) -> AdmissionRule {
-    AdmissionRule { routes: 0x8001, admitted_fraction: 0.75, retry_policy: tries }
+fn admission_rule(retry_policy: RetryPolicy) -> AdmissionRule {
+    AdmissionRule { routes: 0x8001, admitted_fraction: 0.75, retry_policy }
 }
 
-fn orders(cause: UpdateCause, parts: Vec<Change>) -> Message {
+fn update(cause: UpdateCause, changes: Vec<Change>) -> Message {
     Message::Update(Update {
         term: 0x0a0b,
-        incarnation: 0x1112_1314_1516_1718,
+        incarnation: INCARNATION,
         stream: 0x3132_3334,
         sequence: 0x4142,
         created_us: 0x5152_5354,
         endpoints_version: 0x6162,
         cause,
-        changes: parts,
+        changes,
     })
 }
 
-fn order_parts() -> Vec<(String, Change)> {
+fn changes() -> Vec<(String, Change)> {
     let (table, version) = (0x0708, 0x090a_0b0c);
     let weight = |server, weight| ServerWeight { server, weight };
     let weights = vec![weight(server_v4(), 1.5), weight(server_v6(), 0.25)];
-    let levels = TRIES.map(level).to_vec();
-    let mut parts = vec![
+    let admission = RETRY_POLICIES.map(admission_rule).to_vec();
+    let mut changes = vec![
         (
             "bind".into(),
-            Change::BindTable(TableBinding { table, version, routes: 0x0003, weights, admission: levels }),
+            Change::BindTable(TableBinding { table, version, routes: 0x0003, weights, admission }),
         ),
         ("line".into(), Change::SetWeight(WeightChange { table, version, server: server_v6(), weight: 2.5 })),
         ("withdraw-out".into(), Change::Exclude(Exclusion { server: server_v4(), excluded: true })),
         ("withdraw-in".into(), Change::Exclude(Exclusion { server: server_v4(), excluded: false })),
         ("mark".into(), Change::RequestAck(0xbeef)),
     ];
-    for (byte, tries) in TRIES.into_iter().enumerate() {
-        parts.push((format!("level-{byte}"), Change::SetAdmission(level(tries))));
+    for (byte, policy) in RETRY_POLICIES.into_iter().enumerate() {
+        changes.push((format!("level-{byte}"), Change::SetAdmission(admission_rule(policy))));
     }
-    parts
+    changes
 }
 
 fn entry(phase: EndpointState) -> EndpointEntry {
@@ -114,21 +117,27 @@
     }
 }
 
-/// Each fixture's name and the message that its bytes stand for.
-fn expected() -> BTreeMap<String, Message> {
-    let mut messages = BTreeMap::new();
-    let mut put = |name: String, message: Message| {
-        assert!(messages.insert(name.clone(), message).is_none(), "{name} is there twice");
-    };
+/// The messages that the fixtures stand for, by the names of the fixtures.
+#[derive(Default)]
+struct Messages(BTreeMap<String, Message>);
+
+impl Messages {
+    fn put(&mut self, name: String, message: Message) {
+        assert!(self.0.insert(name.clone(), message).is_none(), "{name} is there twice");
+    }
+}
+
+/// Hello, challenge, join and welcome.
+fn put_handshake(messages: &mut Messages) {
+    let mut put = |name: String, message: Message| messages.put(name, message);
     for (byte, role) in ROLES.into_iter().enumerate() {
         let hello =
             Message::Hello(Hello { version: 0x0102, role, name: "proxy-é".into(), nonce: nonce(0x10) });
         put(format!("hello-{byte}"), hello);
     }
-    let start = 0x1112_1314_1516_1718;
     put(
         "challenge".into(),
-        Message::Challenge(Challenge { version: 0x0102, incarnation: start, nonce: nonce(0x30) }),
+        Message::Challenge(Challenge { version: 0x0102, incarnation: INCARNATION, nonce: nonce(0x30) }),
     );
     for bare in [false, true] {
         let join = Join {
@@ -144,43 +153,63 @@
     }
     let proof = Proof(std::array::from_fn(|place| place as u8));
     put("welcome".into(), Message::Welcome(Welcome { stream: 0x3132_3334, term: 0x0a0b, proof }));
+}
+
+/// Updates with each kind of change, and their acknowledgements.
+fn put_updates(messages: &mut Messages) {
+    let mut put = |name: String, message: Message| messages.put(name, message);
     for (byte, cause) in CAUSES.into_iter().enumerate() {
-        put(format!("orders-none-cause-{byte}"), orders(cause, vec![]));
+        put(format!("orders-none-cause-{byte}"), update(cause, vec![]));
     }
-    for (name, part) in order_parts() {
-        put(format!("orders-{name}"), orders(UpdateCause::Interval, vec![part]));
+    for (name, part) in changes() {
+        put(format!("orders-{name}"), update(UpdateCause::Interval, vec![part]));
     }
     put(
         "orders-all".into(),
-        orders(UpdateCause::EndpointsChanged, order_parts().into_iter().map(|part| part.1).collect()),
+        update(UpdateCause::EndpointsChanged, changes().into_iter().map(|part| part.1).collect()),
     );
     for mark in [None, Some(0xbeef)] {
         let applied = Message::UpdateAck(UpdateAck {
-            incarnation: start,
+            incarnation: INCARNATION,
             stream: 0x3132_3334,
             sequence: 0x4142,
             token: mark,
         });
         put(format!("applied-mark-{}", mark.is_some()), applied);
     }
-    let met = |server, report| ServerLoad {
+}
+
+/// What proxies report.
+fn put_proxy_reports(messages: &mut Messages) {
+    let mut put = |name: String, message: Message| messages.put(name, message);
+    let load = |server, metrics| ServerLoad {
         server,
         attempts: 0x0102_0304,
         dropped: 7,
         mean_latency_us: 123_456,
-        metrics: report,
+        metrics,
     };
     put(
         "sums".into(),
         Message::ProxyReport(ProxyReport {
-            servers: vec![met(server_v4(), None), met(server_v6(), Some(report()))],
+            servers: vec![load(server_v4(), None), load(server_v6(), Some(metrics()))],
             routes: vec![RouteLoad { route: 0, calls: 5 }, RouteLoad { route: 15, calls: 0x0a0b_0c0d }],
         }),
     );
     put("sums-empty".into(), Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }));
-    for (byte, reason) in REASONS.into_iter().enumerate() {
+}
+
+/// Each reason to close a stream.
+fn put_closes(messages: &mut Messages) {
+    let mut put = |name: String, message: Message| messages.put(name, message);
+    for (byte, reason) in CLOSE_REASONS.into_iter().enumerate() {
         put(format!("bye-{byte}"), Message::Close(Close { reason, text: "why: 10.0.0.1:5".into() }));
     }
+}
+
+/// Polls of the endpoint list, and their responses.
+fn put_endpoint_lists(messages: &mut Messages) {
+    let mut put = |name: String, message: Message| messages.put(name, message);
     for watch in [false, true] {
         put(
             format!("ask-list-watch-{watch}"),
@@ -191,16 +220,21 @@
         version: 0x6163,
         base_version: 0x6162,
         now_ms: 1_700_000_005_000,
-        entries: PHASES.map(entry).to_vec(),
+        entries: ENDPOINT_STATES.map(entry).to_vec(),
     });
     put("list".into(), list);
     put("list-failed".into(), Message::EndpointPollFailed(EndpointPollFailed { text: "no answer".into() }));
+}
+
+/// Health checks and their responses.
+fn put_health_checks(messages: &mut Messages) {
+    let mut put = |name: String, message: Message| messages.put(name, message);
     put("probe".into(), Message::HealthCheck(HealthCheck { server_number: 0x0102_0304 }));
-    for (byte, state) in STATES.into_iter().enumerate() {
+    for (byte, state) in HEALTH_STATUSES.into_iter().enumerate() {
         let probed = Message::HealthCheckResponse(HealthCheckResponse {
             server_number: 0x0102_0304,
             status: state,
-            metrics: Some(report()),
+            metrics: Some(metrics()),
         });
         put(format!("probed-{byte}"), probed);
     }
@@ -210,6 +244,11 @@
         metrics: None,
     });
     put("probed-without-report".into(), probed);
+}
+
+/// Calls and their responses.
+fn put_calls(messages: &mut Messages) {
+    let mut put = |name: String, message: Message| messages.put(name, message);
     let call = Call {
         id: 0x0102_0304_0506_0708,
         attempt: 2,
@@ -222,12 +261,24 @@
     };
     put("call".into(), Message::Call(call));
     for (byte, outcome) in OUTCOMES.into_iter().enumerate() {
-        let report = (outcome == CallOutcome::Answered).then(report);
-        let answer = Response { id: 0x0102_0304_0506_0708, attempt: 2, retry: 1, outcome, metrics: report };
+        let metrics = (outcome == CallOutcome::Answered).then(metrics);
+        let answer = Response { id: 0x0102_0304_0506_0708, attempt: 2, retry: 1, outcome, metrics };
         put(format!("answer-{byte}"), Message::Response(answer));
     }
-    put("alive".into(), Message::Heartbeat);
-    messages
+}
+
+/// Each fixture's name and the message that its bytes stand for.
+fn expected() -> BTreeMap<String, Message> {
+    let mut messages = Messages::default();
+    put_handshake(&mut messages);
+    put_updates(&mut messages);
+    put_proxy_reports(&mut messages);
+    put_closes(&mut messages);
+    put_endpoint_lists(&mut messages);
+    put_health_checks(&mut messages);
+    put_calls(&mut messages);
+    messages.put("alive".into(), Message::Heartbeat);
+    messages.0
 }
 
 #[rstest]
@@ -256,12 +307,12 @@
 fn the_fixtures_have_a_frame_of_every_message_kind() {
     let kinds: BTreeSet<u8> = lines(MESSAGES).values().map(|frame| frame[4]).collect();
     assert_eq!(kinds, (1..=16).collect());
-    let orders: BTreeSet<u8> = lines(MESSAGES)
+    let changes: BTreeSet<u8> = lines(MESSAGES)
         .values()
         .filter(|frame| frame[4] == 5 && frame.len() > 54)
         .map(|frame| frame[54])
         .collect();
-    assert_eq!(orders, (1..=5).collect());
+    assert_eq!(changes, (1..=5).collect());
 }
 
 /// The kind byte after the last one is no message: a new kind needs a fixture and a new bound here.
