--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,16 +2,16 @@
 
 use crate::record::Recording;
 use grebespool_cluster::{
-    Accounting, Answer, Change, Fleetwork, LIMITS, Question, Running, SiteAsked, Store, fleet_id,
-    run as run_member,
+    AccountSettings, LIMITS, Member, MemberConfig, Request, Response, Role, SiteRequest, Store, TaskSettings,
+    fleet_id, run_member,
 };
 use grebespool_config_consensus::{ConsensusSettings, LeaseParameters, ValidationRules};
 use grebespool_controller::{Incarnation, SiteOrder};
 use grebespool_controller_server::{
-    Observer, PassThrough, ServerConfig, SiteQuery, SiteRequest, UpdateFilter, redirect_to_leader,
-    serve as serve_controller,
+    Observer, PassThrough, ServerConfig, SiteQuery, SiteRequest as ControllerSiteRequest, UpdateFilter,
+    redirect_to_leader, serve as serve_controller,
 };
-use grebespool_leader_election::{Memory, Terms};
+use grebespool_leader_election::{LeaseParameters as ElectionParameters, Snapshot};
 use grebespool_settings::{Members, Planned};
 use grebespool_singleton_tasks::{Counts, NO_ROUTE, Terms as DutyTerms};
 use grebespool_wire::{EndpointList, FleetKey, RouteLoad, ServerLoad, Update};
@@ -124,7 +124,7 @@
 
 /// Lets orders out only while this controller may give them.
 struct Gate {
-    member: Running,
+    member: Member,
     epoch: u64,
 }
 
@@ -136,11 +136,11 @@
 
 /// What a controller that leads tells its member, beside what is recorded.
 struct Leading {
-    member: Running,
+    member: Member,
     epoch: u64,
     number: u64,
     every: Duration,
-    memory: Option<Box<Memory>>,
+    memory: Option<Box<Snapshot>>,
     recording: Recording,
     /// The zones' names, and each joined proxy's zone by its place among them.
     zones: Vec<String>,
@@ -164,71 +164,75 @@
         self.recording.calls_reported(now, name, routes);
         let zone = self.at.get(name).copied().unwrap_or_default();
         for line in routes {
-            self.member.count(zone, line.route, Counts { calls: u64::from(line.calls), ..Counts::default() });
+            self.member.count_requests(
+                zone,
+                line.route,
+                Counts { calls: u64::from(line.calls), ..Counts::default() },
+            );
         }
     }
     fn load_reported(&mut self, name: &str, servers: &[ServerLoad]) {
         let sum = |of: fn(&ServerLoad) -> u32| servers.iter().map(|load| u64::from(of(load))).sum();
         let (tries, dropped) = (sum(|load| load.attempts), sum(|load| load.dropped));
         let zone = self.at.get(name).copied().unwrap_or_default();
-        self.member.count(zone, NO_ROUTE, Counts { tries, dropped, ..Counts::default() });
+        self.member.count_requests(zone, NO_ROUTE, Counts { tries, dropped, ..Counts::default() });
     }
     fn newer_term_seen(&mut self, term: u64) {
         // Not from within the planner's own turn: standing down ends it.
         let member = self.member.clone();
-        spawn_local(async move { member.passed_over(term) });
+        spawn_local(async move { member.term_seen(term) });
     }
-    fn initial_snapshot(&mut self) -> Option<Memory> {
+    fn initial_snapshot(&mut self) -> Option<Snapshot> {
         self.memory.take().map(|m| *m)
     }
     fn snapshot_interval(&self) -> Option<Duration> {
         Some(self.every)
     }
-    fn site_requests(&mut self) -> Option<mpsc::UnboundedReceiver<SiteRequest>> {
-        let mut asked = self.member.asked_of_sites();
+    fn site_requests(&mut self) -> Option<mpsc::UnboundedReceiver<ControllerSiteRequest>> {
+        let mut requests = self.member.site_requests();
         let (to, asks) = mpsc::unbounded_channel();
         spawn_local(async move {
-            while let Some(SiteAsked { question, answer }) = asked.recv().await {
-                let query = match question {
-                    Question::Site { site, out, forced, dry } => {
+            while let Some(SiteRequest { request, response }) = requests.recv().await {
+                let query = match request {
+                    Request::Site { site, out, forced, dry_run: dry } => {
                         let order = if out { SiteOrder::Out } else { SiteOrder::Back };
                         SiteQuery::Command { site, order, forced, dry_run: dry }
                     }
                     _ => SiteQuery::Show,
                 };
                 let (tell, told) = oneshot::channel();
-                if to.send(SiteRequest { query, answer: tell }).is_err() {
+                if to.send(ControllerSiteRequest { query, answer: tell }).is_err() {
                     return;
                 }
                 if let Ok(told) = told.await {
-                    let _ =
-                        answer.send(told.map_or_else(|why| Answer::Refused(why.to_string()), Answer::Lines));
+                    let _ = response
+                        .send(told.map_or_else(|why| Response::Rejected(why.to_string()), Response::Lines));
                 }
             }
         });
         Some(asks)
     }
-    fn snapshot_taken(&mut self, mut memory: Memory) {
+    fn snapshot_taken(&mut self, mut memory: Snapshot) {
         self.number += 1;
-        (memory.epoch, memory.number) = (self.epoch, self.number);
-        if let Err(why) = self.member.remember(&memory) {
+        (memory.term, memory.number) = (self.epoch, self.number);
+        if let Err(why) = self.member.publish_snapshot(&memory) {
             warn!(%why, "what is known cannot be kept for the next leader");
         }
     }
 }
 
 /// The work that the members share out, by their settings.
-fn fleetwork(members: &Members) -> Option<Fleetwork> {
+fn fleetwork(members: &Members) -> Option<TaskSettings> {
     let duties = members.duties.as_ref()?;
     let accounts = duties.accounts.as_ref();
-    Some(Fleetwork {
+    Some(TaskSettings {
         terms: DutyTerms { lease: duties.lease.0, renew: duties.renew.0, drift: members.drift },
-        accounts: accounts.map(|a| Accounting {
+        accounts: accounts.map(|a| AccountSettings {
             folder: a.folder.clone(),
             period: a.period.0,
             slack: a.slack.0,
         }),
-        agree: duties.agree.as_ref().map(|a| ConsensusSettings {
+        configuration: duties.agree.as_ref().map(|a| ConsensusSettings {
             lease: LeaseParameters {
                 duration: a.lease.0,
                 renew_interval: a.renew.0,
@@ -253,9 +257,9 @@
 ) -> Result<(), String> {
     let (store, kept) =
         Store::open(&members.folder, fleet_id(&members.fleet)).map_err(|why| why.to_string())?;
-    if kept.roster.epoch == 0
-        && !kept.roster.seats.is_empty()
-        && kept.roster != crate::members::formed_roster(&members)
+    if kept.membership.version.term == 0
+        && !kept.membership.voters.is_empty()
+        && kept.membership != crate::members::formed_roster(&members)
     {
         return Err(format!(
             "{}: members: these are not the members that {} was formed with",
@@ -266,32 +270,35 @@
     let at = members.listen.unwrap_or(members.address);
     let between =
         TcpListener::bind(at).await.map_err(|e| format!("cannot listen for members at {at}: {e}"))?;
-    let terms = Terms { beat: members.beat.0, lease: members.lease.0, drift: members.drift };
+    let terms = ElectionParameters {
+        heartbeat_interval: members.beat.0,
+        lease: members.lease.0,
+        clock_drift: members.drift,
+    };
     let mut tasks = JoinSet::new();
-    let (member, mut changes) = run_member(
-        between,
-        &members.name,
+    let config = MemberConfig {
+        listener: between,
+        name: members.name.clone(),
         store,
         kept,
-        terms,
-        &members.key_file,
-        members.weights_kept.0,
-        fleetwork(&members),
-        &mut tasks,
-    )
-    .map_err(|why| why.to_string())?;
+        election: terms,
+        key_file: members.key_file.clone(),
+        weights_lifetime: members.weights_kept.0,
+        tasks: fleetwork(&members),
+    };
+    let (member, mut roles) = run_member(config, &mut tasks).map_err(|why| why.to_string())?;
     drop(told_open(listener.try_clone().map_err(|e| e.to_string())?).map_err(|e| e.to_string())?);
     loop {
-        let change = changes.borrow_and_update().clone();
+        let role = roles.borrow_and_update().clone();
         let own = listener.try_clone().and_then(TcpListener::from_std).map_err(|e| e.to_string())?;
         let acting = async {
-            match change {
-                Change::Follow => {
+            match role {
+                Role::Follower => {
                     let known = member.clone();
                     redirect_to_leader(own, move || known.leader()).await;
                     Ok(())
                 }
-                Change::Lead { epoch, memory } => {
+                Role::Leader { term: epoch, snapshot: memory } => {
                     let gate = Gate { member: member.clone(), epoch };
                     let watch = Leading {
                         member: member.clone(),
@@ -316,9 +323,9 @@
                 }
                 return Err("the member has ended".into());
             }
-            changed = changes.changed() => {
+            changed = roles.changed() => {
                 changed.map_err(|_| "the member has ended".to_string())?;
-                info!(change = ?changes.borrow().name(), "what this controller does changes");
+                info!(role = roles.borrow().name(), "changes its role");
             }
         }
     }
--- a/crates/config-consensus/src/coordinator/mod.rs
+++ b/crates/config-consensus/src/coordinator/mod.rs
@@ -7,10 +7,10 @@
 
 use crate::context::Context;
 use crate::host::Host;
-use crate::message::{Chunk, Message, Proposal, ProposalId, ProposalOutcome, VersionHeader};
+use crate::message::{Chunk, Message, Proposal, ProposalOutcome};
 use crate::settings::ConsensusSettings;
-use crate::version::{ConfigVersion, ContentHash, StoredState, VersionId};
-use grebespool_leader_election::Id;
+use crate::version::{ConfigVersion, ContentHash, ProposalId, StoredState, VersionHeader, VersionId};
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Record, Token};
 use leases::ReplicaLeases;
 use queue::{ProposalKey, ProposalQueue};
@@ -24,7 +24,7 @@
     version: ConfigVersion,
     header: VersionHeader,
     /// Replicas that have it on disk and apply its intersection with the version before it.
-    prepared_by: BTreeSet<Id>,
+    prepared_by: BTreeSet<MemberId>,
     journal_write_started: bool,
     /// A quorum has its journal record.
     durable: bool,
@@ -84,7 +84,7 @@
     finish_step: bool,
     retransmit_at: Duration,
     /// Replicas of another history, as far as they are logged.
-    conflicting: BTreeMap<Id, ContentHash>,
+    conflicting: BTreeMap<MemberId, ContentHash>,
 }
 
 impl Coordinator {
@@ -196,7 +196,7 @@
     fn activate(&mut self, cx: &mut Context<impl Host>) {
         let Phase::Preparing(pending) = &self.phase else { return };
         let settled =
-            |voter: &Id| pending.prepared_by.contains(voter) || self.leases.is_expired(*voter, cx.now);
+            |voter: &MemberId| pending.prepared_by.contains(voter) || self.leases.is_expired(*voter, cx.now);
         let safe = pending.activated_before || cx.voters().iter().all(settled);
         if !pending.durable || !safe {
             return;
@@ -234,7 +234,7 @@
     }
 
     /// A replica has prepared a version.
-    pub(crate) fn prepared(&mut self, cx: &mut Context<impl Host>, from: Id, version: VersionId) {
+    pub(crate) fn prepared(&mut self, cx: &mut Context<impl Host>, from: MemberId, version: VersionId) {
         if let Phase::Preparing(pending) = &mut self.phase
             && pending.version.id() == version
         {
@@ -244,7 +244,12 @@
     }
 
     /// A member sends its undecided proposals.
-    pub(crate) fn propose(&mut self, cx: &mut Context<impl Host>, from: Id, mut proposals: Vec<Proposal>) {
+    pub(crate) fn propose(
+        &mut self,
+        cx: &mut Context<impl Host>,
+        from: MemberId,
+        mut proposals: Vec<Proposal>,
+    ) {
         let decided = self.committed.decided(from);
         if let Phase::Preparing(pending) = &mut self.phase
             && let Some(deciding) = pending.header.decided.get(&from)
@@ -263,7 +268,7 @@
     }
 
     /// A chunk of fetched bytes was received from a member.
-    pub(crate) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: Id, chunk: &Chunk) {
+    pub(crate) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: MemberId, chunk: &Chunk) {
         self.chunk_recovered(cx, from, chunk);
         self.queue.chunk_received(cx, from, chunk);
         self.proceed(cx);
--- a/crates/config-consensus/src/coordinator/queue.rs
+++ b/crates/config-consensus/src/coordinator/queue.rs
@@ -3,10 +3,10 @@
 use crate::configuration::Change;
 use crate::context::Context;
 use crate::host::Host;
-use crate::message::{Chunk, Message, Proposal, ProposalBody, ProposalId, ProposalOutcome};
+use crate::message::{Chunk, Message, Proposal, ProposalBody, ProposalOutcome};
 use crate::transfer::Download;
-use crate::version::{ContentHash, DecidedProposals};
-use grebespool_leader_election::Id;
+use crate::version::{ContentHash, DecidedProposals, ProposalId};
+use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 
 /// Proposals that wait; a member that floods proposes the others again once these are decided.
@@ -19,7 +19,7 @@
 /// Identifies a proposal among those of all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ProposalKey {
-    pub proposer: Id,
+    pub proposer: MemberId,
     pub id: ProposalId,
 }
 
@@ -60,7 +60,7 @@
     /// Reasons of rejections, for proposers that lost the answer.
     rejected: BTreeMap<ProposalKey, Vec<String>>,
     /// Each member's first proposal that it has no answer to, as of its last message.
-    first_unanswered: BTreeMap<Id, ProposalId>,
+    first_unanswered: BTreeMap<MemberId, ProposalId>,
 }
 
 impl ProposalQueue {
@@ -84,7 +84,7 @@
     pub(super) fn enqueue(
         &mut self,
         cx: &mut Context<impl Host>,
-        proposer: Id,
+        proposer: MemberId,
         proposals: Vec<Proposal>,
         committed: u64,
         decided: &DecidedProposals,
@@ -139,7 +139,7 @@
     }
 
     /// A chunk was received, maybe of a proposal's changes.
-    pub(super) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: Id, chunk: &Chunk) {
+    pub(super) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: MemberId, chunk: &Chunk) {
         let downloading =
             self.queued.iter_mut().enumerate().find_map(|(index, queued)| match &mut queued.changes {
                 ProposedChanges::Downloading(download)
--- a/crates/config-consensus/src/node.rs
+++ b/crates/config-consensus/src/node.rs
@@ -1,16 +1,17 @@
 //! One member: replica, proposer, and coordinator while it owns the journal.
 
+use crate::active_versions::ActiveVersions;
 use crate::configuration::{Change, EffectiveConfiguration};
 use crate::context::{Context, Outgoing};
 use crate::coordinator::Coordinator;
 use crate::host::Host;
-use crate::message::{Message, ProposalId};
+use crate::message::Message;
 use crate::proposer::{ProposeError, Proposer};
-use crate::replica::{ActiveVersions, CoordinatorRef, Replica};
+use crate::replica::{CoordinatorRef, Replica};
 use crate::settings::ConsensusSettings;
 use crate::transfer::chunk_of;
-use crate::version::{ContentHash, StoredState, VersionId};
-use grebespool_leader_election::Id;
+use crate::version::{ContentHash, ProposalId, StoredState, VersionId};
+use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::{Record, Token};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -50,7 +51,7 @@
     /// Starts with the state that was stored. `start_count` rises with each start, whatever else is lost.
     pub fn new(
         host: H,
-        own: Id,
+        own: MemberId,
         settings: ConsensusSettings,
         stored: StoredState,
         start_count: u32,
@@ -115,7 +116,7 @@
     }
 
     /// Sets the members that take part.
-    pub fn set_voters(&mut self, now: Duration, voters: Vec<Id>) {
+    pub fn set_voters(&mut self, now: Duration, voters: Vec<MemberId>) {
         self.outgoing.voters = voters;
         self.deliver_loopback(now);
     }
@@ -215,7 +216,7 @@
     fn with_coordinator_of_voter(
         &mut self,
         now: Duration,
-        from: Id,
+        from: MemberId,
         call: impl FnOnce(&mut Coordinator, &mut Context<H>),
     ) {
         if let Some(token) = self.journal_token.filter(|_| self.outgoing.voters.contains(&from)) {
@@ -224,12 +225,12 @@
     }
 
     /// A message was received from a member.
-    pub fn message_received(&mut self, now: Duration, from: Id, message: Message) {
+    pub fn message_received(&mut self, now: Duration, from: MemberId, message: Message) {
         self.handle(now, from, message);
         self.deliver_loopback(now);
     }
 
-    fn handle(&mut self, now: Duration, from: Id, message: Message) {
+    fn handle(&mut self, now: Duration, from: MemberId, message: Message) {
         let sender = |token| CoordinatorRef { token, member: from };
         match message {
             Message::Announce { token, committed } => {
@@ -269,7 +270,7 @@
         }
     }
 
-    fn send_chunk(&mut self, now: Duration, to: Id, hash: ContentHash, index: u32) {
+    fn send_chunk(&mut self, now: Duration, to: MemberId, hash: ContentHash, index: u32) {
         let chunk = self.bytes(hash).and_then(|bytes| chunk_of(hash, &bytes, index));
         if let Some(message) = chunk {
             self.outgoing.at(now).send(to, message);
--- a/crates/config-consensus/src/proposer.rs
+++ b/crates/config-consensus/src/proposer.rs
@@ -3,9 +3,9 @@
 use crate::configuration::{Change, EffectiveConfiguration};
 use crate::context::Context;
 use crate::host::Host;
-use crate::message::{MAX_INLINE_BYTES, Message, Proposal, ProposalBody, ProposalId};
-use crate::version::{ContentHash, MAX_VERSION_BYTES};
-use grebespool_leader_election::Id;
+use crate::message::{MAX_INLINE_BYTES, Message, Proposal, ProposalBody};
+use crate::version::{ContentHash, MAX_VERSION_BYTES, ProposalId};
+use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use thiserror::Error;
@@ -101,7 +101,7 @@
     pub(crate) fn send(
         &mut self,
         cx: &mut Context<impl Host>,
-        coordinator: Option<Id>,
+        coordinator: Option<MemberId>,
         retransmit_after: Duration,
     ) {
         self.retransmit_at = cx.now + retransmit_after;
--- a/crates/controller-server/src/observer.rs
+++ b/crates/controller-server/src/observer.rs
@@ -1,7 +1,7 @@
 //! What records a controller's day, or takes part in a group of controllers, is told here.
 
 use crate::site_requests::SiteRequest;
-use grebespool_leader_election::Memory;
+use grebespool_leader_election::Snapshot;
 use grebespool_wire::{EndpointList, RouteLoad, ServerLoad};
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -28,7 +28,7 @@
     fn newer_term_seen(&mut self, term: u64);
 
     /// What a former leader of the fleet knew, to begin with. Asked once, before any proxy is accepted.
-    fn initial_snapshot(&mut self) -> Option<Memory> {
+    fn initial_snapshot(&mut self) -> Option<Snapshot> {
         None
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// What this controller knows now; its term and number are the observer's to set.
-    fn snapshot_taken(&mut self, _snapshot: Memory) {}
+    fn snapshot_taken(&mut self, _snapshot: Snapshot) {}
 }
 
 /// Observes nothing.
--- a/crates/controller-server/src/snapshot.rs
+++ b/crates/controller-server/src/snapshot.rs
@@ -3,7 +3,10 @@
 use crate::effects::SocketEffects;
 use crate::shared::Shared;
 use grebespool_controller::{Controller, FleetPools, PoolSnapshot, ProxyPool};
-use grebespool_leader_election::{Drain, Held, Listed, Memory, Phase, Weight};
+use grebespool_leader_election::{
+    AppliedOrders, EndpointPhase, EndpointRecord, KnownDrain, LearnedWeight, PoolRecord, ProxyBinding,
+    Snapshot,
+};
 use grebespool_wire::{EndpointEntry, EndpointList, EndpointState, ServerId};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,7 +15,7 @@
 
 /// Hands a former leader's snapshot to a controller that has just started: the endpoint list first, so that weights have
 /// servers to belong to. The list's own service is polled all the same.
-pub(crate) fn restore(controller: &mut Controller<SocketEffects>, snapshot: &Memory) {
+pub(crate) fn restore(controller: &mut Controller<SocketEffects>, snapshot: &Snapshot) {
     if snapshot.list_version == 0 {
         return;
     }
@@ -20,78 +23,83 @@
         version: snapshot.list_version,
         base_version: 0,
         now_ms: snapshot.list_ms,
-        entries: snapshot.list.iter().map(wire_entry).collect(),
+        entries: snapshot.endpoints.iter().map(wire_entry).collect(),
     };
     controller.endpoints_received(Duration::ZERO, &list);
     controller.restore_pools(&fleet_pools(snapshot));
-    controller.restore_weights(&snapshot.weights());
+    controller.restore_weights(&snapshot.weights_by_server());
 }
 
-fn wire_entry(listed: &Listed) -> EndpointEntry {
+fn wire_entry(listed: &EndpointRecord) -> EndpointEntry {
     let state = match listed.phase {
-        Phase::Ready => EndpointState::Ready,
-        Phase::Draining => EndpointState::Draining,
+        EndpointPhase::Ready => EndpointState::Ready,
+        EndpointPhase::Draining => EndpointState::Draining,
     };
     EndpointEntry { server: listed.server(), zone: listed.zone.clone(), state, started_ms: listed.started_ms }
 }
 
-fn fleet_pools(snapshot: &Memory) -> FleetPools {
-    let server = |place: &u32| snapshot.list.get(*place as usize).map(Listed::server);
-    let pool = |(zone, places): &(String, Vec<u32>)| PoolSnapshot {
-        zone: zone.clone(),
-        servers: places.iter().filter_map(server).collect(),
+fn fleet_pools(snapshot: &Snapshot) -> FleetPools {
+    let server = |place: &u32| snapshot.endpoints.get(*place as usize).map(EndpointRecord::server);
+    let pool = |pool: &PoolRecord| PoolSnapshot {
+        zone: pool.zone.clone(),
+        servers: pool.endpoints.iter().filter_map(server).collect(),
     };
-    let proxy_pool = |(proxy, pool): &(String, u32)| ProxyPool { proxy: proxy.clone(), pool: *pool as usize };
+    let proxy_pool =
+        |binding: &ProxyBinding| ProxyPool { proxy: binding.proxy.clone(), pool: binding.pool as usize };
     FleetPools {
         pools: snapshot.pools.iter().map(pool).collect(),
-        proxies: snapshot.bound.iter().map(proxy_pool).collect(),
+        proxies: snapshot.bindings.iter().map(proxy_pool).collect(),
     }
 }
 
 /// What the controller knows at this moment. Term and number are the observer's to set.
-fn take(controller: &Controller<SocketEffects>, now: Duration) -> Memory {
+fn take(controller: &Controller<SocketEffects>, now: Duration) -> Snapshot {
     let endpoints = controller.endpoint_list(now);
-    let list: Vec<Listed> = endpoints.entries.into_iter().filter_map(listed).collect();
+    let list: Vec<EndpointRecord> = endpoints.entries.into_iter().filter_map(record).collect();
     let places: BTreeMap<ServerId, u32> =
         list.iter().enumerate().map(|(place, listed)| (listed.server(), place as u32)).collect();
     let FleetPools { pools, proxies } = controller.fleet_pools();
     let pool = |pool: PoolSnapshot| {
         let servers = pool.servers.iter().filter_map(|server| places.get(server).copied());
-        (pool.zone, servers.collect())
+        PoolRecord { zone: pool.zone, endpoints: servers.collect() }
     };
     let acknowledged = controller.acknowledged_sequences().into_iter();
-    Memory {
-        epoch: 0,
+    Snapshot {
+        term: 0,
         number: 0,
         list_version: endpoints.version,
         list_ms: endpoints.now_ms,
-        list,
+        endpoints: list,
         weights: controller.learned_weights().into_iter().map(weight).collect(),
         drains: controller.draining_servers().map(|(server, since)| drain(server, now, since)).collect(),
-        held: acknowledged.map(|(proxy, seq)| Held { proxy, seq }).collect(),
+        applied_orders: acknowledged.map(|(proxy, sequence)| AppliedOrders { proxy, sequence }).collect(),
         pools: pools.into_iter().map(pool).collect(),
-        bound: proxies.into_iter().map(|proxy| (proxy.proxy, proxy.pool as u32)).collect(),
+        bindings: proxies.into_iter().map(proxy_binding).collect(),
     }
 }
 
+fn proxy_binding(proxy: ProxyPool) -> ProxyBinding {
+    ProxyBinding { proxy: proxy.proxy, pool: proxy.pool as u32 }
+}
+
 /// `None` for a server that was removed.
-fn listed(entry: EndpointEntry) -> Option<Listed> {
+fn record(entry: EndpointEntry) -> Option<EndpointRecord> {
     let phase = match entry.state {
-        EndpointState::Ready => Phase::Ready,
-        EndpointState::Draining => Phase::Draining,
+        EndpointState::Ready => EndpointPhase::Ready,
+        EndpointState::Draining => EndpointPhase::Draining,
         EndpointState::Removed => return None,
     };
     let ServerId { addr, number } = entry.server;
-    Some(Listed { addr, number, zone: entry.zone, phase, started_ms: entry.started_ms })
+    Some(EndpointRecord { addr, number, zone: entry.zone, phase, started_ms: entry.started_ms })
 }
 
-fn weight((server, weight): (ServerId, f64)) -> Weight {
-    Weight { addr: server.addr, number: server.number, weight: weight as f32 }
+fn weight((server, weight): (ServerId, f64)) -> LearnedWeight {
+    LearnedWeight { addr: server.addr, number: server.number, weight: weight as f32 }
 }
 
-fn drain(server: ServerId, now: Duration, since: Duration) -> Drain {
+fn drain(server: ServerId, now: Duration, since: Duration) -> KnownDrain {
     let known_for_ms = now.saturating_sub(since).as_millis() as u64;
-    Drain { addr: server.addr, number: server.number, known_for_ms }
+    KnownDrain { addr: server.addr, number: server.number, known_for_ms }
 }
 
 /// Hands a snapshot to the observer again and again, between two turns of the controller.
