--- a/crates/cluster/src/commands/tasks.rs
+++ b/crates/cluster/src/commands/tasks.rs
@@ -1,10 +1,10 @@
 //! Commands on singleton tasks.
 
-use super::{Response, TaskOrder};
 use crate::core::Core;
+use crate::request::{Response, TaskOrder};
 use crate::task_host::{TaskHost, TaskRecorder};
 use grebespool_leader_election::MemberId;
-use grebespool_singleton_tasks::{Duties, Duty, LateOwner, Refused, Shown};
+use grebespool_singleton_tasks::{FencingStats, StaleHolder, TaskError, TaskId, TaskManager, TaskStatus};
 use std::time::Duration;
 use thiserror::Error;
 
@@ -16,15 +16,17 @@
     #[error("no member {0:?} that renews its duties")]
     MemberWithoutLease(String),
     #[error(transparent)]
-    Refused(Refused),
+    Refused(TaskError),
 }
 
 /// Who holds the lease of which task.
 pub(super) fn show(core: &Core) -> Response {
     let Some(host) = &core.tasks else { return not_configured() };
     let (now, tasks) = (core.now(), host.tasks.borrow());
-    let Some(all) = tasks.shown() else { return Response::Rejected("this member does not lead".into()) };
-    let (late, refused) = tasks.late();
+    let Some(all) = tasks.task_statuses() else {
+        return Response::Rejected("this member does not lead".into());
+    };
+    let FencingStats { last: late, rejected: refused } = tasks.fencing_stats();
     let count = format!("words of former owners refused here since the start: {refused}");
     let mut lines: Vec<String> = all.iter().map(|task| task_line(core, host, now, task)).collect();
     lines.extend(late.map(|late| stale_holder_line(core, host, now, &late)));
@@ -32,28 +34,28 @@
     Response::Lines(lines)
 }
 
-fn task_line(core: &Core, host: &TaskHost, now: Duration, task: &Shown) -> String {
-    let owner = task.owner.map_or("nobody".into(), |id| core.member_name(id));
+fn task_line(core: &Core, host: &TaskHost, now: Duration, task: &TaskStatus) -> String {
+    let owner = task.holder.map_or("nobody".into(), |id| core.member_name(id));
     let span = now.saturating_sub(task.since).as_secs_f64();
-    let mut line = format!("{}: {owner} for {span:.1} s, token {}", host.name(task.duty), task.token);
-    if let Some(from) = task.leaving {
+    let mut line = format!("{}: {owner} for {span:.1} s, token {}", host.name(task.task), task.token);
+    if let Some(from) = task.releasing {
         line += &format!(", being handed over by {}", core.member_name(from));
     }
-    if let Some(until) = task.held_until {
+    if let Some(until) = task.suspended_until {
         line += &format!(", rests for {:.0} s more", until.saturating_sub(now).as_secs_f64());
     }
-    if let Some(wanted) = task.wanted {
+    if let Some(wanted) = task.preferred {
         line += &format!(", wanted at {}", core.member_name(wanted));
     }
     line
 }
 
-fn stale_holder_line(core: &Core, host: &TaskHost, now: Duration, late: &LateOwner) -> String {
+fn stale_holder_line(core: &Core, host: &TaskHost, now: Duration, late: &StaleHolder) -> String {
     let ago = now.saturating_sub(late.at).as_secs_f64();
-    let (task, from) = (host.name(late.duty), core.member_name(late.from));
+    let (task, from) = (host.name(late.task), core.member_name(late.from));
     format!(
         "last refused here: {from} for {task} by token {}, after {} ({ago:.1} s ago)",
-        late.token, late.seen
+        late.token, late.highest_token
     )
 }
 
@@ -73,22 +75,22 @@
 
 fn carry_out(
     core: &Core,
-    tasks: &mut Duties<TaskRecorder>,
+    tasks: &mut TaskManager<TaskRecorder>,
     now: Duration,
-    task: Duty,
+    task: TaskId,
     order: &TaskOrder,
 ) -> Result<(), OrderError> {
     match order {
         TaskOrder::Move(to) => {
             let id = find_member(core, to).ok_or_else(|| OrderError::UnknownMember(to.clone()))?;
-            tasks.move_to(now, task, id).map_err(|refused| match refused {
-                Refused::NoMember => OrderError::MemberWithoutLease(to.clone()),
+            tasks.move_task(now, task, id).map_err(|refused| match refused {
+                TaskError::UnknownMember => OrderError::MemberWithoutLease(to.clone()),
                 refused => OrderError::Refused(refused),
             })
         }
         TaskOrder::Suspend(milliseconds) => {
             let span = Duration::from_millis(*milliseconds);
-            tasks.hold(now, task, span).map_err(OrderError::Refused)
+            tasks.suspend(now, task, span).map_err(OrderError::Refused)
         }
         TaskOrder::Release => tasks.release(now, task).map_err(OrderError::Refused),
     }
--- a/crates/cluster/src/configuration_host.rs
+++ b/crates/cluster/src/configuration_host.rs
@@ -6,7 +6,7 @@
     StoredState,
 };
 use grebespool_leader_election::MemberId;
-use grebespool_singleton_tasks::Token;
+use grebespool_singleton_tasks::FencingToken;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -18,7 +18,7 @@
 
 /// A step of the configuration's journal to be written.
 pub(crate) struct JournalWrite {
-    pub token: Token,
+    pub token: FencingToken,
     pub content: Vec<u8>,
 }
 
@@ -44,10 +44,10 @@
     fn persist(&mut self, state: &StoredState, stamp: u64) {
         self.0.persist = Some((state.clone(), stamp));
     }
-    fn write_journal(&mut self, token: Token, content: Vec<u8>) {
+    fn write_journal(&mut self, token: FencingToken, content: Vec<u8>) {
         self.0.journal_write = Some(JournalWrite { token, content });
     }
-    fn finish_journal_step(&mut self, _: Token) {
+    fn finish_journal_step(&mut self, _: FencingToken) {
         self.0.finish_journal_step = true;
     }
     fn active_versions_changed(&mut self, active: ActiveVersions) {
--- a/crates/cluster/src/dispatch.rs
+++ b/crates/cluster/src/dispatch.rs
@@ -15,7 +15,7 @@
 use crate::writer::CellWrite;
 use grebespool_config_consensus::ConsensusNode;
 use grebespool_leader_election::{Member as Election, MemberId};
-use grebespool_singleton_tasks::{Duties, Duty, Token};
+use grebespool_singleton_tasks::{ElectionState, FencingToken, Leader, TaskId, TaskManager};
 use std::time::Duration;
 use tracing::info;
 
@@ -55,20 +55,23 @@
 
     /// Tells tasks and the configuration who takes part and who leads.
     pub(crate) fn update_voters(&self) {
-        let (voters, leader, until) = {
-            let election = self.election.borrow();
-            let voters: Vec<MemberId> = election.hard_state().membership.voters.keys().copied().collect();
-            (voters, election.leader().map(|id| (election.term(), id)), election.lease_expires_at())
+        let election = {
+            let member = self.election.borrow();
+            ElectionState {
+                members: member.hard_state().membership.voters.keys().copied().collect(),
+                leader: member.leader().map(|id| Leader { term: member.term(), id }),
+                lease_expires_at: member.lease_expires_at(),
+            }
         };
-        let configuration_voters = voters.clone();
-        self.call_tasks(|tasks, now| tasks.roster(now, voters, leader, until));
+        let configuration_voters = election.members.clone();
+        self.call_tasks(|tasks, now| tasks.election_changed(now, election));
         self.call_configuration(|node, now| node.set_voters(now, configuration_voters));
     }
 
     /// Calls the tasks at this time, and carries out what they ask for. None where there are no tasks.
     pub(crate) fn call_tasks<T>(
         &self,
-        call: impl FnOnce(&mut Duties<TaskRecorder>, Duration) -> T,
+        call: impl FnOnce(&mut TaskManager<TaskRecorder>, Duration) -> T,
     ) -> Option<T> {
         let host = self.tasks.as_ref()?;
         let (returned, requests) = {
@@ -83,8 +86,8 @@
     /// Writes a step of a task's journal. Returns whether the step was written; None where there are no tasks.
     pub(crate) fn write_task_step(
         &self,
-        task: Duty,
-        write: impl FnOnce(&mut Duties<TaskRecorder>, Duration) -> bool,
+        task: TaskId,
+        write: impl FnOnce(&mut TaskManager<TaskRecorder>, Duration) -> bool,
     ) -> Option<bool> {
         self.call_tasks(|tasks, now| write_step(tasks, task, |tasks| write(tasks, now)))
     }
@@ -118,7 +121,7 @@
         let DurableStep { token, record, first, .. } = step;
         self.call_configuration(|node, now| match record {
             last if first => node.start_coordinating(now, token, last.as_ref()),
-            Some(record) if record.ended => node.journal_step_finished(now, token),
+            Some(record) if record.completed => node.journal_step_finished(now, token),
             _ => node.journal_durable(now, token),
         });
     }
@@ -160,7 +163,7 @@
     fn carry_out_configuration_requests(
         &self,
         host: &ConfigurationHost,
-        task: Duty,
+        task: TaskId,
         requests: ConfigurationRequests,
     ) {
         if let Some((state, stamp)) = requests.persist {
@@ -178,13 +181,13 @@
             self.write_configuration_step(task, token, content);
         }
         if requests.finish_journal_step {
-            self.write_task_step(task, |tasks, now| tasks.end(now, task));
+            self.write_task_step(task, |tasks, now| tasks.complete_step(now, task));
         }
         host.timer.notify_one();
     }
 
-    fn write_configuration_step(&self, task: Duty, token: Token, content: Vec<u8>) {
-        let written = self.write_task_step(task, |tasks, now| tasks.begin(now, task, content));
+    fn write_configuration_step(&self, task: TaskId, token: FencingToken, content: Vec<u8>) {
+        let written = self.write_task_step(task, |tasks, now| tasks.begin_step(now, task, content));
         if written != Some(true) {
             self.call_configuration(|node, now| node.journal_write_rejected(now, token));
         }
--- a/crates/cluster/src/store/tasks.rs
+++ b/crates/cluster/src/store/tasks.rs
@@ -2,7 +2,7 @@
 
 use super::checksum::{RecordError, decode, encode};
 use super::{COUNTS, Store, database};
-use grebespool_singleton_tasks::{Cell, Duty, Tally};
+use grebespool_singleton_tasks::{RegisterEntry, Tally, TaskId};
 use redb::{ReadableTable, TableDefinition, TableError};
 use std::collections::BTreeMap;
 use std::io;
@@ -19,7 +19,7 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct StoredCells {
     /// The entries by task.
-    pub cells: BTreeMap<Duty, Cell>,
+    pub cells: BTreeMap<TaskId, RegisterEntry>,
     /// Whether they are all that this member should have. A member that was added, or whose entries are damaged, copies those
     /// of the others first.
     pub complete: bool,
@@ -65,7 +65,7 @@
                 else {
                     continue;
                 };
-                match decode::<Cell>(&bytes) {
+                match decode::<RegisterEntry>(&bytes) {
                     Ok(cell) => drop(cells.insert(task, cell)),
                     Err(error) => {
                         on_damaged(name, &error);
@@ -88,7 +88,7 @@
     /// # Errors
     ///
     /// The database cannot be written.
-    pub fn write_cells(&self, cells: &[(String, Cell)], complete: Option<bool>) -> io::Result<()> {
+    pub fn write_cells(&self, cells: &[(String, RegisterEntry)], complete: Option<bool>) -> io::Result<()> {
         let write = database(self.state.begin_write())?;
         {
             let mut table = database(write.open_table(CELLS))?;
--- a/crates/config-consensus/src/replica/mod.rs
+++ b/crates/config-consensus/src/replica/mod.rs
@@ -12,7 +12,7 @@
 use crate::transfer::Download;
 use crate::version::{ConfigVersion, ContentHash, StoredState, VersionHeader, VersionId};
 use grebespool_leader_election::MemberId;
-use grebespool_singleton_tasks::Token;
+use grebespool_singleton_tasks::FencingToken;
 use persistence::Persistence;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorRef {
     /// The ownership; a later coordinator's is higher.
-    pub token: Token,
+    pub token: FencingToken,
     /// The member.
     pub member: MemberId,
 }
--- a/crates/controller-server/src/site_requests.rs
+++ b/crates/controller-server/src/site_requests.rs
@@ -2,7 +2,7 @@
 
 use crate::effects::SocketEffects;
 use crate::shared::Shared;
-use grebespool_controller::{Controller, Plan, SiteCommand, SiteCommandError, SiteOrder, Status};
+use grebespool_controller::{CapacityPlan, Controller, SiteCommand, SiteCommandError, SiteOrder, SiteStatus};
 use std::rc::Rc;
 use std::time::Duration;
 use thiserror::Error;
@@ -88,9 +88,9 @@
     }
 }
 
-fn status_line(now: Duration, name: &str, status: &Status) -> String {
+fn status_line(now: Duration, name: &str, status: &SiteStatus) -> String {
     let seconds = now.saturating_sub(status.since).as_secs_f64();
-    format!("{name}: {} for {seconds:.1} s ({})", status.standing, status.evidence)
+    format!("{name}: {} for {seconds:.1} s ({})", status.state, status.evidence)
 }
 
 /// What a command would do.
@@ -101,10 +101,10 @@
     names: &[&str],
 ) -> Result<Vec<String>, SiteRequestError> {
     match command.order {
-        SiteOrder::Back => Ok(vec![format!("{site} would return by steps, from a tenth")]),
-        SiteOrder::Out => match controller.plan_without_site(command.zone) {
+        SiteOrder::Restore => Ok(vec![format!("{site} would return by steps, from a tenth")]),
+        SiteOrder::TakeOut => match controller.plan_without_site(command.zone) {
             Ok(plan) => Ok(lines(format!("{site} would be out"), Some(&plan), names)),
-            Err(impossible) => Err(SiteRequestError::Refused(impossible.to_string())),
+            Err(error) => Err(SiteRequestError::Refused(error.to_string())),
         },
     }
 }
@@ -124,8 +124,8 @@
         }
     })?;
     let done = match command.order {
-        SiteOrder::Out => format!("{site} is out"),
-        SiteOrder::Back => format!("{site} returns by steps"),
+        SiteOrder::TakeOut => format!("{site} is out"),
+        SiteOrder::Restore => format!("{site} returns by steps"),
     };
     Ok(lines(done, plan.as_ref(), names))
 }
@@ -140,14 +140,14 @@
 }
 
 /// What was done or would be, and the plan that goes with it.
-fn lines(done: String, plan: Option<&Plan>, names: &[&str]) -> Vec<String> {
+fn lines(done: String, plan: Option<&CapacityPlan>, names: &[&str]) -> Vec<String> {
     let mut lines = vec![done];
     let Some(plan) = plan else { return lines };
-    for (name, filled) in names.iter().zip(&plan.filled) {
-        lines.push(format!("  {name} {:.0}% full", 100.0 * filled));
+    for (name, utilization) in names.iter().zip(&plan.utilization) {
+        lines.push(format!("  {name} {:.0}% full", 100.0 * utilization));
     }
-    for (route, level) in plan.levels.iter().enumerate().filter(|(_, level)| **level < 1.0) {
-        lines.push(format!("  route {route} let in at {:.0}%", 100.0 * level));
+    for (route, admitted) in plan.admitted.iter().enumerate().filter(|(_, admitted)| **admitted < 1.0) {
+        lines.push(format!("  route {route} let in at {:.0}%", 100.0 * admitted));
     }
     lines.push(format!("  service {:.3}", plan.service));
     lines
--- a/crates/controller/src/controller/sites.rs
+++ b/crates/controller/src/controller/sites.rs
@@ -4,7 +4,7 @@
 use crate::effects::Effects;
 use crate::site_watch::{SiteCommand, SiteWatch};
 use grebespool::host::{Route, ZoneId};
-use grebespool_site_failover::{Impossible, Plan, Refused, Status, Timing};
+use grebespool_site_failover::{CapacityPlan, FailoverParameters, OrderError, PlanError, SiteStatus};
 use grebespool_wire::UpdateCause;
 use std::time::Duration;
 use thiserror::Error;
@@ -17,18 +17,18 @@
     NotWatched,
     /// The command cannot be carried out as things are.
     #[error("{0}")]
-    Refused(Refused),
+    Refused(OrderError),
 }
 
 impl<E: Effects> Controller<E> {
-    /// Watches for the loss of whole sites from here on (`docs/design/site-loss.md`). Without it nothing of that is
+    /// Watches for the loss of whole sites from here on (`docs/design/site-failover.md`). Without it nothing of that is
     /// done.
-    pub fn watch_sites(&mut self, routes: &[Route], timing: Timing) {
-        self.sites = Some(SiteWatch::new(self.endpoints.zones().to_vec(), routes, timing));
+    pub fn watch_sites(&mut self, routes: &[Route], parameters: FailoverParameters) {
+        self.sites = Some(SiteWatch::new(self.endpoints.zones().to_vec(), routes, parameters));
     }
 
     /// The status of each site, by its name; empty where sites are not watched.
-    pub fn site_statuses(&self, now: Duration) -> Vec<(String, Status)> {
+    pub fn site_statuses(&self, now: Duration) -> Vec<(String, SiteStatus)> {
         let statuses = self.sites.iter().flat_map(|sites| sites.statuses(now));
         self.endpoints.zones().iter().cloned().zip(statuses).collect()
     }
@@ -38,10 +38,10 @@
     /// # Errors
     ///
     /// The capacity of some site is unknown, or no site would be left.
-    pub fn plan_without_site(&self, zone: ZoneId) -> Result<Plan, Impossible> {
+    pub fn plan_without_site(&self, zone: ZoneId) -> Result<CapacityPlan, PlanError> {
         match &self.sites {
             Some(sites) => sites.plan_without(zone),
-            None => Err(Impossible::Nothing),
+            None => Err(PlanError::NoSiteLeft),
         }
     }
 
@@ -54,7 +54,7 @@
         &mut self,
         now: Duration,
         command: SiteCommand,
-    ) -> Result<Option<Plan>, SiteCommandError> {
+    ) -> Result<Option<CapacityPlan>, SiteCommandError> {
         let Controller { sites, policy, effects, .. } = self;
         let Some(sites) = sites else { return Err(SiteCommandError::NotWatched) };
         let plan = sites.command(now, command, policy, effects);
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -28,7 +28,9 @@
 pub use effects::{Effects, StreamId};
 pub use endpoint_registry::{EndpointListError, EndpointRegistry};
 pub use event::ControllerEvent;
-pub use grebespool_site_failover::{Order as SiteOrder, Pacing, Plan, Refused, Standing, Status, Timing};
+pub use grebespool_site_failover::{
+    CapacityPlan, FailoverParameters, OrderError, RampParameters, SiteOrder, SiteState, SiteStatus,
+};
 pub use join_limiter::JoinLimiter;
 pub use metrics_validation::MetricsValidator;
 pub use site_watch::SiteCommand;
--- a/crates/controller/src/site_watch.rs
+++ b/crates/controller/src/site_watch.rs
@@ -5,7 +5,10 @@
 use crate::event::ControllerEvent;
 use grebespool::host::{EndpointState, LoadReport, PolicyHost, Route, ZoneId};
 use grebespool::policy::Policy;
-use grebespool_site_failover::{Demand, Ground, Impossible, Order, Plan, Refused, Sites, Status, Timing};
+use grebespool_site_failover::{
+    AttemptReport, CapacityPlan, FailoverEvent, FailoverHost, FailoverParameters, OrderError, PlanError,
+    RouteDemand, SiteFailover, SiteOrder, SiteStatus,
+};
 use std::time::Duration;
 
 /// How often within its window the evidence is evaluated.
@@ -21,7 +24,7 @@
 
 /// The sites as the controller watches them. A site is a zone, by its id.
 pub(crate) struct SiteWatch {
-    sites: Sites,
+    failover: SiteFailover,
     names: Vec<String>,
     window: Duration,
     evaluated_at: Duration,
@@ -34,7 +37,7 @@
     /// The site's zone.
     pub zone: ZoneId,
     /// What is to be done.
-    pub order: Order,
+    pub order: SiteOrder,
     /// Whether it is to be done even if routes are throttled by it.
     pub forced: bool,
 }
@@ -47,64 +50,72 @@
     names: &'a [String],
 }
 
-impl<H: PolicyHost, E: Effects> Ground for VerdictTarget<'_, H, E> {
-    fn part(&mut self, site: usize, part: f64) {
+impl<H: PolicyHost, E: Effects> FailoverHost for VerdictTarget<'_, H, E> {
+    fn limit_site_weight(&mut self, site: usize, part: f64) {
         self.policy.limit_zone_share(self.now, site as ZoneId, part);
     }
 
-    fn levels(&mut self, most: &[f64]) {
+    fn limit_admission(&mut self, most: &[f64]) {
         self.policy.limit_admission(self.now, most);
     }
 
-    fn say(&mut self, text: String) {
-        self.effects.report(ControllerEvent::Site(with_site_names(text, self.names)));
+    fn log(&mut self, event: FailoverEvent) {
+        let text = format!("site {}: {}", self.names[event.site], event.change);
+        self.effects.report(ControllerEvent::Site(text));
     }
 }
 
-/// Site failover knows sites by their ids, operators by their names.
-fn with_site_names(text: String, names: &[String]) -> String {
-    let mut named = text;
-    for (id, name) in names.iter().enumerate() {
-        named = named.replace(&format!("site {id}:"), &format!("site {name}:"));
-    }
-    named
-}
-
 impl SiteWatch {
     /// `names`: the names of the zones, in the order of their ids.
-    pub(crate) fn new(names: Vec<String>, routes: &[Route], timing: Timing) -> SiteWatch {
-        let demand = |route: &Route| Demand { importance: route.priority_weight, stays: route.zone_local };
-        let sites = Sites::new(names.len(), routes.iter().map(demand).collect(), timing);
+    pub(crate) fn new(names: Vec<String>, routes: &[Route], parameters: FailoverParameters) -> SiteWatch {
+        let demand = |route: &Route| RouteDemand {
+            priority_weight: route.priority_weight,
+            is_site_local: route.zone_local,
+        };
+        let demands = routes.iter().map(demand).collect();
+        let failover = SiteFailover::new(names.len(), demands, parameters);
         let listed = vec![ListedSite::default(); names.len()];
-        SiteWatch { sites, names, window: timing.window, evaluated_at: Duration::ZERO, listed }
+        SiteWatch {
+            failover,
+            names,
+            window: parameters.evidence_window,
+            evaluated_at: Duration::ZERO,
+            listed,
+        }
     }
 
     /// Proxies of `report.client_zone` measured a server of `zone`.
     pub(crate) fn load_reported(&mut self, now: Duration, zone: ZoneId, report: &LoadReport) {
         let answered = f64::from(report.attempts.saturating_sub(report.failures));
         let latency_s = report.latency.map_or(0.0, |latency| latency.as_secs_f64() * answered);
-        let (from, site) = (usize::from(report.client_zone), usize::from(zone));
-        self.sites.met(now, from, site, f64::from(report.attempts), answered, latency_s);
+        let report = AttemptReport {
+            from: usize::from(report.client_zone),
+            site: usize::from(zone),
+            attempts: f64::from(report.attempts),
+            answered,
+            total_wait_seconds: latency_s,
+        };
+        self.failover.observations().attempts_reported(now, report);
     }
 
     /// A proxy of the zone reported.
     pub(crate) fn zone_reported(&mut self, now: Duration, zone: ZoneId) {
-        self.sites.heard(now, usize::from(zone));
+        self.failover.observations().clients_heard(now, usize::from(zone));
     }
 
     /// A health check of a server of the zone ended.
     pub(crate) fn health_check_finished(&mut self, now: Duration, zone: ZoneId, answered: bool) {
-        self.sites.probed(now, usize::from(zone), answered);
+        self.failover.observations().health_check_finished(now, usize::from(zone), answered);
     }
 
     /// A proxy of the zone joined.
     pub(crate) fn proxy_joined(&mut self, now: Duration, zone: ZoneId) {
-        self.sites.joined(now, usize::from(zone));
+        self.failover.observations().proxy_joined(now, usize::from(zone));
     }
 
     /// A proxy of the zone left.
     pub(crate) fn proxy_left(&mut self, now: Duration, zone: ZoneId) {
-        self.sites.left(now, usize::from(zone));
+        self.failover.observations().proxy_left(now, usize::from(zone));
     }
 
     /// The whole endpoint list in force.
@@ -120,7 +131,12 @@
             site.latest_start = site.latest_start.max(endpoint.started_at);
         }
         for (site, listed) in self.listed.iter().enumerate() {
-            self.sites.listed(now, site, listed.ready_servers, listed.latest_start);
+            self.failover.observations().endpoints_listed(
+                now,
+                site,
+                listed.ready_servers,
+                listed.latest_start,
+            );
         }
     }
 
@@ -136,9 +152,9 @@
         }
         self.evaluated_at = now;
         for (zone, capacity) in policy.zone_capacity(now).into_iter().enumerate() {
-            self.sites.room(zone, capacity.capacity_per_s, capacity.received_per_s);
+            self.failover.capacity_reported(zone, capacity.capacity_per_s, capacity.received_per_s);
         }
-        self.sites.look(now, &mut VerdictTarget { now, policy, effects, names: &self.names });
+        self.failover.evaluate(now, &mut VerdictTarget { now, policy, effects, names: &self.names });
         true
     }
 
@@ -149,21 +165,21 @@
         command: SiteCommand,
         policy: &mut Policy<H>,
         effects: &mut impl Effects,
-    ) -> Result<Option<Plan>, Refused> {
+    ) -> Result<Option<CapacityPlan>, OrderError> {
         let SiteCommand { zone, order, forced } = command;
         let mut target = VerdictTarget { now, policy, effects, names: &self.names };
-        self.sites.order(now, usize::from(zone), order, forced, &mut target)
+        self.failover.execute(now, usize::from(zone), order, forced, &mut target)
     }
 
     /// What would be done with the zone out beside those that are out already.
-    pub(crate) fn plan_without(&self, zone: ZoneId) -> Result<Plan, Impossible> {
-        let mut lost = self.sites.out();
+    pub(crate) fn plan_without(&self, zone: ZoneId) -> Result<CapacityPlan, PlanError> {
+        let mut lost = self.failover.unavailable_sites();
         lost.insert(usize::from(zone));
-        self.sites.plan(&lost)
+        self.failover.plan_without(&lost)
     }
 
     /// The status of each site, in the order of their ids.
-    pub(crate) fn statuses(&self, now: Duration) -> Vec<Status> {
-        self.sites.status(now)
+    pub(crate) fn statuses(&self, now: Duration) -> Vec<SiteStatus> {
+        self.failover.statuses(now)
     }
 }
