--- a/crates/cli/src/editions.rs
+++ b/crates/cli/src/editions.rs
@@ -1,6 +1,7 @@
 //! `editions`: what all members of a fleet go by.
 
-use crate::members::{members_of, question};
+use crate::error::CommandError;
+use crate::members::{read_members, send};
 use clap::Subcommand;
 use grebespool_cluster::{ConfigurationStatus, Request, Response};
 use grebespool_config_consensus::Change;
@@ -8,7 +9,7 @@
 use std::process::ExitCode;
 
 #[derive(Subcommand)]
-pub enum EditionsCommand {
+pub(crate) enum EditionsCommand {
     /// Say what this member holds, by what it acts at this moment, and who convenes
     Show {
         settings: PathBuf,
@@ -25,59 +26,67 @@
     },
 }
 
-fn changes_of(file: &Path) -> Result<Vec<Change>, String> {
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let from = &mut serde_json::Deserializer::from_str(&text);
-    serde_path_to_error::deserialize(from)
-        .map_err(|e| format!("{}: at {}: {}", file.display(), e.path(), e.inner()))
+fn read_changes(file: &Path) -> Result<Vec<Change>, CommandError> {
+    let text = std::fs::read_to_string(file).map_err(CommandError::file(file))?;
+    let json = &mut serde_json::Deserializer::from_str(&text);
+    serde_path_to_error::deserialize(json).map_err(|error| CommandError::Changes {
+        file: file.to_path_buf(),
+        place: error.path().to_string(),
+        cause: error.into_inner(),
+    })
 }
 
-pub fn editions(command: EditionsCommand) -> Result<ExitCode, String> {
-    let (settings, json, wanted) = match command {
+/// Runs the command.
+///
+/// # Errors
+///
+/// The settings or the changes cannot be used, or the member does not do what was asked.
+pub(crate) fn editions(command: EditionsCommand) -> Result<ExitCode, CommandError> {
+    let (settings, json, request) = match command {
         EditionsCommand::Show { settings, json } => (settings, json, Request::ShowConfiguration),
         EditionsCommand::Propose { settings, changes, force } => {
-            (settings, false, Request::Propose { changes: changes_of(&changes)?, forced: force })
+            (settings, false, Request::Propose { changes: read_changes(&changes)?, forced: force })
         }
     };
-    match question(&members_of(&settings)?, None, wanted)? {
-        Response::Done(what) => println!("{what}"),
-        Response::Configuration(shown) if json => {
-            println!("{}", serde_json::to_string_pretty(&shown).map_err(|e| e.to_string())?);
+    match send(&read_members(&settings)?, None, request)? {
+        Response::Done(text) => println!("{text}"),
+        Response::Configuration(status) if json => {
+            println!("{}", serde_json::to_string_pretty(&status)?);
         }
-        Response::Configuration(shown) => show(&shown),
-        Response::Rejected(why) => return Err(why),
-        _ => return Err("it answered something else".into()),
+        Response::Configuration(status) => show(&status),
+        Response::Rejected(reason) => return Err(CommandError::Rejected(reason)),
+        _ => return Err(CommandError::UnexpectedAnswer),
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn show(shown: &ConfigurationStatus) {
-    println!("{} acts by {}", shown.name, shown.active);
-    println!("standing: edition {}, {}", shown.committed.0, shown.committed.1);
-    if let Some((number, hash)) = &shown.pending {
+fn show(status: &ConfigurationStatus) {
+    println!("{} acts by {}", status.name, status.active);
+    println!("standing: edition {}, {}", status.committed.0, status.committed.1);
+    if let Some((number, hash)) = &status.pending {
         println!("prepared: edition {number}, {hash}");
     }
-    println!("convener: {}", shown.coordinator.as_deref().unwrap_or("none is known"));
-    if shown.undecided_proposals > 0 {
-        println!("proposals of this member that wait for an answer: {}", shown.undecided_proposals);
+    println!("convener: {}", status.coordinator.as_deref().unwrap_or("none is known"));
+    if status.undecided_proposals > 0 {
+        println!("proposals of this member that wait for an answer: {}", status.undecided_proposals);
     }
-    if !shown.effective.exempt_servers.is_empty() {
+    if !status.effective.exempt_servers.is_empty() {
         println!(
             "called against one of two editions, as nothing else would be left: {}",
-            shown.effective.exempt_servers.len()
+            status.effective.exempt_servers.len()
         );
     }
-    let ready = shown
+    let ready = status
         .effective
         .servers
         .values()
-        .filter(|s| s.state == grebespool_config_consensus::ServerState::Ready);
+        .filter(|server| server.state == grebespool_config_consensus::ServerState::Ready);
     println!(
         "shared: {} routes, {} limits, {} racks, {} servers of which {} are ready",
-        shown.effective.max_shares.len(),
-        shown.effective.limits.len(),
-        shown.effective.racks.len(),
-        shown.effective.servers.len(),
+        status.effective.max_shares.len(),
+        status.effective.limits.len(),
+        status.effective.racks.len(),
+        status.effective.servers.len(),
         ready.count()
     );
 }
