--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -7,14 +7,15 @@
     fleet_id, run_member,
 };
 use grebespool_config_consensus::{ConsensusSettings, LeaseParameters, ValidationRules};
-use grebespool_controller::{SiteOrder, Start};
+use grebespool_controller::{Incarnation, SiteOrder};
 use grebespool_controller_server::{
-    Passage, SiteAsk, SiteWhat, Untouched, Watch, send_elsewhere, serve as serve_planner,
+    Observer, PassThrough, ServerConfig, SiteQuery, SiteRequest as ControllerSiteRequest, UpdateFilter,
+    redirect_to_leader, serve as serve_controller,
 };
 use grebespool_leader_election::{LeaseParameters as ElectionParameters, Snapshot};
 use grebespool_settings::{Members, Planned};
 use grebespool_singleton_tasks::{Counts, NO_ROUTE, TaskLeaseParameters};
-use grebespool_wire::{CameLine, Entry, Key, MetLine, Orders};
+use grebespool_wire::{EndpointList, FleetKey, RouteLoad, ServerLoad, Update};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -68,7 +69,7 @@
                 Some(members) => lead_or_follow(file, listener, planned, members, &key, &recording).await,
                 None => {
                     let listener = told_open(listener)?;
-                    plan(file, listener, start, &planned, &key, Untouched, recording.clone()).await
+                    plan(file, listener, start, &planned, &key, PassThrough, recording.clone()).await
                 }
             }
         };
@@ -98,8 +99,8 @@
     Ok(key)
 }
 
-fn start_in(epoch: u64) -> Start {
-    Start { id: rand::random::<u64>() | 1, seed: rand::random(), epoch }
+fn start_in(term: u64) -> Incarnation {
+    Incarnation { id: rand::random::<u64>() | 1, seed: rand::random(), term }
 }
 
 /// For whoever starts it with port 0; standard output has nothing else.
@@ -113,25 +114,22 @@
 async fn plan(
     file: &Path,
     listener: TcpListener,
-    start: Start,
+    incarnation: Incarnation,
     planned: &Planned,
     key: &[u8],
-    passage: impl Passage,
-    watch: impl Watch,
+    filter: impl UpdateFilter,
+    observer: impl Observer,
 ) -> Result<(), CommandError> {
     let Planned { deployment, listen, list, probe_limit, .. } = planned.clone();
-    let serving = serve_planner(
-        listener,
-        start,
-        Key::derive(key),
+    let config = ServerConfig {
+        incarnation,
+        key: FleetKey::derive(key),
         deployment,
         listen,
-        list,
-        probe_limit.0,
-        passage,
-        watch,
-    );
-    serving.await.map_err(CommandError::file(file))
+        endpoint_source: list,
+        health_check_timeout: probe_limit.0,
+    };
+    serve_controller(listener, config, filter, observer).await.map_err(CommandError::file(file))
 }
 
 /// Lets orders out only while this controller may give them.
@@ -140,9 +138,9 @@
     epoch: u64,
 }
 
-impl Passage for Gate {
-    fn pass(&mut self, _: u32, orders: Orders) -> Option<Orders> {
-        self.member.may_order(self.epoch).then_some(orders)
+impl UpdateFilter for Gate {
+    fn filter(&mut self, _: u32, update: Update) -> Option<Update> {
+        self.member.may_order(self.epoch).then_some(update)
     }
 }
 
@@ -159,23 +157,23 @@
     at: BTreeMap<String, u16>,
 }
 
-impl Watch for Leading {
-    fn list(&mut self, now: Duration, version: u64, base: u64, now_ms: u64, entries: &[Entry]) {
-        self.recording.list(now, version, base, now_ms, entries);
+impl Observer for Leading {
+    fn endpoints_received(&mut self, now: Duration, list: &EndpointList) {
+        self.recording.endpoints_received(now, list);
     }
-    fn joined(&mut self, now: Duration, name: &str, zone: &str, bare: bool) {
-        self.recording.joined(now, name, zone, bare);
+    fn proxy_joined(&mut self, now: Duration, name: &str, zone: &str, initial_table_only: bool) {
+        self.recording.proxy_joined(now, name, zone, initial_table_only);
         let zone = self.zones.iter().position(|z| z == zone).unwrap_or_default();
         self.at.insert(name.into(), zone as u16);
     }
-    fn left(&mut self, now: Duration, name: &str) {
-        self.recording.left(now, name);
+    fn proxy_left(&mut self, now: Duration, name: &str) {
+        self.recording.proxy_left(now, name);
         self.at.remove(name);
     }
-    fn came(&mut self, now: Duration, name: &str, came: &[CameLine]) {
-        self.recording.came(now, name, came);
+    fn calls_reported(&mut self, now: Duration, name: &str, routes: &[RouteLoad]) {
+        self.recording.calls_reported(now, name, routes);
         let zone = self.at.get(name).copied().unwrap_or_default();
-        for line in came {
+        for line in routes {
             self.member.count_requests(
                 zone,
                 line.route,
@@ -183,9 +181,9 @@
             );
         }
     }
-    fn met(&mut self, name: &str, met: &[MetLine]) {
-        let sum = |of: fn(&MetLine) -> u32| met.iter().map(|m| u64::from(of(m))).sum();
-        let (tries, dropped) = (sum(|m| m.tries), sum(|m| m.dropped));
+    fn load_reported(&mut self, name: &str, servers: &[ServerLoad]) {
+        let sum = |of: fn(&ServerLoad) -> u32| servers.iter().map(|load| u64::from(of(load))).sum();
+        let (tries, dropped) = (sum(|load| load.attempts), sum(|load| load.dropped));
         let zone = self.at.get(name).copied().unwrap_or_default();
         self.member.count_requests(
             zone,
@@ -193,41 +191,42 @@
             Counts { attempts: tries, unanswered: dropped, ..Counts::default() },
         );
     }
-    fn passed_over(&mut self, epoch: u64) {
+    fn newer_term_seen(&mut self, term: u64) {
         // Not from within the planner's own turn: standing down ends it.
         let member = self.member.clone();
-        spawn_local(async move { member.term_seen(epoch) });
+        spawn_local(async move { member.term_seen(term) });
     }
-    fn recall(&mut self) -> Option<Snapshot> {
+    fn initial_snapshot(&mut self) -> Option<Snapshot> {
         self.memory.take().map(|m| *m)
     }
-    fn remembers_every(&self) -> Option<Duration> {
+    fn snapshot_interval(&self) -> Option<Duration> {
         Some(self.every)
     }
-    fn site_asks(&mut self) -> Option<mpsc::UnboundedReceiver<SiteAsk>> {
+    fn site_requests(&mut self) -> Option<mpsc::UnboundedReceiver<ControllerSiteRequest>> {
         let mut requests = self.member.site_requests();
         let (to, asks) = mpsc::unbounded_channel();
         spawn_local(async move {
             while let Some(SiteRequest { request, response }) = requests.recv().await {
-                let what = match request {
+                let query = match request {
                     Request::Site { site, out, forced, dry_run: dry } => {
                         let order = if out { SiteOrder::TakeOut } else { SiteOrder::Restore };
-                        SiteWhat::Order { site, order, forced, dry }
+                        SiteQuery::Command { site, order, forced, dry_run: dry }
                     }
-                    _ => SiteWhat::Show,
+                    _ => SiteQuery::Show,
                 };
                 let (tell, told) = oneshot::channel();
-                if to.send(SiteAsk { what, answer: tell }).is_err() {
+                if to.send(ControllerSiteRequest { query, answer: tell }).is_err() {
                     return;
                 }
                 if let Ok(told) = told.await {
-                    let _ = response.send(told.map_or_else(Response::Rejected, Response::Lines));
+                    let _ = response
+                        .send(told.map_or_else(|why| Response::Rejected(why.to_string()), Response::Lines));
                 }
             }
         });
         Some(asks)
     }
-    fn remember(&mut self, mut memory: Snapshot) {
+    fn snapshot_taken(&mut self, mut memory: Snapshot) {
         self.number += 1;
         (memory.term, memory.number) = (self.epoch, self.number);
         if let Err(why) = self.member.publish_snapshot(&memory) {
@@ -241,7 +240,7 @@
     let duties = members.duties.as_ref()?;
     let accounts = duties.accounts.as_ref();
     Some(TaskSettings {
-        terms: TaskLeaseParameters {
+        lease: TaskLeaseParameters {
             lease: duties.lease.0,
             renew_interval: duties.renew.0,
             clock_drift: members.drift,
@@ -313,7 +312,7 @@
             match role {
                 Role::Follower => {
                     let known = member.clone();
-                    send_elsewhere(own, move || known.leader()).await;
+                    redirect_to_leader(own, move || known.leader()).await;
                     Ok(())
                 }
                 Role::Leader { term: epoch, snapshot: memory } => {
--- a/crates/server-model/src/proxy_tables.rs
+++ b/crates/server-model/src/proxy_tables.rs
@@ -2,7 +2,9 @@
 //! applies one that is older than what it has applied.
 
 use grebespool_settings::Picks;
-use grebespool_wire::{Level, Order, Orders, ServerId, Tries};
+use grebespool_wire::{
+    AdmissionRule, Change, Exclusion, RetryPolicy, ServerId, ServerWeight, TableBinding, Update, WeightChange,
+};
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -25,10 +27,10 @@
 /// A planner's update, by which it is acknowledged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UpdateId {
-    /// The planner's start.
-    pub start: u64,
+    /// The planner's incarnation.
+    pub incarnation: u64,
     /// The position in its stream, from 1.
-    pub seq: u64,
+    pub sequence: u64,
 }
 
 /// What a route's proxies admit, and when they retry.
@@ -37,12 +39,12 @@
     /// The share of the requests that is admitted, 0 to 1.
     pub share: f32,
     /// When a failed attempt is made again.
-    pub retries: Tries,
+    pub retries: RetryPolicy,
 }
 
 impl Admission {
     /// Everything, until a planner says otherwise.
-    const DEFAULT: Admission = Admission { share: 1.0, retries: Tries::AfterProof };
+    const DEFAULT: Admission = Admission { share: 1.0, retries: RetryPolicy::IfNotExecuted };
 }
 
 struct Entry {
@@ -88,10 +90,10 @@
     avoided_until: Duration,
 }
 
-/// A planner's stream, by the planner's start and the stream's number.
+/// A planner's stream, by the planner's incarnation and the stream's number.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct PlannerStream {
-    start: u64,
+    incarnation: u64,
     stream: u32,
 }
 
@@ -100,13 +102,13 @@
     picks: Picks,
     avoidance: Avoidance,
     tables: Vec<Table>,
-    levels: BTreeMap<u16, Level>,
+    levels: BTreeMap<u16, AdmissionRule>,
     withdrawn: BTreeSet<ServerId>,
     failure_runs: BTreeMap<ServerId, FailureRun>,
     stream: Option<PlannerStream>,
     /// The newest term seen; kept over broken streams.
     term: u64,
-    seq: u64,
+    sequence: u64,
     last_applied: UpdateId,
 }
 
@@ -122,7 +124,7 @@
             failure_runs: BTreeMap::new(),
             stream: None,
             term: 0,
-            seq: 0,
+            sequence: 0,
             last_applied: UpdateId::default(),
         };
         tables.set_even_weights(servers);
@@ -155,12 +157,17 @@
     /// # Errors
     ///
     /// The planner leads in an older term than one that was seen.
-    pub fn stream_accepted(&mut self, start: u64, stream: u32, term: u64) -> Result<(), StaleUpdateError> {
+    pub fn stream_accepted(
+        &mut self,
+        incarnation: u64,
+        stream: u32,
+        term: u64,
+    ) -> Result<(), StaleUpdateError> {
         if term < self.term {
             return Err(StaleUpdateError);
         }
-        self.stream = Some(PlannerStream { start, stream });
-        self.seq = 0;
+        self.stream = Some(PlannerStream { incarnation, stream });
+        self.sequence = 0;
         self.term = term;
         Ok(())
     }
@@ -175,47 +182,47 @@
     /// # Errors
     ///
     /// The update is stale, and nothing of it is applied.
-    pub fn apply(&mut self, update: &Orders) -> Result<Option<u16>, StaleUpdateError> {
-        let stream = PlannerStream { start: update.start, stream: update.stream };
-        let is_current = self.stream == Some(stream) && update.epoch == self.term;
-        if !is_current || update.seq <= self.seq {
+    pub fn apply(&mut self, update: &Update) -> Result<Option<u16>, StaleUpdateError> {
+        let stream = PlannerStream { incarnation: update.incarnation, stream: update.stream };
+        let is_current = self.stream == Some(stream) && update.term == self.term;
+        if !is_current || update.sequence <= self.sequence {
             return Err(StaleUpdateError);
         }
-        self.seq = update.seq;
-        self.last_applied = UpdateId { start: update.start, seq: update.seq };
+        self.sequence = update.sequence;
+        self.last_applied = UpdateId { incarnation: update.incarnation, sequence: update.sequence };
         let mut ack = None;
-        for part in &update.parts {
-            if let Order::Mark(number) = part {
+        for change in &update.changes {
+            if let Change::RequestAck(number) = change {
                 ack = Some(*number);
             } else {
-                self.apply_part(part);
+                self.apply_change(change);
             }
         }
         Ok(ack)
     }
 
-    fn apply_part(&mut self, part: &Order) {
-        match part {
-            Order::Bind { table, routes, lines, levels, .. } => {
-                self.bind(*table, *routes, lines);
-                self.levels = levels.iter().map(|level| (level.routes, *level)).collect();
+    fn apply_change(&mut self, change: &Change) {
+        match change {
+            Change::BindTable(TableBinding { table, routes, weights, admission, .. }) => {
+                self.bind(*table, *routes, weights);
+                self.levels = admission.iter().map(|level| (level.routes, *level)).collect();
             }
-            Order::Line { table, server, weight, .. } => {
+            Change::SetWeight(WeightChange { table, server, weight, .. }) => {
                 let tables = self.tables.iter_mut().filter(|held| held.number == *table);
                 tables.for_each(|held| held.set_weight(*server, *weight));
             }
-            Order::Level(level) => drop(self.levels.insert(level.routes, *level)),
-            Order::Withdraw { server, out: true } => drop(self.withdrawn.insert(*server)),
-            Order::Withdraw { server, out: false } => drop(self.withdrawn.remove(server)),
-            Order::Mark(_) => {}
+            Change::SetAdmission(level) => drop(self.levels.insert(level.routes, *level)),
+            Change::Exclude(Exclusion { server, excluded: true }) => drop(self.withdrawn.insert(*server)),
+            Change::Exclude(Exclusion { server, excluded: false }) => drop(self.withdrawn.remove(server)),
+            Change::RequestAck(_) => {}
         }
     }
 
     /// Uses a table for routes, in place of the tables that these had.
-    fn bind(&mut self, number: u16, routes: u16, weights: &[(ServerId, f32)]) {
+    fn bind(&mut self, number: u16, routes: u16, weights: &[ServerWeight]) {
         self.tables
             .retain(|table| routes != ALL_ROUTES && table.routes & routes == 0 && table.routes != ALL_ROUTES);
-        let entries = weights.iter().map(|(server, weight)| Entry::new(*server, *weight)).collect();
+        let entries = weights.iter().map(|held| Entry::new(held.server, held.weight)).collect();
         self.tables.push(Table { number, routes, entries });
     }
 
@@ -226,7 +233,10 @@
     /// What is admitted of a route.
     pub fn admission(&self, route: u8) -> Admission {
         let level = self.levels.values().find(|level| Self::includes(level.routes, route));
-        level.map_or(Admission::DEFAULT, |level| Admission { share: level.share, retries: level.tries })
+        level.map_or(Admission::DEFAULT, |level| Admission {
+            share: level.admitted_fraction,
+            retries: level.retry_policy,
+        })
     }
 
     /// Whether any table has the server.
--- a/crates/server-model/src/report_aggregator.rs
+++ b/crates/server-model/src/report_aggregator.rs
@@ -1,6 +1,6 @@
 //! What a proxy observed since its last report, summed up by server and route.
 
-use grebespool_wire::{CameLine, Message, MetLine, Report, ServerId};
+use grebespool_wire::{Message, ProxyReport, RouteLoad, ServerId, ServerLoad, ServerMetrics};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
     failures: u32,
     /// The sum of the answered attempts' latencies.
     latency_sum: Duration,
-    report: Option<Report>,
+    report: Option<ServerMetrics>,
 }
 
 impl ServerTotals {
@@ -37,7 +37,12 @@
     }
 
     /// Counts an attempt at a server: answered after `latency`, or failed. The newest load report that came is kept.
-    pub fn attempt_finished(&mut self, server: ServerId, latency: Option<Duration>, report: Option<Report>) {
+    pub fn attempt_finished(
+        &mut self,
+        server: ServerId,
+        latency: Option<Duration>,
+        report: Option<ServerMetrics>,
+    ) {
         let totals = self.servers.entry(server).or_default();
         totals.attempts += 1;
         totals.report = report.or(totals.report.take());
@@ -49,18 +54,18 @@
 
     /// The report of everything since the last call.
     pub fn take_report(&mut self) -> Message {
-        let observed = |(server, totals): (ServerId, ServerTotals)| MetLine {
+        let observed = |(server, totals): (ServerId, ServerTotals)| ServerLoad {
             server,
-            tries: totals.attempts,
+            attempts: totals.attempts,
             dropped: totals.failures,
-            wait_us: totals.mean_latency_us(),
-            report: totals.report,
+            mean_latency_us: totals.mean_latency_us(),
+            metrics: totals.report,
         };
         let servers = std::mem::take(&mut self.servers).into_iter();
         let requests = std::mem::take(&mut self.requests_by_route).into_iter();
-        Message::Sums {
-            met: servers.map(observed).collect(),
-            came: requests.map(|(route, calls)| CameLine { route, calls }).collect(),
-        }
+        Message::ProxyReport(ProxyReport {
+            servers: servers.map(observed).collect(),
+            routes: requests.map(|(route, calls)| RouteLoad { route, calls }).collect(),
+        })
     }
 }
--- a/crates/server-model/src/server.rs
+++ b/crates/server-model/src/server.rs
@@ -2,7 +2,7 @@
 //! must not run backwards.
 
 use grebespool_settings::{Figure, ServerKind};
-use grebespool_wire::Report;
+use grebespool_wire::ServerMetrics;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -268,7 +268,7 @@
 
     /// The newest load report, a new one where the last is old enough. `lie` stands in for every figure of a server that reports
     /// falsely.
-    pub fn report(&mut self, now: Duration, figures: &[Figure], lie: Option<f32>) -> Report {
+    pub fn report(&mut self, now: Duration, figures: &[Figure], lie: Option<f32>) -> ServerMetrics {
         self.count_busy_time(now);
         let span_s = now.saturating_sub(self.reported_at).as_secs_f64();
         if self.report_number == 0 || span_s >= self.spec.kind.refresh.0.as_secs_f64() {
@@ -284,7 +284,7 @@
             Some(figure) => vec![figure; self.figures.len()],
             None => self.figures.clone(),
         };
-        Report { start: self.start_id, number: self.report_number, figures }
+        ServerMetrics { incarnation: self.start_id, sequence: self.report_number, values: figures }
     }
 
     fn measure(&self, figure: Figure, span_s: f64) -> f32 {
--- a/crates/server-model/src/service_level_recorder.rs
+++ b/crates/server-model/src/service_level_recorder.rs
@@ -3,7 +3,7 @@
 use crate::service_level::{RouteServiceLevel, ServiceLevel, ZoneServiceLevel};
 use grebespool_invariants::{Passed, Record};
 use grebespool_settings::{Deployment, Route};
-use grebespool_wire::{Outcome, ServerId};
+use grebespool_wire::{CallOutcome, ServerId};
 use hdrhistogram::Histogram;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -168,13 +168,13 @@
                 let crosses = to.zip(from).is_some_and(|(to, from)| *to != from);
                 self.cross_zone_attempts += u64::from(crosses);
             }
-            Passed::Answered { call, outcome: Outcome::Answered, .. } => {
+            Passed::Answered { call, outcome: CallOutcome::Answered, .. } => {
                 self.work_us += u64::from(call.work_us);
             }
             Passed::Connected { .. } => self.connections += 1,
             Passed::Ordered { orders, .. } => {
                 self.messages += 1;
-                self.entries += orders.parts.len() as u64;
+                self.entries += orders.changes.len() as u64;
             }
             Passed::Joined { .. } => self.joins += 1,
             _ => {}
@@ -202,12 +202,12 @@
         self.in_flight.insert(id, request);
     }
 
-    fn request_finished(&mut self, at: Duration, id: u64, outcome: Outcome) {
+    fn request_finished(&mut self, at: Duration, id: u64, outcome: CallOutcome) {
         let Some(request) = self.in_flight.remove(&id) else { return };
         match outcome {
-            Outcome::Answered | Outcome::Repeat => self.request_answered(at, &request),
-            Outcome::Throttled => self.routes[request.route].level.rejected += 1,
-            Outcome::Failed => {}
+            CallOutcome::Answered | CallOutcome::Duplicate => self.request_answered(at, &request),
+            CallOutcome::Rejected => self.routes[request.route].level.rejected += 1,
+            CallOutcome::Failed => {}
         }
     }
 
--- a/crates/server-model/tests/server_model.rs
+++ b/crates/server-model/tests/server_model.rs
@@ -4,7 +4,10 @@
 
 use grebespool_server_model::{Admission, Avoidance, ProxyTables, ServerModel, ServerSpec, StaleUpdateError};
 use grebespool_settings::{Figure, Picks, ServerKind, Span};
-use grebespool_wire::{Cause, Level, Order, Orders, ServerId, Tries};
+use grebespool_wire::{
+    AdmissionRule, Change, RetryPolicy, ServerId, ServerWeight, TableBinding, Update, UpdateCause,
+    WeightChange,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
@@ -17,21 +20,32 @@
     ServerId { addr: ([127, 0, 0, 1], 9000 + n as u16).into(), number: n }
 }
 
-fn update(start: u64, stream: u32, seq: u64, parts: Vec<Order>) -> Orders {
-    Orders { epoch: 0, start, stream, seq, ordered_us: 0, list: 0, cause: Cause::Join, parts }
+fn update(start: u64, stream: u32, seq: u64, changes: Vec<Change>) -> Update {
+    Update {
+        term: 0,
+        incarnation: start,
+        stream,
+        sequence: seq,
+        created_us: 0,
+        endpoints_version: 0,
+        cause: UpdateCause::ProxyJoined,
+        changes,
+    }
 }
 
-fn bind(weights: &[f32]) -> Order {
-    let lines = weights.iter().enumerate().map(|(i, w)| (id(i as u32), *w)).collect();
-    let levels = vec![Level { routes: 1, share: 0.5, tries: Tries::One }];
-    Order::Bind { table: 0, version: 1, routes: 0, lines, levels }
+fn bind(weights: &[f32]) -> Change {
+    let weight = |(i, weight): (usize, &f32)| ServerWeight { server: id(i as u32), weight: *weight };
+    let weights = weights.iter().enumerate().map(weight).collect();
+    let admission =
+        vec![AdmissionRule { routes: 1, admitted_fraction: 0.5, retry_policy: RetryPolicy::Never }];
+    Change::BindTable(TableBinding { table: 0, version: 1, routes: 0, weights, admission })
 }
 
 fn bound_tables(picks: Picks, weights: &[f32]) -> ProxyTables {
     let mut tables =
         ProxyTables::new(picks, Avoidance { after_failures: 3, duration: Duration::from_secs(2) }, &[id(7)]);
     tables.stream_accepted(1, 1, 0).unwrap();
-    tables.apply(&update(1, 1, 1, vec![bind(weights), Order::Mark(5)])).unwrap();
+    tables.apply(&update(1, 1, 1, vec![bind(weights), Change::RequestAck(5)])).unwrap();
     tables
 }
 
@@ -47,8 +61,8 @@
     #[case] applied: Result<Option<u16>, StaleUpdateError>,
 ) {
     let mut tables = bound_tables(Picks::Weighted, &[1.0, 1.0]);
-    let line = Order::Line { table: 0, version: 2, server: id(0), weight: 0.0 };
-    assert_eq!(tables.apply(&update(start, stream, seq, vec![line, Order::Mark(9)])), applied);
+    let line = Change::SetWeight(WeightChange { table: 0, version: 2, server: id(0), weight: 0.0 });
+    assert_eq!(tables.apply(&update(start, stream, seq, vec![line, Change::RequestAck(9)])), applied);
     assert_eq!(tables.contains(id(0)), applied.is_err());
 }
 
@@ -56,8 +70,8 @@
 fn bound_table_replaces_the_initial_one() {
     let tables = bound_tables(Picks::Weighted, &[1.0]);
     assert!(tables.contains(id(0)) && !tables.contains(id(7)) && !tables.is_unconfigured());
-    assert_eq!(tables.admission(0), Admission { share: 0.5, retries: Tries::One });
-    assert_eq!(tables.admission(1), Admission { share: 1.0, retries: Tries::AfterProof });
+    assert_eq!(tables.admission(0), Admission { share: 0.5, retries: RetryPolicy::Never });
+    assert_eq!(tables.admission(1), Admission { share: 1.0, retries: RetryPolicy::IfNotExecuted });
 }
 
 #[rstest]
@@ -180,8 +194,8 @@
     server.accept(at(0), 1, at(500), 0);
     server.take_completed(at(500));
     let report = server.report(at(1000), &[Figure::CpuShare, Figure::Pending], None);
-    assert_eq!(report.figures, [0.25, 0.0]);
-    assert_eq!(server.report(at(1050), &[Figure::CpuShare], Some(0.0)).figures, [0.0, 0.0]);
+    assert_eq!(report.values, [0.25, 0.0]);
+    assert_eq!(server.report(at(1050), &[Figure::CpuShare], Some(0.0)).values, [0.0, 0.0]);
 }
 
 #[rstest]
@@ -192,7 +206,7 @@
 fn refuses_terms_older_than_the_newest_seen(#[case] epoch: u64, #[case] applied: bool) {
     let mut tables = ProxyTables::new(Picks::Weighted, NEVER_AVOIDS, &[]);
     tables.stream_accepted(7, 1, 4).unwrap();
-    let bind = |epoch, start| Orders { epoch, ..update(start, 1, 1, vec![Order::Mark(3)]) };
+    let bind = |term, start| Update { term, ..update(start, 1, 1, vec![Change::RequestAck(3)]) };
     assert_eq!(tables.apply(&bind(3, 7)), Err(StaleUpdateError), "update of another term than its stream's");
     assert_eq!(tables.apply(&bind(4, 7)), Ok(Some(3)));
     // The term is kept over a broken stream.
