--- a/crates/controller-server/src/lib.rs
+++ b/crates/controller-server/src/lib.rs
@@ -16,6 +16,7 @@
 mod requests;
 mod session;
 mod shared;
+mod site_request;
 mod site_requests;
 mod snapshot;
 mod timers;
@@ -23,7 +24,7 @@
 
 pub use observer::{NoObserver, Observer};
 pub use redirect::redirect_to_leader;
-pub use site_requests::{SiteQuery, SiteRequest, SiteRequestError};
+pub use site_request::{SiteQuery, SiteRequest, SiteRequestError};
 pub use timers::HEARTBEAT_INTERVAL;
 pub use update_filter::{PassThrough, UpdateFilter};
 
--- a/crates/controller-server/src/observer.rs
+++ b/crates/controller-server/src/observer.rs
@@ -1,6 +1,6 @@
 //! What records a controller's day, or takes part in a group of controllers, is told here.
 
-use crate::site_requests::SiteRequest;
+use crate::site_request::SiteRequest;
 use grebespool_leader_election::Snapshot;
 use grebespool_wire::{EndpointList, RouteLoad, ServerLoad};
 use std::time::Duration;
--- a/crates/controller/src/acknowledgements.rs
+++ b/crates/controller/src/acknowledgements.rs
@@ -1,6 +1,6 @@
 //! Which streams leave updates unacknowledged for too long.
 
-use crate::effects::StreamId;
+use crate::stream_id::StreamId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
--- a/crates/controller/src/controller/joins.rs
+++ b/crates/controller/src/controller/joins.rs
@@ -1,8 +1,9 @@
 //! Proxies that join, acknowledge updates, and leave.
 
 use super::Controller;
-use crate::effects::{Effects, StreamId};
+use crate::effects::Effects;
 use crate::event::ControllerEvent;
+use crate::stream_id::StreamId;
 use grebespool_wire::{CloseReason, UpdateAck, UpdateCause};
 use std::time::Duration;
 
--- a/crates/controller/src/controller/publishing.rs
+++ b/crates/controller/src/controller/publishing.rs
@@ -1,8 +1,9 @@
 //! What a turn changed, as one update for each proxy concerned.
 
 use super::Controller;
-use crate::effects::{Effects, StreamId};
+use crate::effects::Effects;
 use crate::event::ControllerEvent;
+use crate::stream_id::StreamId;
 use grebespool::host::RetryPolicy;
 use grebespool_assignments::{ProxyUpdate, ServerIndices};
 use grebespool_wire::{
--- a/crates/controller/src/controller/reports.rs
+++ b/crates/controller/src/controller/reports.rs
@@ -1,9 +1,10 @@
 //! Load reports of proxies.
 
 use super::Controller;
-use crate::effects::{Effects, StreamId};
+use crate::effects::Effects;
 use crate::event::ControllerEvent;
 use crate::metrics_validation::{MAX_CALLS_PER_LINE, is_plausible};
+use crate::stream_id::StreamId;
 use grebespool::host::{ProxyId, ZoneId};
 use grebespool_wire::{ProxyReport, RouteLoad, ServerLoad};
 use std::time::Duration;
--- a/crates/controller/src/effects.rs
+++ b/crates/controller/src/effects.rs
@@ -1,11 +1,9 @@
 //! What the controller asks of its host.
 
 use crate::event::ControllerEvent;
+use crate::stream_id::StreamId;
 use grebespool_wire::{CloseReason, ServerId, Update};
 
-/// One stream of a proxy, from its connection to its end; numbers are not used again.
-pub type StreamId = u32;
-
 /// What the controller asks of its host. No method may call the controller.
 pub trait Effects {
     /// Tells the proxy of this stream that it has joined.
--- a/crates/controller/src/event.rs
+++ b/crates/controller/src/event.rs
@@ -1,7 +1,7 @@
 //! What operators want to know of.
 
-use crate::effects::StreamId;
 use crate::endpoint_registry::EndpointListError;
+use crate::stream_id::StreamId;
 use crate::update_channel::ChannelFull;
 use std::fmt;
 use std::time::Duration;
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -20,12 +20,13 @@
 mod proxy_ids;
 mod sessions;
 mod site_watch;
+mod stream_id;
 mod update_channel;
 
 pub use acknowledgements::AckTracker;
 pub use config::{ControllerConfig, Incarnation, Limits, UnsupportedDeploymentError};
 pub use controller::{Controller, FleetPools, JoinRequest, PoolSnapshot, ProxyPool, SiteCommandError};
-pub use effects::{Effects, StreamId};
+pub use effects::Effects;
 pub use endpoint_registry::{EndpointListError, EndpointRegistry};
 pub use event::ControllerEvent;
 pub use grebespool_site_failover::{
@@ -34,4 +35,5 @@
 pub use join_limiter::JoinLimiter;
 pub use metrics_validation::MetricsValidator;
 pub use site_watch::SiteCommand;
+pub use stream_id::StreamId;
 pub use update_channel::{ChannelFull, UpdateChannel};
--- a/crates/controller/src/sessions.rs
+++ b/crates/controller/src/sessions.rs
@@ -1,6 +1,6 @@
 //! The proxies that are joined, by stream.
 
-use crate::effects::StreamId;
+use crate::stream_id::StreamId;
 use grebespool::host::{ProxyId, ZoneId};
 use std::collections::BTreeMap;
 
--- a/crates/controller/src/update_channel.rs
+++ b/crates/controller/src/update_channel.rs
@@ -1,6 +1,6 @@
 //! The paced channel through which all updates leave.
 
-use crate::effects::StreamId;
+use crate::stream_id::StreamId;
 use grebespool::host::ControlChannelLimits;
 use grebespool_wire::Update;
 use std::collections::{BTreeMap, VecDeque};
