--- a/crates/leader-election/src/lib.rs
+++ b/crates/leader-election/src/lib.rs
@@ -7,6 +7,7 @@
 //! Guaranteed whatever the clocks do: a term has at most one leader, and proxies obey no term older than the newest one
 //! they have seen. Guaranteed while clocks keep within the stated drift: no two members hold the leader lease at once.
 
+mod durable_outbox;
 mod error;
 mod event;
 mod host;
@@ -17,6 +18,7 @@
 mod snapshot;
 mod status;
 
+pub use durable_outbox::DurableOutbox;
 pub use error::MembershipError;
 pub use event::{ElectionEvent, StepDownReason};
 pub use host::{HardState, Host};
--- a/crates/leader-election/src/member/mod.rs
+++ b/crates/leader-election/src/member/mod.rs
@@ -9,6 +9,7 @@
 mod persistence;
 mod role;
 
+use crate::durable_outbox::DurableOutbox;
 use crate::error::MembershipError;
 use crate::event::{ElectionEvent, StepDownReason};
 use crate::host::{HardState, Host};
@@ -16,7 +17,6 @@
 use crate::membership::MemberId;
 use crate::message::Message;
 use crate::status::{MemberRole, Status};
-use persistence::PendingMessage;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use role::Role;
@@ -32,8 +32,6 @@
 pub struct Member<H> {
     host: H,
     hard_state: HardState,
-    /// The revision of the hard state up to which all is durable.
-    durable_revision: u64,
     storage_failed: bool,
     parameters: LeaseParameters,
     rng: Pcg64Mcg,
@@ -43,8 +41,8 @@
     /// It votes for nobody until then: it may have made a promise before it was restarted.
     silent_until: Duration,
     election_at: Duration,
-    /// Messages that wait for a revision to be durable.
-    pending_messages: Vec<PendingMessage>,
+    /// Messages that wait for a revision of the hard state to be durable.
+    outbox: DurableOutbox<Message>,
     leader_heard_at: Duration,
     step_down_reason: Option<StepDownReason>,
     /// The newest revision that each other member reported.
@@ -66,7 +64,7 @@
         let silent_until = if is_alone { now } else { now + parameters.lease_wait() };
         let mut member = Member {
             host,
-            durable_revision: hard_state.revision,
+            outbox: DurableOutbox::new(hard_state.revision),
             hard_state,
             storage_failed: false,
             parameters,
@@ -75,7 +73,6 @@
             promised_until: now,
             silent_until,
             election_at: silent_until,
-            pending_messages: vec![],
             leader_heard_at: now,
             step_down_reason: None,
             peer_revisions: BTreeMap::new(),
--- a/crates/singleton-tasks/src/register.rs
+++ b/crates/singleton-tasks/src/register.rs
@@ -6,7 +6,7 @@
 use crate::record::{MAX_STEP_BYTES, RegisterEntry, StepRecord, is_newer};
 use crate::status::{FencingStats, StaleHolder};
 use crate::token::{FencingToken, TaskId};
-use grebespool_leader_election::MemberId;
+use grebespool_leader_election::{DurableOutbox, MemberId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -15,14 +15,6 @@
 /// The bytes that an entry is counted with beside its content.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// A message that waits for a revision to be durable.
-#[derive(Debug, Clone)]
-struct PendingMessage {
-    revision: u64,
-    to: MemberId,
-    message: Message,
-}
-
 /// How far another member's entries are copied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CopyProgress {
@@ -41,8 +33,7 @@
     copies: BTreeMap<MemberId, CopyProgress>,
     copy_retry_at: Duration,
     revision: u64,
-    durable_revision: u64,
-    pending_messages: Vec<PendingMessage>,
+    outbox: DurableOutbox<Message>,
     fencing: FencingStats,
 }
 
@@ -54,8 +45,7 @@
             copies: BTreeMap::new(),
             copy_retry_at: Duration::ZERO,
             revision: 0,
-            durable_revision: 0,
-            pending_messages: vec![],
+            outbox: DurableOutbox::new(0),
             fencing: FencingStats::default(),
         }
     }
@@ -71,21 +61,14 @@
 
     /// Sends the message once all that was written so far is durable: a promise that a crash takes back was none.
     fn send_when_durable(&mut self, context: &mut Context<impl Host>, to: MemberId, message: Message) {
-        if self.durable_revision >= self.revision {
+        if let Some(message) = self.outbox.push(self.revision, to, message) {
             context.send(to, message);
-        } else {
-            self.pending_messages.push(PendingMessage { revision: self.revision, to, message });
         }
     }
 
     pub(crate) fn persisted(&mut self, context: &mut Context<impl Host>, revision: u64) {
-        self.durable_revision = self.durable_revision.max(revision);
-        let durable = self.durable_revision;
-        let (ready, waiting): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.pending_messages).into_iter().partition(|m| m.revision <= durable);
-        self.pending_messages = waiting;
-        for pending in ready {
-            context.send(pending.to, pending.message);
+        for (to, message) in self.outbox.persisted(revision) {
+            context.send(to, message);
         }
     }
 
