--- a/crates/controller-server/tests/streams.rs
+++ b/crates/controller-server/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Peers that say what they must not: each is told why and closed, and the others go on.
+//! Peers that say what they must not: each is close_reason why and closed, and the others go on.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -66,8 +66,8 @@
     Ok((socket, dialled))
 }
 
-/// What a stream is told before it is closed.
-async fn told(socket: &mut TcpStream) -> Option<CloseReason> {
+/// What a stream is close_reason before it is closed.
+async fn close_reason(socket: &mut TcpStream) -> Option<CloseReason> {
     let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
     loop {
         match timeout(SOON, read_message(socket, &mut inbox)).await.expect("the stream stays open") {
@@ -94,26 +94,26 @@
 #[case::hello_twice([hello(PROTOCOL_VERSION, Role::Proxy, "p"), hello(PROTOCOL_VERSION, Role::Proxy, "p")].concat(), CloseReason::UnexpectedMessage)]
 #[case::silence(vec![], CloseReason::TimedOut)]
 #[case::silence_in_mid_frame(vec![0, 0, 0, 9, 1, 0], CloseReason::TimedOut)]
-fn what_must_not_be_said_closes_that_stream_alone(#[case] bytes: Vec<u8>, #[case] reason: CloseReason) {
+fn closes_only_the_stream_that_breaks_the_protocol(#[case] bytes: Vec<u8>, #[case] reason: CloseReason) {
     with_planner(|to| async move {
         let (mut good, dialled) = join(to, KEY, "good", "east").await.unwrap();
         let mut bad = TcpStream::connect(to).await.unwrap();
         bad.write_all(&bytes).await.unwrap();
-        assert_eq!(told(&mut bad).await, Some(reason));
-        // The good one is still joined: what does not belong there is what it is told of next.
+        assert_eq!(close_reason(&mut bad).await, Some(reason));
+        // The good one is still joined: what does not belong there is what it is close_reason of next.
         assert_eq!(dialled.incarnation, 9);
         good.write_all(&Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }).to_frame())
             .await
             .unwrap();
         good.write_all(&Message::HealthCheck(HealthCheck { server_number: 1 }).to_frame()).await.unwrap();
-        assert_eq!(told(&mut good).await, Some(CloseReason::UnexpectedMessage));
+        assert_eq!(close_reason(&mut good).await, Some(CloseReason::UnexpectedMessage));
     });
 }
 
 #[rstest]
 #[case::another_key(b"some other key, long enough", "east")]
 #[case::an_unknown_zone(KEY, "nowhere")]
-fn nobody_unbidden_gets_in(#[case] key: &'static [u8], #[case] zone: &'static str) {
+fn rejects_another_key_and_an_unknown_zone(#[case] key: &'static [u8], #[case] zone: &'static str) {
     with_planner(|to| async move {
         let error = join(to, key, "p", zone).await.map(|_| ()).unwrap_err();
         assert_eq!(error.kind(), std::io::ErrorKind::PermissionDenied, "{error}");
@@ -121,7 +121,7 @@
 }
 
 #[rstest]
-fn a_proof_cannot_be_played_again() {
+fn rejects_a_replayed_proof() {
     with_planner(|to| async move {
         // A proof for one challenge, shown for the next.
         let mut first = TcpStream::connect(to).await.unwrap();
@@ -151,22 +151,22 @@
         let mut second = TcpStream::connect(to).await.unwrap();
         second.write_all(&hello(PROTOCOL_VERSION, Role::Proxy, "p")).await.unwrap();
         second.write_all(&Message::Join(join).to_frame()).await.unwrap();
-        assert_eq!(told(&mut second).await, Some(CloseReason::Rejected));
+        assert_eq!(close_reason(&mut second).await, Some(CloseReason::Rejected));
     });
 }
 
 #[rstest]
-fn a_newer_stream_of_a_name_supersedes_the_older() {
+fn closes_the_older_stream_of_a_name() {
     with_planner(|to| async move {
         let (mut older, _) = join(to, KEY, "p", "east").await.unwrap();
         let (_newer, dialled) = join(to, KEY, "p", "east").await.unwrap();
-        assert_eq!(told(&mut older).await, Some(CloseReason::Superseded));
+        assert_eq!(close_reason(&mut older).await, Some(CloseReason::Superseded));
         assert!(dialled.stream > 1);
     });
 }
 
 #[rstest]
-fn connections_from_outside_the_allowed_networks_are_closed_unheard() {
+fn closes_connections_from_outside_the_allowed_networks() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/serve.ncl");
--- a/crates/controller/tests/controller.rs
+++ b/crates/controller/tests/controller.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 #[rstest]
-fn a_proxy_gets_one_whole_table_and_then_only_changes() {
+fn sends_one_whole_table_and_then_only_changes() {
     let mut fixture = Fixture::with_servers(4);
     fixture.join(2, "p", true);
     fixture.controller.timer_fired(fixture.now + ms(50));
@@ -36,7 +36,7 @@
 }
 
 #[rstest]
-fn none_is_bound_before_a_list_came() {
+fn binds_no_proxy_before_an_endpoint_list_came() {
     let mut fixture = Fixture::new(CHANNEL_LIMITS, 0).unwrap();
     fixture.join(2, "p", true);
     fixture.run(ms(3000), |_| true);
@@ -49,7 +49,7 @@
 #[rstest]
 #[case::slices(5, Err(UnsupportedDeploymentError::Slices(5)))]
 #[case::none(0, Ok(()))]
-fn sites_with_slices_are_refused_at_start(
+fn refuses_a_deployment_with_slices(
     #[case] slices: usize,
     #[case] expected: Result<(), UnsupportedDeploymentError>,
 ) {
@@ -64,7 +64,7 @@
 #[case::one_address((3, 0), &[entry(0, EndpointState::Draining, 0),
     grebespool_wire::EndpointEntry { server: ServerId { number: 99, ..id(0) }, ..entry(0, EndpointState::Ready, 0) }])]
 #[case::a_strange_zone((3, 0), &[grebespool_wire::EndpointEntry { zone: "c".into(), ..entry(0, EndpointState::Draining, 0) }])]
-fn a_list_that_cannot_be_is_refused_whole(
+fn rejects_a_contradictory_endpoint_list_whole(
     #[case] of: (u64, u64),
     #[case] entries: &[grebespool_wire::EndpointEntry],
 ) {
@@ -79,7 +79,7 @@
 }
 
 #[rstest]
-fn a_list_over_the_bound_is_refused_whole() {
+fn rejects_an_endpoint_list_over_the_limit_whole() {
     let mut fixture = Fixture::with_servers(4);
     fixture.list((2, 0), 0, ready(51));
     assert!(fixture.recorded.borrow().events[0].to_string().contains("51 servers"));
@@ -105,7 +105,7 @@
 }
 
 #[rstest]
-fn a_start_told_again_a_little_later_is_no_restart() {
+fn takes_no_restart_from_a_start_told_again_a_little_later() {
     let mut registry = EndpointRegistry::new(vec!["a".into()], 9);
     let mut ages = vec![];
     for (version, now, now_ms) in [(1, ms(0), 10_000), (2, ms(1000), 11_300), (3, ms(2000), 12_100)] {
@@ -117,7 +117,7 @@
 }
 
 #[rstest]
-fn joining_again_closes_the_stream_before() {
+fn closes_the_older_stream_of_a_proxy_that_joins_again() {
     let mut fixture = Fixture::with_servers(4);
     fixture.join(2, "p", true);
     fixture.run(ms(200), |_| true);
@@ -131,7 +131,7 @@
 }
 
 #[rstest]
-fn a_proxy_that_joins_in_a_loop_is_held_off_and_others_are_not() {
+fn rejects_a_proxy_that_joins_in_a_loop_and_no_others() {
     let mut fixture = Fixture::with_servers(4);
     for n in 0..50 {
         fixture.join(10 + 2 * n, "loop", true);
@@ -168,7 +168,7 @@
 #[case::infinite(f32::INFINITY)]
 #[case::huge(1e30)]
 #[case::below_nought(-4.0)]
-fn figures_that_cannot_be_move_no_weight(#[case] load: f32) {
+fn implausible_metrics_move_no_weight(#[case] load: f32) {
     let mut fixture = Fixture::with_servers(4);
     fixture.join(2, "p", true);
     for i in 0..60 {
@@ -187,7 +187,7 @@
 #[case::older(1, 3, false)]
 #[case::of_a_former_start(0, 9, false)]
 #[case::of_a_later_start(2, 1, true)]
-fn only_a_report_that_is_no_older_is_news(#[case] start: u64, #[case] number: u32, #[case] news: bool) {
+fn takes_only_metrics_that_are_no_older(#[case] start: u64, #[case] number: u32, #[case] news: bool) {
     let mut validator = MetricsValidator::default();
     let fields = [grebespool::host::LoadMetric::Utilization];
     validator.validate(0, &ServerMetrics { incarnation: 1, sequence: 4, values: vec![0.5] }, &fields);
@@ -200,7 +200,7 @@
 }
 
 #[rstest]
-fn sums_that_cannot_be_or_of_unlisted_servers_are_left_out() {
+fn leaves_out_implausible_lines_and_unlisted_servers() {
     let mut fixture = Fixture::with_servers(2);
     fixture.join(2, "p", true);
     fixture.sums(2, 1, 3, 9, 0.1);
@@ -212,7 +212,7 @@
 #[rstest]
 #[case::answers(true, 1)]
 #[case::answers_nothing(false, 0)]
-fn a_proxy_that_confirms_nothing_is_cut_off(#[case] answers: bool, #[case] joined: usize) {
+fn disconnects_a_proxy_that_acknowledges_nothing(#[case] answers: bool, #[case] joined: usize) {
     let mut fixture = Fixture::with_servers(4);
     fixture.join(2, "p", true);
     fixture.run(ms(3900), |_| answers);
@@ -222,7 +222,7 @@
 }
 
 #[rstest]
-fn a_planner_that_stood_still_cuts_nobody_off_for_that() {
+fn waives_acknowledgements_after_a_stall_of_its_own() {
     let mut fixture = Fixture::with_servers(4);
     fixture.join(2, "p", true);
     fixture.run(ms(100), |_| false);
@@ -234,7 +234,7 @@
 }
 
 #[rstest]
-fn after_a_stall_each_timer_fires_once() {
+fn fires_each_timer_once_after_a_stall() {
     let mut fixture = Fixture::with_servers(4);
     fixture.join(2, "p", true);
     fixture.run(ms(5000), |_| true);
@@ -248,7 +248,7 @@
 #[case::of_this_start_and_stream(77, 2, true)]
 #[case::of_another_start(76, 2, false)]
 #[case::of_another_stream(77, 4, false)]
-fn only_marks_of_this_start_and_stream_tell_that_the_channel_is_free(
+fn takes_only_acknowledgements_of_its_incarnation_and_stream(
     #[case] start: u64,
     #[case] stream: StreamId,
     #[case] heard: bool,
@@ -270,7 +270,7 @@
     assert_eq!(bound_after(true) > bound_after(false), heard);
 }
 
-fn orders() -> Update {
+fn update() -> Update {
     Update {
         term: 0,
         incarnation: 1,
@@ -284,21 +284,21 @@
 }
 
 #[rstest]
-fn the_channel_paces_and_keeps_its_limits() {
+fn channel_paces_updates_and_keeps_its_limits() {
     let mut channel =
         UpdateChannel::new(grebespool::host::ControlChannelLimits { max_messages: 3, ..CHANNEL_LIMITS });
     // 16 lines and a head of 4 at 2,000 a second take 10 ms each.
-    assert_eq!(channel.enqueue(ms(100), 1, orders(), 16), Ok(()));
-    assert_eq!(channel.enqueue(ms(100), 2, orders(), 16), Ok(()));
+    assert_eq!(channel.enqueue(ms(100), 1, update(), 16), Ok(()));
+    assert_eq!(channel.enqueue(ms(100), 2, update(), 16), Ok(()));
     assert_eq!((channel.next_departure(), channel.queued_entries()), (Some(ms(110)), 40.0));
     assert!(channel.dequeue(ms(109)).is_none());
     assert_eq!(channel.dequeue(ms(500)).map(|l| l.0), Some(1));
     assert_eq!(channel.dequeue(ms(500)).map(|l| l.0), Some(2));
-    assert_eq!(channel.enqueue(ms(500), 1, orders(), 2997), Err(ChannelFull::QueuedEntries));
-    assert_eq!(channel.enqueue(ms(500), 1, orders(), 1), Ok(()));
-    assert_eq!(channel.enqueue(ms(500), 1, orders(), 1), Ok(()));
-    assert_eq!(channel.enqueue(ms(500), 1, orders(), 1), Err(ChannelFull::UpdatesInWindow));
-    assert_eq!(channel.enqueue(ms(10_101), 1, orders(), 1), Ok(()));
+    assert_eq!(channel.enqueue(ms(500), 1, update(), 2997), Err(ChannelFull::QueuedEntries));
+    assert_eq!(channel.enqueue(ms(500), 1, update(), 1), Ok(()));
+    assert_eq!(channel.enqueue(ms(500), 1, update(), 1), Ok(()));
+    assert_eq!(channel.enqueue(ms(500), 1, update(), 1), Err(ChannelFull::UpdatesInWindow));
+    assert_eq!(channel.enqueue(ms(10_101), 1, update(), 1), Ok(()));
     channel.drop_stream(1);
     assert_eq!((channel.next_departure(), channel.queued_entries()), (None, 0.0));
 }
