--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -4,7 +4,7 @@
 use crate::rehearse::{BAD_DAY, PlannerMode, planner_host};
 use clap::Args;
 use grebespool_emulator::rehearse;
-use grebespool_server_model::Service;
+use grebespool_server_model::ServiceLevel;
 use grebespool_settings::Day;
 use grebespool_simulation::{PlannedBy, model};
 use std::path::PathBuf;
@@ -31,28 +31,28 @@
 /// One row of the table.
 struct Metric {
     name: &'static str,
-    of: fn(&Service) -> f64,
+    of: fn(&ServiceLevel) -> f64,
 }
 
 /// The rows, in order.
 const METRICS: [Metric; 10] = [
-    Metric { name: "service", of: |service| service.whole },
+    Metric { name: "service", of: |service| service.overall },
     Metric { name: "worst 10 s", of: |service| service.worst },
     Metric { name: "p50 ms", of: |service| service.p50_ms },
     Metric { name: "p99 ms", of: |service| service.p99_ms },
-    Metric { name: "turned away", of: |service| service.throttled() as f64 },
+    Metric { name: "turned away", of: |service| service.rejected() as f64 },
     Metric { name: "late", of: |service| service.late() as f64 },
     Metric { name: "failed", of: |service| service.failed() as f64 },
-    Metric { name: "tries a call", of: |service| service.tries },
+    Metric { name: "tries a call", of: |service| service.attempts_per_request },
     Metric { name: "connections", of: |service| service.connections as f64 },
-    Metric { name: "lines ordered", of: |service| service.lines as f64 },
+    Metric { name: "lines ordered", of: |service| service.entries as f64 },
 ];
 
 /// The days that were played.
 #[derive(Default)]
 struct PlayedDays {
-    on_sockets: Vec<Service>,
-    simulated: Vec<Service>,
+    on_sockets: Vec<ServiceLevel>,
+    simulated: Vec<ServiceLevel>,
     /// No rule was broken on any of them.
     rules_kept: bool,
 }
@@ -65,7 +65,7 @@
 }
 
 impl Spread {
-    fn of(days: &[Service], metric: fn(&Service) -> f64) -> Self {
+    fn of(days: &[ServiceLevel], metric: fn(&ServiceLevel) -> f64) -> Self {
         let values = days.iter().map(metric);
         let min = values.clone().fold(f64::MAX, f64::min);
         let max = values.clone().fold(f64::MIN, f64::max);
@@ -133,10 +133,10 @@
 
 /// Whether the differences are within the tolerances and no rule was broken.
 fn print_differences(arguments: &CompareArguments, days: &PlayedDays) -> bool {
-    let difference = |of: fn(&Service) -> f64| {
+    let difference = |of: fn(&ServiceLevel) -> f64| {
         (Spread::of(&days.on_sockets, of).mean - Spread::of(&days.simulated, of).mean).abs()
     };
-    let service = difference(|service| service.whole);
+    let service = difference(|service| service.overall);
     let worst = difference(|service| service.worst);
     println!(
         "\nservice {service:.4} apart (at most {}), worst ten seconds {worst:.4} (at most {}); rules {}",
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -155,24 +155,24 @@
 
 fn print_played(played: &Played) {
     let service = &played.service;
-    println!("\nservice {:.3}, worst ten seconds {:.3}", service.whole, service.worst);
+    println!("\nservice {:.3}, worst ten seconds {:.3}", service.overall, service.worst);
     for route in &service.routes {
         println!(
             "  {:<16} {:>6} calls  {:>6} answered  {:>6} in time  {:>5} throttled  p50 {:.0} ms  p99 {:.0} ms",
             route.name,
-            route.asked,
+            route.requests,
             route.answered,
             route.in_time,
-            route.throttled,
+            route.rejected,
             route.p50_ms,
             route.p99_ms
         );
     }
-    println!("orders: {} messages, {} lines; {} joins", service.messages, service.lines, service.joins);
+    println!("orders: {} messages, {} lines; {} joins", service.messages, service.entries, service.joins);
     println!(
         "work wasted {:.1}%, to other zones {:.1}%, {} connections\n",
-        100.0 * service.wasted,
-        100.0 * service.crossings,
+        100.0 * service.wasted_share,
+        100.0 * service.cross_zone_share,
         service.connections
     );
     for verdict in &played.verdicts {
