--- a/crates/config-consensus/src/active_versions.rs
+++ b/crates/config-consensus/src/active_versions.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The versions that a member applies.
+/// The versions that a member applies. Displayed for operators, who know a version as an edition.
 // on the wire, and JSON for operators: do not rename
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ActiveVersions {
@@ -13,7 +13,7 @@
     /// The intersection of the committed and the pending version.
     #[serde(rename = "Both")]
     Joint(u64, u64),
-    /// None, without a lease: published weights and known drains are kept, and nothing is raised or placed.
+    /// None: the lease has expired. The caller keeps published weights and known drains, and raises or places nothing.
     Unleased,
 }
 
--- a/crates/config-consensus/src/coordinator/leases.rs
+++ b/crates/config-consensus/src/coordinator/leases.rs
@@ -75,7 +75,7 @@
         self.leases.heard(from, cx.now);
         match &mut self.phase {
             Phase::Recovering(recovery) => {
-                // It applies that version alone, so it was activated: the one before it may be gone everywhere.
+                // A replica committed this version, so it was activated, and its parent may no longer be stored anywhere.
                 if !recovery.activated && renewal.committed == recovery.header.id() {
                     recovery.activated = true;
                     recovery.download = Download::new(recovery.header.hash);
@@ -84,7 +84,7 @@
                 return;
             }
             Phase::Preparing(pending) if renewal.committed == pending.version.id() => {
-                pending.activated_before = true;
+                pending.activated_by_predecessor = true;
                 self.proceed(cx);
             }
             _ => {}
--- a/crates/config-consensus/src/coordinator/mod.rs
+++ b/crates/config-consensus/src/coordinator/mod.rs
@@ -28,8 +28,8 @@
     journal_write_started: bool,
     /// A quorum has its journal record.
     durable: bool,
-    /// A replica applies it alone already, by the word of a former coordinator.
-    activated_before: bool,
+    /// A former coordinator has activated it at some replica already.
+    activated_by_predecessor: bool,
     /// Proposals that are answered once it is active.
     proposals: Vec<ProposalKey>,
 }
@@ -47,7 +47,7 @@
             prepared_by: BTreeSet::new(),
             journal_write_started: false,
             durable: false,
-            activated_before: false,
+            activated_by_predecessor: false,
             proposals,
         }
     }
@@ -80,8 +80,8 @@
     queue: ProposalQueue,
     /// The journal takes a new step: the one before is finished.
     journal_ready: bool,
-    /// The step before took effect, and the journal was not told yet.
-    finish_step: bool,
+    /// The last step is active, and the journal was not told to finish it yet.
+    must_finish_journal_step: bool,
     retransmit_at: Duration,
     /// Replicas of another history, as far as they are logged.
     conflicting: BTreeMap<MemberId, ContentHash>,
@@ -104,7 +104,7 @@
             settings,
             queue: ProposalQueue::default(),
             journal_ready: last.is_none_or(|record| record.completed),
-            finish_step: false,
+            must_finish_journal_step: false,
             retransmit_at: cx.now,
             conflicting: BTreeMap::new(),
         };
@@ -170,7 +170,7 @@
 
     /// Takes every step that is possible now.
     fn proceed(&mut self, cx: &mut Context<impl Host>) {
-        if std::mem::take(&mut self.finish_step) {
+        if std::mem::take(&mut self.must_finish_journal_step) {
             cx.host().finish_journal_step(self.token);
         }
         self.prepare_next(cx);
@@ -197,7 +197,7 @@
         let Phase::Preparing(pending) = &self.phase else { return };
         let settled =
             |voter: &MemberId| pending.prepared_by.contains(voter) || self.leases.is_expired(*voter, cx.now);
-        let safe = pending.activated_before || cx.voters().iter().all(settled);
+        let safe = pending.activated_by_predecessor || cx.voters().iter().all(settled);
         if !pending.durable || !safe {
             return;
         }
--- a/crates/config-consensus/src/coordinator/recovery.rs
+++ b/crates/config-consensus/src/coordinator/recovery.rs
@@ -61,7 +61,7 @@
             Found { version: Some(version), .. } if recovery.activated => {
                 self.committed = version;
                 self.phase = Phase::Idle;
-                self.finish_step = !self.journal_ready;
+                self.must_finish_journal_step = !self.journal_ready;
             }
             Found { version: Some(version), parent: Some(parent) } => {
                 let pending = PendingVersion::recovered(version, recovery.header.clone());
--- a/crates/config-consensus/src/node.rs
+++ b/crates/config-consensus/src/node.rs
@@ -84,7 +84,9 @@
         self.replica.active_versions(now)
     }
 
-    /// The configuration that it applies. Without a lease, what is in force of it is kept and nothing is raised.
+    /// The configuration that this member has to enforce: the committed version, or the intersection with the pending one.
+    /// Operators are shown it; the load-balancing policy does not read it yet. Without a lease it is the last stored one, and the
+    /// caller must not raise or place anything by it.
     pub fn effective_configuration(&self) -> EffectiveConfiguration {
         let mut effective = self.replica.effective_configuration();
         self.proposer.drain_withdrawn(&mut effective);
--- a/crates/config-consensus/src/settings.rs
+++ b/crates/config-consensus/src/settings.rs
@@ -16,7 +16,7 @@
 
 impl LeaseParameters {
     /// Time from answering a renewal after which that lease has expired by any clock within the drift: the longest that the
-    /// activation of a durable version waits for an unreachable member (`agree.within`).
+    /// activation of a durable version waits for an unreachable member (shown to operators as `agree.within`).
     pub fn expiry_bound(&self) -> Duration {
         drift_adjusted_wait(self.duration, self.clock_drift)
     }
--- a/crates/controller/src/site_watch.rs
+++ b/crates/controller/src/site_watch.rs
@@ -87,13 +87,13 @@
     /// Proxies of `report.client_zone` measured a server of `zone`.
     pub(crate) fn load_reported(&mut self, now: Duration, zone: ZoneId, report: &LoadReport) {
         let answered = f64::from(report.attempts.saturating_sub(report.failures));
-        let latency_s = report.latency.map_or(0.0, |latency| latency.as_secs_f64() * answered);
+        let latency_sum_s = report.latency.map_or(0.0, |latency| latency.as_secs_f64() * answered);
         let report = AttemptReport {
             from: usize::from(report.client_zone),
             site: usize::from(zone),
             attempts: f64::from(report.attempts),
             answered,
-            total_wait_seconds: latency_s,
+            total_wait_seconds: latency_sum_s,
         };
         self.failover.observations().attempts_reported(now, report);
     }
--- a/crates/singleton-tasks/src/lease_holder.rs
+++ b/crates/singleton-tasks/src/lease_holder.rs
@@ -40,11 +40,12 @@
     incarnation: u64,
     grants_version: GrantsVersion,
     granted: BTreeMap<TaskId, FencingToken>,
+    /// Suspended tasks, and until when by this member's clock.
     suspended_until: BTreeMap<TaskId, Duration>,
     /// The tasks that this member works on.
     active: BTreeMap<TaskId, FencingToken>,
-    /// Tasks that were revoked during a step, and until when the step may be completed: the lease as it was then, which
-    /// the leader waits for. A step that hangs would otherwise keep its task from all others.
+    /// Tasks that were revoked during a step, and the deadline of that step: when the lease expired at the time of the
+    /// revocation. Later renewals do not extend it, or a step that hangs would keep its task from all others.
     releasing: BTreeMap<TaskId, Duration>,
     /// Tasks with a step in progress.
     busy: BTreeSet<TaskId>,
@@ -119,7 +120,7 @@
             self.releasing.iter().filter(|(_, until)| **until <= now).map(|(task, _)| *task).collect();
         for task in released {
             self.drop_lease(context, task, LeaseLossReason::Expired);
-            self.withdraw_claims();
+            self.void_unanswered_claims();
         }
         if now < self.lease_expires_at || self.active.is_empty() {
             return;
@@ -246,8 +247,9 @@
         self.grants_version.is_of(term, self.incarnation)
     }
 
-    /// A new leader may have received a claim of what the member has just given up, and would leave it here.
-    fn withdraw_claims(&mut self) {
+    /// Starts a new incarnation where the leader has not answered the present one, so that a claim already sent to it becomes
+    /// void: it would leave a task here that the member has just given up.
+    fn void_unanswered_claims(&mut self) {
         if self.leader.is_some_and(|leader| !self.has_grants_of(leader.term)) {
             self.incarnation += 1;
         }
@@ -263,7 +265,7 @@
         self.busy.remove(&task);
         if self.releasing.contains_key(&task) {
             self.drop_lease(context, task, LeaseLossReason::Revoked);
-            self.withdraw_claims();
+            self.void_unanswered_claims();
             self.acquire_granted(context);
             self.send_renewal(context);
         }
--- a/crates/singleton-tasks/src/lease_manager/grants.rs
+++ b/crates/singleton-tasks/src/lease_manager/grants.rs
@@ -30,7 +30,7 @@
         for (id, tasks) in changed {
             self.version += 1;
             for task in tasks {
-                self.start_release(task, id);
+                self.set_release_version(task, id);
             }
             self.send_new_grants(context, id);
         }
@@ -82,8 +82,8 @@
         Some(id)
     }
 
-    /// From the newest version of its grants on, the member does not hold the task.
-    fn start_release(&mut self, task: TaskId, holder: MemberId) {
+    /// Records the version of the grants that no longer has the task: once its holder answers that version, the task is free.
+    fn set_release_version(&mut self, task: TaskId, holder: MemberId) {
         if let Some(release) = &mut self.leases[task as usize].releasing
             && release.holder == holder
             && release.from_version.is_none()
--- a/crates/singleton-tasks/src/lease_manager/mod.rs
+++ b/crates/singleton-tasks/src/lease_manager/mod.rs
@@ -74,7 +74,7 @@
     version: u64,
     /// The number of the newest token.
     token_number: u64,
-    /// Tasks that nobody has claimed by then are held by nobody.
+    /// No new lease is granted before this time: leases of the former leader may run until then, and their holders claim them.
     grants_allowed_from: Duration,
     /// The digest of the tasks of members that are configured with others.
     foreign_task_sets: BTreeMap<MemberId, u64>,
--- a/crates/singleton-tasks/src/lease_manager/renewals.rs
+++ b/crates/singleton-tasks/src/lease_manager/renewals.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Takes over suspensions that a former leader granted. A release is known to this leader alone, so they count only
-    /// until grants are allowed.
+    /// Takes over suspensions that a former leader granted, until grants are allowed: later, an operator may have ended them
+    /// here, which members do not know.
     fn adopt_suspensions(&mut self, now: Duration, suspensions: &[(TaskId, u64)]) {
         for (task, milliseconds_left) in suspensions {
             let Some(lease) = self.leases.get_mut(*task as usize) else { continue };
--- a/crates/singleton-tasks/src/register.rs
+++ b/crates/singleton-tasks/src/register.rs
@@ -29,7 +29,7 @@
     entries: BTreeMap<TaskId, RegisterEntry>,
     /// A member that was added has no entries, and would form quorums with those that missed what a quorum of the
     /// former members had: it answers nobody until it has copied the entries of most of the others.
-    is_copied: bool,
+    has_initial_copy: bool,
     copies: BTreeMap<MemberId, CopyProgress>,
     copy_retry_at: Duration,
     revision: u64,
@@ -38,10 +38,10 @@
 }
 
 impl Register {
-    pub(crate) fn new(entries: BTreeMap<TaskId, RegisterEntry>, is_copied: bool) -> Register {
+    pub(crate) fn new(entries: BTreeMap<TaskId, RegisterEntry>, has_initial_copy: bool) -> Register {
         Register {
             entries,
-            is_copied,
+            has_initial_copy,
             copies: BTreeMap::new(),
             copy_retry_at: Duration::ZERO,
             revision: 0,
@@ -97,7 +97,7 @@
         task: TaskId,
         token: FencingToken,
     ) {
-        if !self.is_copied || self.reject_stale(context, from, task, token) {
+        if !self.has_initial_copy || self.reject_stale(context, from, task, token) {
             return;
         }
         let entry = self.entries.entry(task).or_default();
@@ -118,7 +118,7 @@
     ) {
         let (token, step, completed) = record.order();
         let is_too_large = record.content.len() > MAX_STEP_BYTES;
-        if !self.is_copied || self.reject_stale(context, from, task, token) || is_too_large {
+        if !self.has_initial_copy || self.reject_stale(context, from, task, token) || is_too_large {
             return;
         }
         let entry = self.entries.entry(task).or_default();
@@ -132,7 +132,7 @@
 
     /// When copies are to be requested again; `None` if all that is needed is copied.
     pub(crate) fn copy_retry_at(&self, is_member: bool) -> Option<Duration> {
-        (!self.is_copied && is_member).then_some(self.copy_retry_at)
+        (!self.has_initial_copy && is_member).then_some(self.copy_retry_at)
     }
 
     fn copy_progress(&self, from: MemberId) -> CopyProgress {
@@ -140,7 +140,7 @@
     }
 
     pub(crate) fn request_copies(&mut self, context: &mut Context<impl Host>) {
-        if self.is_copied || context.now < self.copy_retry_at {
+        if self.has_initial_copy || context.now < self.copy_retry_at {
             return;
         }
         self.copy_retry_at = context.now + context.retry_interval;
@@ -154,7 +154,7 @@
 
     pub(crate) fn receive_copy_request(&self, context: &mut Context<impl Host>, to: MemberId, from: TaskId) {
         // A member that has not copied the others' entries itself knows less than it should.
-        if !self.is_copied {
+        if !self.has_initial_copy {
             return;
         }
         let (mut entries, mut bytes, mut next) = (vec![], 0, None);
@@ -177,7 +177,7 @@
         entries: Vec<(TaskId, RegisterEntry)>,
         next: Option<TaskId>,
     ) {
-        if self.is_copied || self.copy_progress(sender) != CopyProgress::From(from) {
+        if self.has_initial_copy || self.copy_progress(sender) != CopyProgress::From(from) {
             return;
         }
         for (task, entry) in entries {
@@ -195,7 +195,7 @@
         let peers = context.peers();
         let is_complete = |id: &&MemberId| self.copies.get(id) == Some(&CopyProgress::Complete);
         if peers.iter().filter(is_complete).count() * 2 > peers.len() {
-            self.is_copied = true;
+            self.has_initial_copy = true;
             self.copies.clear();
             context.host.copy_completed();
         }
--- a/crates/site-failover/src/capacity_plan.rs
+++ b/crates/site-failover/src/capacity_plan.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// The capacity and the demand of a site, in work per second.
+/// The capacity and the demand of a site, in requests per second.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteCapacity {
     /// What its servers can do.
@@ -29,15 +29,15 @@
     pub failed: BTreeSet<SiteId>,
     /// The fraction of each route's requests that is admitted.
     pub admitted: Vec<f64>,
-    /// The work per second that each site takes over from others.
+    /// The requests per second that each site takes over from others.
     pub taken_over: Vec<f64>,
     /// The utilization of each site then; 1 is its capacity.
     pub utilization: Vec<f64>,
-    /// The work per second that is rejected.
+    /// The requests per second that is rejected.
     pub rejected: f64,
-    /// The work per second that could still be taken over within the utilization limit.
+    /// The requests per second that could still be taken over within the utilization limit.
     pub spare: f64,
-    /// The work that is admitted over the work that is asked for, both by priority weight.
+    /// The requests that are admitted over those that clients send, both by priority weight; 1 rejects nothing.
     pub service: f64,
 }
 
@@ -91,9 +91,9 @@
     sites: &'a [SiteCapacity],
     routes: &'a [RouteDemand],
     failed: &'a BTreeSet<SiteId>,
-    /// What each site can still take, in work per second.
+    /// What each site can still take, in requests per second.
     free: Vec<f64>,
-    /// What each site takes, in work per second.
+    /// What each site takes, in requests per second.
     load: Vec<f64>,
     /// The admitted fraction of each route.
     admitted: Vec<f64>,
--- a/src/host.rs
+++ b/src/host.rs
@@ -179,7 +179,7 @@
 pub struct ProxyCapabilities {
     /// Zones of the deployment.
     pub zones: usize,
-    /// Slices of the deployment; the policy places no servers where there are any.
+    /// Slices: parts of the deployment that share no servers. The policy creates no pools where there are any.
     pub slices: usize,
     /// The unit of admission levels.
     pub admission_mode: AdmissionMode,
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -55,7 +55,8 @@
         self.overloaded = estimate.pressure > threshold;
     }
 
-    /// Decides how many requests to admit; `None` where the shares may stay. Late reports alone are no reason to reject.
+    /// Decides how many requests to admit; `None` where the shares may stay. Acts on a high expected pressure, on late answers,
+    /// and while requests are shed already. Reports that come late are no sign by themselves: they arrive in bursts.
     fn target(&self, from: Duration, estimate: &CapacityEstimate) -> Option<AdmissionTarget> {
         let pressed = estimate.expected_pressure >= Self::SHEDDING_PRESSURE;
         if !pressed && !estimate.late && !self.is_shedding() {
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -8,8 +8,9 @@
 
 /// Utilization from which on a server counts as full.
 pub(super) const FULL_UTILIZATION: f64 = 0.85;
-/// Utilization that is assumed where none is reported, and the least that is believed.
+/// Utilization that is assumed where none is reported.
 const ASSUMED_UTILIZATION: f64 = 0.7;
+/// The least utilization that is believed.
 const MIN_UTILIZATION: f64 = 0.05;
 /// Answers are late from this part of the latency objective on.
 const LATE_OBJECTIVE_PART: f64 = 0.35;
@@ -25,17 +26,17 @@
     pub(super) answered: f64,
     /// Attempts that count as load: those at servers with time to spare only where they were answered.
     load: f64,
-    /// Attempts that the servers heard of could have answered.
+    /// Attempts that the servers with answers could have answered.
     pub(super) capacity: f64,
-    /// The same of those that are ready still.
+    /// What those of them that are still ready could have answered.
     ready_capacity: f64,
     /// Servers that answered.
     active_servers: f64,
-    /// The same of those that are ready still.
+    /// Servers that answered and are still ready.
     active_ready_servers: f64,
-    /// Ready servers that answered, and warm ones that were not asked.
+    /// Ready servers that answered, and open ones without attempts that are not warming up.
     staying_servers: f64,
-    /// Median over the servers of their mean latency, in seconds.
+    /// Median over the servers of the mean latency that their reports give, in seconds.
     latency_s: Option<f64>,
 }
 
--- a/src/policy/control_channel.rs
+++ b/src/policy/control_channel.rs
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 impl ControlChannel {
-    /// The share of the queue and of the messages that a change may use: one that takes little weight from a server.
+    /// The share of the queue and of the message limit that an ordinary change of a weight may use.
     pub(super) const ORDINARY_SHARE: f64 = 0.4;
-    /// The same of a change that takes much weight from a server.
+    /// The share that a large cut of a weight may use.
     pub(super) const PROTECTIVE_SHARE: f64 = 0.6;
-    /// The same of a change that takes weight from a warming server, and of admission.
+    /// The share that a cut of a warming server's weight and a change of admission may use.
     pub(super) const OVERLOAD_SHARE: f64 = 0.85;
-    /// The same of drains and bindings.
+    /// The share that drains and bindings may use.
     pub(super) const MANDATORY_SHARE: f64 = 0.95;
     /// The largest share of the queue that is used: some entries leave later than counted.
     pub(super) const MAX_QUEUE_SHARE: f64 = 0.7;
 
     /// The part of its stated pace that the channel is taken to have while acknowledgements come.
     const ASSUMED_PACE: f64 = 0.125;
-    /// The same while none comes.
+    /// The part of its stated pace that it is taken to have while none comes.
     const UNACKNOWLEDGED_PACE: f64 = 0.03;
     /// No acknowledgement comes once the last one is older than so many transits.
     const SILENT_TRANSITS: u32 = 2;
@@ -28,8 +28,9 @@
     const RESERVED_MESSAGES: f64 = 2.0;
     /// Messages of the limit that are no part of what the shares divide.
     const UNSHARED_MESSAGES: f64 = 1.0;
-    /// The limit over this is the number of messages past which they keep a distance, so that a drain finds one left.
-    const UNSPACED_DIVISOR: f64 = 4.0;
+    /// The message limit over this is how many messages may follow each other at once; later ones are spaced, so that a drain can
+    /// still be sent.
+    const BURST_DIVISOR: f64 = 4.0;
 
     /// Entries of a binding message beyond those of the table.
     const BINDING_ENTRIES: f64 = 2.0;
@@ -57,7 +58,7 @@
         let is_spaced = sent.back().is_none_or(|last| (now - *last).as_secs_f64() >= distance_s);
         let within_share = used < (max - Self::UNSHARED_MESSAGES) * share;
         let within_limit = used < max - Self::RESERVED_MESSAGES;
-        max == 0.0 || (within_share && within_limit && (is_spaced || used < max / Self::UNSPACED_DIVISOR))
+        max == 0.0 || (within_share && within_limit && (is_spaced || used < max / Self::BURST_DIVISOR))
     }
 
     /// The table entries that all proxies can be sent at once, for each of them.
--- a/src/policy/effective_weights.rs
+++ b/src/policy/effective_weights.rs
@@ -6,8 +6,9 @@
 
 /// A far server's factor beside near ones, where its pool's zone has lost nothing.
 const FAR_FACTOR: f64 = 0.2;
-/// The same at the most, where near servers were lost and none is warming up.
-const MAX_FAR_FACTOR: f64 = 0.6;
+/// The most that it rises to by lost near servers, where none of these is warming up. A zone that leans on others may go
+/// beyond it.
+const MAX_FAR_FACTOR_BY_LOSS: f64 = 0.6;
 /// The same over a bad link.
 const BAD_LINK_FACTOR: f64 = 0.02;
 
@@ -17,8 +18,8 @@
     lost: f64,
     /// The factor of far servers over good links.
     far_factor: f64,
-    /// Whether a route that may not leave the zone has near servers to go to.
-    keeps_local: bool,
+    /// Some route may not leave its zone, and a near server is ready: all routes share the table, so none may use far servers.
+    forbids_remote: bool,
 }
 
 impl<H: PolicyHost> Policy<H> {
@@ -26,7 +27,7 @@
     ///
     /// 1. [`Self::usable_share`]: draining, slow start, outlier ejection and the limit on a zone;
     /// 2. [`Self::locality_factor`]: retiring entries, far servers, bad links, routes that stay local;
-    /// 3. [`Self::cap_warming_servers`]: no server that warms up is left with its pool's calls;
+    /// 3. [`Self::cap_warming_servers`]: a warming server gets no more where few others of its pool are usable;
     /// 4. [`Self::fallback_weights`]: no table is emptied by outlier ejection.
     pub(super) fn effective_weights(&self, pool: &Pool) -> Vec<f32> {
         let shares: Vec<f64> = pool.entries.iter().map(|entry| self.usable_share(entry)).collect();
@@ -39,7 +40,7 @@
         if weights.iter().any(|weight| *weight > 0.0) {
             return weights;
         }
-        self.fallback_weights(pool, loss.keeps_local)
+        self.fallback_weights(pool, loss.forbids_remote)
     }
 
     /// The part of a server's learned weight that may be used, wherever the server is.
@@ -65,12 +66,12 @@
         let usable = near.iter().map(|(entry, share)| entry.learned * share).sum::<f64>();
         let lost = 1.0 - if learned > 0.0 { usable / learned } else { 0.0 };
         let warming = near.iter().any(|(entry, _)| self.servers[entry.server].slow_start.warming);
-        let max_far_factor = if warming { 1.0 } else { MAX_FAR_FACTOR };
+        let max_far_factor = if warming { 1.0 } else { MAX_FAR_FACTOR_BY_LOSS };
         let lean = self.zone_spill.lean[usize::from(pool.zone)];
         let far_factor = FAR_FACTOR + ((max_far_factor - FAR_FACTOR) * lost).max((1.0 - FAR_FACTOR) * lean);
-        let keeps_local = self.routes.iter().any(|route| route.zone_local)
+        let forbids_remote = self.routes.iter().any(|route| route.zone_local)
             && near.iter().any(|(entry, _)| self.servers[entry.server].is_ready());
-        PoolLoss { lost, far_factor, keeps_local }
+        PoolLoss { lost, far_factor, forbids_remote }
     }
 
     /// What a server counts for in a pool by the zones of both.
@@ -80,7 +81,7 @@
             0.0
         } else if zone == pool.zone {
             1.0
-        } else if loss.keeps_local {
+        } else if loss.forbids_remote {
             // A route that may not leave the zone shares its table with the others.
             0.0
         } else if self.zone_spill.is_bad_link(pool.zone, zone) {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// In a pool with little else left, a warming server's step is a part of an ordinary share, not of the rest.
+    /// Limits a warming server to its step of an ordinary share, where few other servers of its pool are usable.
     fn cap_warming_servers(&self, pool: &Pool, shares: &[f64], weights: &mut [f32]) {
         let near = pool.entries.iter().filter(|entry| self.is_near(pool, entry)).count();
         let ordinary = if self.subset_size.is_unlimited() { near } else { near.max(self.subset_size.near) };
@@ -104,9 +105,9 @@
     }
 
     /// Even weights over all ready servers that the routes allow.
-    fn fallback_weights(&self, pool: &Pool, keeps_local: bool) -> Vec<f32> {
+    fn fallback_weights(&self, pool: &Pool, forbids_remote: bool) -> Vec<f32> {
         let is_allowed = |entry: &WeightEntry| {
-            self.servers[entry.server].is_ready() && (!keeps_local || self.is_near(pool, entry))
+            self.servers[entry.server].is_ready() && (!forbids_remote || self.is_near(pool, entry))
         };
         pool.entries.iter().map(|entry| f32::from(u8::from(is_allowed(entry)))).collect()
     }
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -11,7 +11,7 @@
 struct Evidence {
     /// The part of its attempts that were answered, 0 to 1.
     answered_share: f64,
-    /// Mean latency of its answers, in seconds.
+    /// Mean of the latencies that its reports give, in seconds; reports count alike, whatever their number of answers.
     latency_s: Option<f64>,
 }
 
@@ -49,8 +49,9 @@
     pub(super) const MIN_ATTEMPTS: f64 = 4.0;
     /// The part of the ready servers that may be ejected.
     const MAX_EJECTED_PART: f64 = 0.5;
-    /// The least time of the first ejection; doubles with each return, up to the longest.
+    /// The least time of the first ejection. It doubles with each return and never shrinks again.
     const FIRST_EJECTION: Duration = Duration::from_secs(3);
+    /// The longest that it grows to.
     const LONGEST_EJECTION: Duration = Duration::from_secs(20);
     /// Where the median server answers less than this part of its attempts, the fault is not a server's.
     const COMMON_FAULT_SHARE: f64 = 0.4;
@@ -65,7 +66,8 @@
     const VERY_SLOW_RATIO: f64 = 6.0;
     /// Health checks, one after another, that confirm a server or its silence.
     const CHECKS_TO_CONFIRM: u32 = 2;
-    /// A silent server is so many report intervals, seconds and median silences behind the newest report.
+    /// A server is silent where its last report is older than the newest of all by more than the sum of so many report intervals,
+    /// so many seconds, and so many times the median server's silence.
     const SILENT_REPORT_INTERVALS: u32 = 2;
     const SILENT_BASE_S: f64 = 1.0;
     const SILENT_MEDIANS: f64 = 4.0;
--- a/src/policy/proxy_binding.rs
+++ b/src/policy/proxy_binding.rs
@@ -51,7 +51,7 @@
             if self.bound_to(pool).next().is_none() {
                 self.write_unused_pool(pool);
             }
-            let entries = self.pools[pool].entries.iter().filter(|entry| entry.written > 0.0).count();
+            let entries = self.pools[pool].entries.iter().filter(|entry| entry.last_sent > 0.0).count();
             let cost = self.channel.binding_cost(entries);
             if !self.channel.has_room(now, cost, ControlChannel::MANDATORY_SHARE) {
                 self.set_urgent_timer(now);
--- a/src/policy/publishing.rs
+++ b/src/policy/publishing.rs
@@ -9,9 +9,10 @@
 
 /// A message's own entry, beside the channel's overhead.
 const MESSAGE_ENTRIES: f64 = 1.0;
-/// A change that leaves more of a weight than this part of the mechanism's least factor is ordinary.
+/// A cut is ordinary where the new weight is more than this part of [`MIN_FACTOR`] times the old one: what one interval cuts
+/// stays ordinary.
 const ORDINARY_FACTOR_PART: f64 = 0.9;
-/// A change that leaves less of a warming server's weight is mandatory.
+/// A cut of a warming server's weight to less than this part of the old one is mandatory.
 const MANDATORY_WARMING_FACTOR: f64 = 0.3;
 
 /// A weight that has changed.
@@ -72,7 +73,7 @@
         let entries = &self.pools[pool].entries;
         let weights = self.effective_weights(&self.pools[pool]);
         let changes: Vec<WeightChange> = (entries.iter().zip(weights).enumerate())
-            .filter(|(_, (entry, weight))| *weight != entry.written)
+            .filter(|(_, (entry, weight))| *weight != entry.last_sent)
             .map(|(i, (entry, weight))| WeightChange {
                 entry: i,
                 weight,
@@ -82,7 +83,7 @@
         if changes.is_empty() {
             return None;
         }
-        let is_usable = |entry: &WeightEntry| entry.written > 0.0 && self.servers[entry.server].is_ready();
+        let is_usable = |entry: &WeightEntry| entry.last_sent > 0.0 && self.servers[entry.server].is_ready();
         let share = if entries.iter().any(is_usable) {
             changes.iter().map(|change| change.share).fold(0.0, f64::max)
         } else {
@@ -93,7 +94,7 @@
 
     /// The share of the channel that a change may use: the more it takes from a server, the larger.
     fn channel_share(&self, entry: &WeightEntry, weight: f32) -> f64 {
-        let factor = f64::from(weight) / f64::from(entry.written);
+        let factor = f64::from(weight) / f64::from(entry.last_sent);
         let server = &self.servers[entry.server];
         let warming = server.slow_start.warming;
         // Not a number where no weight is sent and none was.
@@ -142,8 +143,8 @@
         let pool = &mut self.pools[pool];
         for (position, weight) in weights {
             let entry = &mut pool.entries[position];
-            if entry.written != weight {
-                entry.written = weight;
+            if entry.last_sent != weight {
+                entry.last_sent = weight;
                 self.host.set_weight(pool.table, entry.server, weight);
             }
         }
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -60,7 +60,7 @@
         for pool in pools {
             let servers = self.servers;
             let is_needed = |entry: &WeightEntry| servers[entry.server].is_ready() && !entry.retiring;
-            pool.entries.retain(|entry| entry.written > 0.0 || is_needed(entry));
+            pool.entries.retain(|entry| entry.last_sent > 0.0 || is_needed(entry));
             for entry in pool.entries.iter().filter(|entry| !entry.retiring) {
                 self.holders[entry.server] += 1;
             }
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -13,10 +13,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The least and the most that an interval multiplies a weight by.
+/// The least that an interval multiplies a weight by.
 pub(super) const MIN_FACTOR: f64 = 0.8;
+/// The most that an interval multiplies a weight by.
 const MAX_FACTOR: f64 = 1.25;
-/// A factor closer to 1 than this changes nothing.
+/// The narrowest dead band: a factor closer to 1 than the dead band changes nothing.
 const DEAD_BAND: f64 = 0.1;
 /// Seconds since a weight's last change from which the dead band is no wider than [`DEAD_BAND`].
 const FULL_CONFIDENCE_S: f64 = 6.0;
@@ -64,7 +65,7 @@
     }
 }
 
-/// The dead band after so long without a change: the less was heard since, the wider.
+/// The dead band of a weight that has not changed for so long. It is wider after a recent change, of which few reports tell.
 fn dead_band(unchanged_for: Duration) -> f64 {
     DEAD_BAND * (FULL_CONFIDENCE_S / unchanged_for.as_secs_f64()).sqrt().max(1.0)
 }
--- a/src/policy/zone_spill.rs
+++ b/src/policy/zone_spill.rs
@@ -50,12 +50,13 @@
     const SLOW_OBJECTIVE_PART: f64 = 0.4;
     const LOSSY_SHARE: f64 = 0.7;
     /// A zone leans more on others above the first utilization, and less below the second.
-    const FULL_UTILIZATION: f64 = 0.92;
-    const EASY_UTILIZATION: f64 = 0.7;
+    const LEAN_MORE_UTILIZATION: f64 = 0.92;
+    const LEAN_LESS_UTILIZATION: f64 = 0.7;
     /// Change of the lean in a tick for each unit by which utilizations differ.
     const LEAN_GAIN: f64 = 0.4;
-    /// The part of [`Self::LEAN_GAIN`] by which the lean falls in a tick that needs none.
+    /// [`Self::LEAN_GAIN`] over this is what the lean falls by in a tick that needs none.
     const LEAN_DECAY_DIVISOR: f64 = 20.0;
+    /// The most that a zone leans on others.
     const MAX_LEAN: f64 = 1.5;
 
     /// Judges the link from a zone to another.
@@ -93,10 +94,10 @@
         let remote = self.least_utilized_remote(zone);
         let zone = usize::from(zone);
         let change = match (self.utilization[zone], remote) {
-            (Some(own), Some(remote)) if own > Self::FULL_UTILIZATION || shedding || remote > own => {
+            (Some(own), Some(remote)) if own > Self::LEAN_MORE_UTILIZATION || shedding || remote > own => {
                 Self::LEAN_GAIN * (own - remote)
             }
-            (Some(own), Some(_)) if own > Self::EASY_UTILIZATION => 0.0,
+            (Some(own), Some(_)) if own > Self::LEAN_LESS_UTILIZATION => 0.0,
             _ => -Self::LEAN_GAIN / Self::LEAN_DECAY_DIVISOR,
         };
         self.lean[zone] = (self.lean[zone] + change).clamp(0.0, Self::MAX_LEAN);
--- a/src/state.rs
+++ b/src/state.rs
@@ -73,7 +73,8 @@
     pub(crate) bad_links: BTreeMap<Link, Duration>,
     /// By zone: mean utilization of its servers, 0 to 1, where known.
     pub(crate) utilization: Vec<Option<f64>>,
-    /// By zone: how far it leans on other zones' servers beyond the ordinary.
+    /// By zone: how much it uses other zones' servers beyond the ordinary. 0: not at all; 1: far servers weigh as much as near
+    /// ones; at most 1.5.
     pub(crate) lean: Vec<f64>,
     /// By zone: the part of its servers' weight that may be used, 0 to 1.
     pub(crate) weight_limits: Vec<f64>,
@@ -101,17 +102,18 @@
 pub(crate) struct OutlierDetector {
     /// Steps of weight that are allowed; 0 ejects the server.
     pub(crate) allowed_steps: u32,
-    /// Evidence from before this moment does not count.
+    /// Evidence from before this moment does not count. An ejection sets it, so while ejected it is when that was.
     pub(crate) evidence_from: Duration,
     /// Health checks passed since, one after another.
     pub(crate) checks_passed: u32,
     /// Health checks failed since, one after another.
     pub(crate) checks_failed: u32,
-    /// How long the next ejection lasts at the least.
+    /// How long the next ejection lasts at the least. It never shrinks again.
     pub(crate) ejection_time: Duration,
 }
 
-/// Steps of weight for a server that has started or returns.
+/// The part of the learned weight that a server may have, in steps of a quarter: raised after a start or a return, lowered by
+/// outlier detection, and 0 while ejected.
 pub(crate) struct SlowStart {
     /// The step reached, of [`SlowStart::STEPS`]; 0 while ejected.
     pub(crate) step: u32,
@@ -147,7 +149,8 @@
 
 /// How loaded the servers are as a whole, and how much of each route is admitted.
 pub(crate) struct AdmissionControl {
-    /// What servers are sent as a part of what they could answer; 1 is just full.
+    /// The load of all servers as a part of their capacity, in tenths; 1 is just full. No lower than 3 falling to 0 within the
+    /// first 10 s, and than 0.7 for each attempt that an answer took.
     pub(crate) pressure: f64,
     /// By route: the requests received, oldest first.
     pub(crate) received: Vec<VecDeque<RequestCount>>,
--- a/src/state/pools.rs
+++ b/src/state/pools.rs
@@ -14,7 +14,7 @@
     /// When the mechanism last changed the learned weight; zero for never.
     pub(crate) changed_at: Duration,
     /// The weight last sent; 0 for none.
-    pub(crate) written: f32,
+    pub(crate) last_sent: f32,
     /// Not needed in this pool any more; dropped once a weight of 0 is sent.
     pub(crate) retiring: bool,
 }
@@ -40,8 +40,8 @@
     /// Adds a server with a weight in multiples of the pool's mean.
     pub(crate) fn add_server(&mut self, server: ServerIndex, weight: f64) {
         let learned = weight * self.mean_weight();
-        let (changed_at, written, retiring) = (Duration::ZERO, 0.0, false);
-        self.entries.push(WeightEntry { server, learned, changed_at, written, retiring });
+        let (changed_at, last_sent, retiring) = (Duration::ZERO, 0.0, false);
+        self.entries.push(WeightEntry { server, learned, changed_at, last_sent, retiring });
     }
 
     /// The mean of the learned weights; 1 for an empty pool.
