--- a/src/host.rs
+++ b/src/host.rs
@@ -1,60 +1,62 @@
-//! The boundary of the policy: the settings and events it is given, and the [`PolicyHost`] it commands.
+//! The boundary of the policy: the settings and events that it receives, and the [`PolicyHost`] that it commands.
 //!
-//! Plain data and one trait. Nothing here decides anything or does I/O.
+//! This module holds plain data and one trait. It makes no decisions and does no I/O.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A server, by the small index that the host assigned when the server was first listed.
+/// The index of a server, which the host assigned when the server was first listed.
 pub type ServerIndex = usize;
-/// A proxy, by the number that the host assigned when it joined.
+/// The number of a proxy, which the host assigned when the proxy joined.
 pub type ProxyId = u16;
-/// A weight table, shared by the proxies that are bound to it.
+/// The number of a weight table. All proxies that are bound to a table share it.
 pub type TableId = u16;
-/// A zone, by its position among the deployment's zones.
+/// The position of a zone in the deployment's list of zones.
 pub type ZoneId = u16;
-/// A class of servers that are built alike and so have the same capacity.
+/// A class of servers with the same hardware and therefore the same capacity.
 pub type ServerKind = u16;
-/// A set of routes as a bit mask: bit `k` stands for the route at position `k`.
+/// A set of routes as a bit mask: bit `k` is set if the route at position `k` is in the set.
 pub type RouteSet = u16;
 
-/// A timer that the policy asks its host for.
+/// A timer that the policy requests from its host.
 ///
-/// The order is part of the behaviour: of timers that are due together, the host fires [`Timer::Tick`] first.
+/// The order of the variants is part of the behaviour: of timers that are due together, the host fires [`Timer::Tick`]
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Timer {
-    /// The regular evaluation of all rules.
+    /// The periodic evaluation of all rules.
     Tick,
-    /// A retry of changes that the control channel had no capacity for.
+    /// A retry of urgent changes that did not fit into the control channel.
     UrgentPublish,
 }
 
-/// What the policy commands. An adapter implements it for its protocol; the calls return before anything is sent.
+/// The commands of the policy. An adapter implements the trait for its protocol; the calls return before anything is sent.
 pub trait PolicyHost {
-    /// Asks for [`Policy::timer_fired`](crate::policy::Policy::timer_fired) at `at`, counted from the policy's start.
+    /// Requests a call of [`Policy::timer_fired`](crate::policy::Policy::timer_fired) at `at`, counted from the policy's
+    /// start.
     fn set_timer(&mut self, at: Duration, timer: Timer);
-    /// Sets a server's weight in a table; 0 takes the server out of it.
+    /// Sets a server's weight in a table; a weight of 0 removes the server from the table.
     fn set_weight(&mut self, table: TableId, server: ServerIndex, weight: f32);
-    /// Has a proxy use a table for `routes`; 0 stands for all routes.
+    /// Binds a proxy to a table for `routes`; 0 means all routes.
     fn bind_proxy(&mut self, proxy: ProxyId, table: TableId, routes: RouteSet);
-    /// Sets how much of the routes' requests all joined proxies admit, in the unit of [`AdmissionMode`], and how they retry.
+    /// Sets the admission level of `routes`, in the unit of [`AdmissionMode`], and their retry policy at all joined proxies.
     fn set_admission(&mut self, routes: RouteSet, level: f32, retries: RetryPolicy);
-    /// Asks for an acknowledgement of everything commanded so far, under this number.
+    /// Requests an acknowledgement, with this number, of all commands sent until now.
     fn request_ack(&mut self, number: u16);
-    /// Starts a health check of a server, apart from the requests of clients.
+    /// Starts a health check of a server, independent of client requests.
     fn start_health_check(&mut self, server: ServerIndex);
-    /// Asks for the current endpoint list.
+    /// Requests the current endpoint list.
     fn poll_endpoints(&mut self);
 }
 
-/// When proxies retry a failed attempt.
+/// The conditions under which proxies retry a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Never: one attempt for each request.
+    /// Never: each request gets one attempt.
     Never,
-    /// Only where the failed attempt is known to have had no effect.
+    /// Only if the failed attempt is known to have had no effect.
     IfNotExecuted,
-    /// After any failure, time-outs included.
+    /// After any failure, including a time-out.
     AfterFailure,
 }
 
@@ -63,7 +65,7 @@
 pub enum EndpointState {
     /// Accepts requests.
     Ready,
-    /// Finishes the requests it has and accepts no others.
+    /// Finishes its current requests and accepts no others.
     Draining,
     /// No longer part of the deployment.
     Removed,
@@ -74,33 +76,33 @@
 pub struct Endpoint {
     /// The server.
     pub server: ServerIndex,
-    /// The zone it is in.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// Its kind; the same for all servers where nothing tells them apart.
+    /// The server's kind; the same for all servers if their kinds are not known.
     pub kind: ServerKind,
-    /// Its state.
+    /// The server's state.
     pub state: EndpointState,
-    /// The time since its last start; `None` where that is not known.
+    /// The time since the server's last start; `None` if it is not known.
     pub age: Option<Duration>,
 }
 
-/// Whether a route's requests may be executed more than once.
+/// The effect of executing a route's request more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
     /// Executing a request again has no further effect.
     Idempotent,
-    /// Requests bear an idempotency key; a repeat within the window is discarded.
+    /// Requests carry an idempotency key; servers discard a repeat within the window.
     Keyed {
-        /// Which servers recognise the repeat.
+        /// The servers that recognise the repeat.
         scope: DeduplicationScope,
-        /// How long a key is remembered.
+        /// The time for which servers store a key.
         window: Duration,
     },
-    /// Every execution has an effect of its own.
+    /// Every execution has an additional effect.
     NonIdempotent,
 }
 
-/// The servers that share their memory of idempotency keys.
+/// The servers that share their store of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All servers.
@@ -111,106 +113,106 @@
     Cell,
 }
 
-/// A class of requests, as the deployment's settings state it.
+/// A class of requests, as defined by the deployment's settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Route {
-    /// The value of one answered request; routes of a lower one are shed first.
+    /// The value of one answered request; routes with lower values are shed first.
     pub priority_weight: f64,
-    /// The time within which an answer counts.
+    /// The time within which a response has to arrive.
     pub latency_objective: Duration,
-    /// Whether its requests may be repeated.
+    /// The effect of repeating one of the route's requests.
     pub idempotency: Idempotency,
-    /// Its requests may not leave the zone of their proxy.
+    /// True if the route's requests may not leave the zone of their proxy.
     pub zone_local: bool,
 }
 
-/// Deadlines around the start and the removal of servers.
+/// Rules for the start and the removal of servers.
 #[derive(Clone, Copy, Debug)]
 pub struct Timeouts {
-    /// How long a server may be cold after a start.
+    /// The longest time that a server takes to warm up after a start.
     pub warm_up: Duration,
-    /// A removal from the endpoint list is final. Otherwise a server that still answers remains in use.
+    /// True if a removal from the endpoint list is final. Otherwise a removed server that still answers remains in use.
     pub removal_is_final: bool,
 }
 
-/// The capacity of the control channel, through which all commands to the proxies pass.
+/// The capacity of the control channel, which carries all commands to the proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlChannelLimits {
-    /// Table entries a second that the channel delivers.
+    /// The rate at which the channel delivers, in table entries per second.
     pub entries_per_s: f64,
-    /// Table entries that may be queued in it.
+    /// The largest number of table entries that may be queued in the channel.
     pub max_queued_entries: f64,
-    /// Table entries that each message costs beyond its own.
+    /// The cost of a message in addition to its table entries, in table entries.
     pub message_overhead: f64,
-    /// Messages to one proxy within `window`; 0 for no limit.
+    /// The largest number of messages to one proxy within `window`; 0 means no limit.
     pub max_messages: usize,
     /// The sliding window of `max_messages`.
     pub window: Duration,
-    /// The longest time from a command to its effect on an uncongested channel.
+    /// The longest time from a command to its effect while the channel is not congested.
     pub max_transit: Duration,
 }
 
-/// What the policy can observe of servers and endpoints.
+/// The sources of information about servers and endpoints.
 #[derive(Clone, Debug)]
 pub struct Observability {
-    /// What each position of [`LoadReport::metrics`] measures.
+    /// The metric at each position of [`LoadReport::metrics`].
     pub metrics: Vec<LoadMetric>,
-    /// The time between two reports of the same server.
+    /// The time between two reports on the same server.
     pub report_interval: Duration,
-    /// Health checks are available.
+    /// True if health checks are available.
     pub health_checks: bool,
-    /// How long the endpoint list may go without a poll; `None` where changes are pushed.
+    /// The longest time between two polls of the endpoint list; `None` if changes of the list are pushed.
     pub endpoint_poll_interval: Option<Duration>,
 }
 
-/// The unit in which proxies are told how much to admit.
+/// The unit of admission levels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionMode {
     /// The share of a route's requests that is admitted, 0 to 1.
     Share,
-    /// Requests a second of each route at each proxy.
+    /// Requests per second of each route at each proxy.
     Rate,
-    /// None: proxies only follow the retry policy.
+    /// No admission control: proxies ignore the levels and follow only the retry policy.
     Off,
 }
 
-/// What the proxies are able to do, and how many there are.
+/// The capabilities and the number of the proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyCapabilities {
-    /// Zones of the deployment.
+    /// The number of zones in the deployment.
     pub zones: usize,
-    /// Slices: parts of the deployment that share no servers. The policy creates no pools where there are any.
+    /// The number of slices: parts of the deployment that share no servers. If it is not 0, the policy creates no pools.
     pub slices: usize,
     /// The unit of admission levels.
     pub admission_mode: AdmissionMode,
-    /// An attempt that may be followed by another waits this multiple of the latency objective.
+    /// The time-out of an attempt that may be retried, as a multiple of the latency objective.
     pub attempt_timeout_factor: f64,
-    /// All proxies, whichever planner they have joined.
+    /// The number of all proxies, including those that have joined other planners.
     pub proxies: usize,
-    /// Connections that the smallest servers accept.
+    /// The number of connections that the smallest servers accept.
     pub min_server_connections: f64,
 }
 
-/// What a position of a load report measures.
+/// The quantity that a position of a load report measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadMetric {
     /// Requests in flight.
     InFlight,
-    /// Requests that wait for a worker.
+    /// Requests waiting for a worker.
     Pending,
     /// The utilization of the workers, 0 to 1.
     Utilization,
     /// The mean time to serve a request, in milliseconds.
     ServiceTimeMs,
-    /// Answered requests a second.
+    /// Answered requests per second.
     ResponsesPerSecond,
-    /// Failed requests a second.
+    /// Failed requests per second.
     ErrorsPerSecond,
-    /// Anything the policy does not use.
+    /// A quantity that the policy does not use.
     Other,
 }
 
-/// What the proxies of one zone observed of one server over a report interval.
+/// The observations of one server by the proxies of one zone over a report interval.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport<'a> {
     /// The zone of the proxies.
@@ -219,55 +221,56 @@
     pub attempts: u32,
     /// Attempts that ended without an answer.
     pub failures: u32,
-    /// The mean latency of the answered attempts; `None` without any.
+    /// The mean latency of the answered attempts; `None` if no attempt was answered.
     pub latency: Option<Duration>,
-    /// The server's own figures, in the order of [`Observability::metrics`]; empty where none came.
+    /// The metrics reported by the server, in the order of [`Observability::metrics`]; empty if the server reported no
+    /// metrics.
     pub metrics: &'a [f32],
 }
 
-/// How a health check ended.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckResult {
     /// The server answered.
     Healthy,
-    /// The server refused the check: it drains, or has too many checks in progress.
+    /// The server refused the check because it drains or has too many checks in progress.
     Rejected,
-    /// No answer came, or an error.
+    /// The check timed out or returned an error.
     Failed,
 }
 
-/// What the servers of a zone can do, and what its proxies received.
+/// The capacity of a zone's servers, and the request rate at the zone's proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ZoneCapacity {
-    /// Requests a second that its ready servers can answer.
+    /// Requests per second that the zone's ready servers can answer.
     pub capacity_per_s: f64,
-    /// By route: requests a second that its proxies received.
+    /// By route: requests per second that the zone's proxies received.
     pub received_per_s: Vec<f64>,
 }
 
 /// The servers of one pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolSubset {
-    /// The zone of its proxies.
+    /// The zone of the pool's proxies.
     pub zone: ZoneId,
-    /// The servers it holds, in the order of its table.
+    /// The servers of the pool, in the order of its table.
     pub servers: Vec<ServerIndex>,
 }
 
-/// What a policy has assigned, for the one that takes over from it.
+/// The pool assignments of a policy, from which its successor starts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PoolAssignments {
     /// The pools, in the order of their tables.
     pub pools: Vec<PoolSubset>,
-    /// The position of each bound proxy's pool.
+    /// By proxy: the position of its pool in `pools`. Only bound proxies are included.
     pub pool_by_proxy: BTreeMap<ProxyId, usize>,
 }
 
-/// The pool that a proxy had under a former policy.
+/// The pool to which a former policy had bound a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FormerBinding {
     /// The zone of the proxy.
     pub zone: ZoneId,
-    /// The position of its pool in the restored assignments.
+    /// The position of the proxy's pool in the restored assignments.
     pub pool: usize,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! grebespool: balances load by weighted tables that a controller shares out to proxies.
+//! grebespool: a load-balancing policy. A controller runs the policy and distributes its weight tables to proxies.
 //!
-//! [`policy`] holds every decision, [`host`] its boundary: the settings, events and commands; `state` the plain data that the
-//! policy keeps. Nothing here does I/O or reads a clock.
+//! [`policy`] makes every decision. [`host`] is the policy's boundary: its settings, events and commands. `state` holds the
+//! policy's data. No module does I/O or reads a clock.
 
 pub mod host;
 pub mod policy;
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,53 +1,62 @@
-//! Admission control: the share of each route's requests that the servers have capacity for. Responsible for the shares and
-//! for the pressure; what is sent of them is decided in [`publishing`](super::publishing).
+//! Admission control: the share of each route's requests that the servers have capacity for.
+//!
+//! This module computes the shares and the pressure; [`publishing`](super::publishing) decides which changes are sent.
 
-use super::capacity::{CapacityEstimate, WindowTotals, kept_span_s};
+use super::capacity::{CapacityEstimate, WindowTotals, retention_span_s};
 use crate::host::{AdmissionMode, PolicyHost, ProxyId, Route};
-use crate::state::{AdmissionControl, Policy, RequestCount, ServerState, drop_old};
+use crate::state::{AdmissionControl, Policy, RequestCount, ServerState, evict_expired};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// The requests of a window that are to be admitted, by route and in all.
+/// The number of requests to admit in a window.
 struct AdmissionTarget {
+    /// By route: the requests received in the window.
     received: Vec<f64>,
+    /// The requests of all routes together that are to be admitted.
     admitted: f64,
 }
 
 impl AdmissionControl {
-    /// The window of the totals is no shorter than this, and than so many report intervals.
+    /// The minimum length of the window over which totals are computed.
     const MIN_WINDOW: Duration = Duration::from_secs(2);
+    /// The minimum length of the same window, in report intervals.
     const WINDOW_REPORT_INTERVALS: u32 = 2;
-    /// Pressure at the start, falling to nothing within so many seconds: the first reports are of few requests.
+    /// The lower bound on the pressure at the start, because the first reports cover few requests.
     pub(super) const START_PRESSURE: f64 = 3.0;
-    const START_S: f64 = 10.0;
-    /// Pressure for each attempt an answer took: failed attempts come again at the servers that accept any.
+    /// The time over which that lower bound falls to 0, in seconds.
+    const START_DECAY_S: f64 = 10.0;
+    /// The lower bound on the pressure for each attempt per answer: failed attempts are retried at the servers that still
+    /// accept requests.
     const PRESSURE_PER_ATTEMPT: f64 = 0.7;
-    /// Steps in which the pressure is kept, for each unit.
+    /// The number of steps per unit to which the pressure is rounded.
     const PRESSURE_STEPS: f64 = 10.0;
-    /// The servers are overloaded from the first pressure on, until it is below the second.
+    /// The pressure above which the servers become overloaded.
     const OVERLOADED_PRESSURE: f64 = 1.0;
+    /// The pressure at or below which the servers are no longer overloaded.
     const RECOVERED_PRESSURE: f64 = 0.8;
-    /// Expected pressure from which on requests are rejected.
+    /// The expected pressure from which requests are shed.
     const SHEDDING_PRESSURE: f64 = 1.1;
-    /// The part of the capacity that is to be used, and how much less while answers are late.
+    /// The fraction of the capacity that is to be used.
     const TARGET_UTILIZATION: f64 = 0.9;
+    /// The reduction of that fraction while answers are late.
     const LATE_REDUCTION: f64 = 0.1;
-    /// How much what is admitted may grow in a tick, as a factor.
-    const GROWTH: f64 = 1.1;
-    /// Steps of the admitted share, so that noise changes nothing. So much of all requests is always admitted.
+    /// The factor by which the admitted requests may grow in a tick.
+    const GROWTH_FACTOR: f64 = 1.1;
+    /// The step to which admitted shares are rounded, so that noise changes nothing. It is also the smallest share of all
+    /// requests together that is admitted.
     const SHARE_STEP: f64 = 0.05;
-    /// A larger share is all of it.
-    const NEARLY_ALL: f64 = 0.97;
-    /// Requests a second at each proxy that stand for no limit.
+    /// The share above which a route is admitted in full.
+    const FULL_SHARE_THRESHOLD: f64 = 0.97;
+    /// The rate that means no limit, in requests per second at each proxy.
     const UNLIMITED_RATE: f64 = 1e9;
-
+    /// Returns the length of the window over which totals are computed.
     pub(super) fn window(report_interval: Duration) -> Duration {
         Self::MIN_WINDOW.max(report_interval * Self::WINDOW_REPORT_INTERVALS)
     }
 
-    /// Updates the pressure and whether the servers are overloaded.
+    /// Updates the pressure and the overload state.
     fn observe(&mut self, now: Duration, totals: &WindowTotals, estimate: &CapacityEstimate) {
-        let at_start = Self::START_PRESSURE * (1.0 - now.as_secs_f64() / Self::START_S);
+        let at_start = Self::START_PRESSURE * (1.0 - now.as_secs_f64() / Self::START_DECAY_S);
         let by_attempts = Self::PRESSURE_PER_ATTEMPT * totals.attempts / totals.answered;
         let pressure = estimate.pressure.max(at_start).max(by_attempts);
         self.pressure = (pressure * Self::PRESSURE_STEPS).round() / Self::PRESSURE_STEPS;
@@ -55,8 +64,9 @@
         self.overloaded = estimate.pressure > threshold;
     }
 
-    /// Decides how many requests to admit; `None` where the shares may stay. Acts on a high expected pressure, on late answers,
-    /// and while requests are shed already. Reports that come late are no sign by themselves: they arrive in bursts.
+    /// Decides how many requests to admit; `None` if the shares may stay as they are. The shares change if the expected
+    /// pressure is high, if answers are late, or while requests are shed already. Late reports are not a reason to shed,
+    /// because reports arrive in bursts.
     fn target(&self, from: Duration, estimate: &CapacityEstimate) -> Option<AdmissionTarget> {
         let pressed = estimate.expected_pressure >= Self::SHEDDING_PRESSURE;
         if !pressed && !estimate.late && !self.is_shedding() {
@@ -69,15 +79,15 @@
             .map(|(requests, share)| requests * f64::from(*share))
             .sum();
         let min = Self::SHARE_STEP * received.iter().sum::<f64>();
-        // A route that is shut out would never return by growth alone.
+        // A share of 0 never grows by a factor, so a route that is shed entirely needs this addition to be admitted again.
         let extra = if estimate.expected_pressure < Self::RECOVERED_PRESSURE { min } else { 0.0 };
-        let max = Self::GROWTH * admitted_before + extra;
+        let max = Self::GROWTH_FACTOR * admitted_before + extra;
         let utilization = Self::TARGET_UTILIZATION - if estimate.late { Self::LATE_REDUCTION } else { 0.0 };
         let admitted = (utilization * estimate.capacity).min(max).max(min);
         Some(AdmissionTarget { received, admitted })
     }
 
-    /// Hands the admitted requests out to the routes, those of the highest priority first.
+    /// Distributes the admitted requests among the routes, in descending order of priority.
     fn distribute(&mut self, target: &AdmissionTarget, routes: &[Route]) {
         let received = &target.received;
         let mut by_priority: Vec<usize> =
@@ -88,23 +98,24 @@
             let share = (left / received[route]).min(1.0);
             left = (left - share * received[route]).max(0.0);
             let stepped = (share / Self::SHARE_STEP).round() * Self::SHARE_STEP;
-            self.admitted_share[route] = if share > Self::NEARLY_ALL { 1.0 } else { stepped as f32 };
+            self.admitted_share[route] =
+                if share > Self::FULL_SHARE_THRESHOLD { 1.0 } else { stepped as f32 };
         }
     }
 
-    /// Keeps every share within its limit.
+    /// Lowers every share to its limit.
     fn apply_limits(&mut self) {
         for (share, limit) in self.admitted_share.iter_mut().zip(&self.share_limits) {
             *share = share.min(*limit);
         }
     }
 
-    /// A route's share as requests a second at each proxy, in coarse steps, so that noise changes nothing.
+    /// Converts a route's share to requests per second at each proxy, in coarse steps, so that noise changes nothing.
     fn rate(&self, now: Duration, route: usize) -> f32 {
         let rates = rates_by_proxy(&self.received[route], now);
         let admitted = f64::from(self.admitted_share[route]) * rates.iter().sum::<f64>();
         let limit = fair_limit(&rates, admitted).min(Self::UNLIMITED_RATE);
-        (Self::GROWTH.ln() * (limit.ln() / Self::GROWTH.ln()).round()).exp() as f32
+        (Self::GROWTH_FACTOR.ln() * (limit.ln() / Self::GROWTH_FACTOR.ln()).round()).exp() as f32
     }
 }
 
@@ -112,10 +123,10 @@
     counts.iter().filter(|count| count.at > from).map(|count| count.requests).sum()
 }
 
-/// Requests a second that each proxy received, over as long as samples are kept.
+/// Returns the requests per second that each proxy received, over the retention time of the samples.
 fn rates_by_proxy(received: &VecDeque<RequestCount>, now: Duration) -> Vec<f64> {
-    let from = now.saturating_sub(ServerState::SAMPLES_KEPT);
-    let span_s = kept_span_s(now);
+    let from = now.saturating_sub(ServerState::SAMPLE_RETENTION);
+    let span_s = retention_span_s(now);
     let mut rates: BTreeMap<ProxyId, f64> = BTreeMap::new();
     for count in received.iter().filter(|count| count.at > from) {
         *rates.entry(count.proxy).or_default() += count.requests / span_s;
@@ -123,8 +134,8 @@
     rates.into_values().collect()
 }
 
-/// The largest rate that each proxy may have where `total` is shared max-min fairly among `demands`; infinite where all of
-/// them fit.
+/// Returns the largest rate that each proxy may have if `total` is shared max-min fairly among `demands`; infinite if
+/// `total` covers all of them.
 fn fair_limit(demands: &[f64], total: f64) -> f64 {
     let mut demands = demands.to_vec();
     demands.sort_by(f64::total_cmp);
@@ -141,15 +152,15 @@
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Tells how many requests of a route a proxy received in a report interval. Unknown routes are ignored.
+    /// Records how many requests of a route a proxy received in a report interval. Unknown routes are ignored.
     pub fn requests_received(&mut self, now: Duration, proxy: ProxyId, route: usize, requests: u32) {
         if let Some(counts) = self.admission.received.get_mut(route) {
             counts.push_back(RequestCount { at: now, requests: f64::from(requests), proxy });
-            drop_old(counts, now, ServerState::SAMPLES_KEPT, |count| count.at);
+            evict_expired(counts, now, ServerState::SAMPLE_RETENTION, |count| count.at);
         }
     }
 
-    /// Sets the admitted shares anew: gather the totals, estimate the capacity, decide the target, hand it out.
+    /// Recomputes the admitted shares: gathers the totals, estimates the capacity, decides the target and distributes it.
     pub(super) fn update_admission(&mut self, now: Duration) {
         let from = now.saturating_sub(AdmissionControl::window(self.observability.report_interval));
         let totals = WindowTotals::gather(&self.servers, from);
@@ -162,7 +173,7 @@
         self.admission.apply_limits();
     }
 
-    /// A route's admission level in the unit of the proxies.
+    /// Returns a route's admission level in the unit of the proxies.
     pub(super) fn admission_level(&self, now: Duration, route: usize) -> f32 {
         let share = self.admission.admitted_share[route];
         match self.capabilities.admission_mode {
@@ -173,8 +184,8 @@
         }
     }
 
-    /// Limits the share of each route, in the routes' order, to what is told from outside. A share that only the former
-    /// limit held down rises with it at once.
+    /// Sets an upper limit on the admitted share of each route, in the routes' order. A share that equals its previous limit
+    /// moves to the new limit at once.
     pub fn limit_admission(&mut self, now: Duration, limits: &[f64]) {
         let admission = &mut self.admission;
         let shares = admission.admitted_share.iter_mut().zip(&mut admission.share_limits);
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,59 +1,61 @@
-//! Capacity: what the servers can answer, estimated from the load reports of a window. Responsible for the estimate alone; what is
-//! admitted is decided in [`admission`](super::admission).
+//! Capacity: the requests that the servers can answer, estimated from the load reports of a window.
+//!
+//! This module only estimates; [`admission`](super::admission) decides what is admitted.
 
 use crate::host::{PolicyHost, ZoneCapacity, ZoneId};
 use crate::state::{AdmissionControl, LoadSample, Policy, RequestCount, ServerState, median};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Utilization from which on a server counts as full.
+/// The utilization from which a server counts as full.
 pub(super) const FULL_UTILIZATION: f64 = 0.85;
-/// Utilization that is assumed where none is reported.
+/// The utilization that is assumed for a server that reports none.
 const ASSUMED_UTILIZATION: f64 = 0.7;
-/// The least utilization that is believed.
+/// The lower bound on utilization; smaller reported values are raised to it.
 const MIN_UTILIZATION: f64 = 0.05;
-/// Answers are late from this part of the latency objective on.
-const LATE_OBJECTIVE_PART: f64 = 0.35;
-/// The part of the requests that is taken to be reported at the least.
+/// The fraction of the latency objective above which answers are late.
+const LATE_OBJECTIVE_FRACTION: f64 = 0.35;
+/// The lower bound on the coverage: the fraction of the received requests whose zone sends load reports.
 const MIN_COVERAGE: f64 = 0.3;
 
-/// What was observed of all servers over the window. Counts are per window, not per second.
+/// Totals of the reports on all servers over a window. Counts are per window, not per second.
 #[derive(Default)]
 pub(super) struct WindowTotals {
-    /// Attempts that ended.
+    /// The number of attempts that ended.
     pub(super) attempts: f64,
-    /// Attempts that were answered.
+    /// The number of answered attempts.
     pub(super) answered: f64,
-    /// Attempts that count as load: those at servers with time to spare only where they were answered.
+    /// The number of attempts that count as load: at a server that is not full, only its answered attempts.
     load: f64,
-    /// Attempts that the servers with answers could have answered.
+    /// The number of attempts that the active servers, those that answered any, could have answered.
     pub(super) capacity: f64,
-    /// What those of them that are still ready could have answered.
+    /// The part of `capacity` that belongs to servers that are still ready.
     ready_capacity: f64,
-    /// Servers that answered.
+    /// The number of servers that answered any attempt.
     active_servers: f64,
-    /// Servers that answered and are still ready.
+    /// The number of servers that answered any attempt and are still ready.
     active_ready_servers: f64,
-    /// Ready servers that answered, and open ones without attempts that are not warming up.
+    /// The number of ready servers that answered, plus the available servers without attempts that are not warming up.
     staying_servers: f64,
-    /// Median over the servers of the mean latency that their reports give, in seconds.
+    /// The median over the servers of their reported mean latency, in seconds.
     latency_s: Option<f64>,
 }
 
-/// What the servers can do by the totals of a window.
+/// The load and the capacity of the servers, estimated from the totals of a window.
 pub(super) struct CapacityEstimate {
-    /// Attempts that count as load over those that could be answered; 1 is just full.
+    /// The load over the capacity; at 1 the servers are just full.
     pub(super) pressure: f64,
-    /// The same, once what leaving servers did has fallen to the others.
+    /// The pressure to expect after the load of leaving servers has moved to the others.
     pub(super) expected_pressure: f64,
-    /// Requests that the staying servers can answer in a window, with those that no report covers.
+    /// The number of requests that the staying servers can answer in a window, including requests that no load report
+    /// covers.
     pub(super) capacity: f64,
-    /// Queues have built up: answers come late.
+    /// True if answers are late because queues have built up.
     pub(super) late: bool,
 }
 
 impl WindowTotals {
-    /// Sums up the samples of all servers from after a moment.
+    /// Sums the samples of all servers from after `from`.
     pub(super) fn gather(servers: &[ServerState], from: Duration) -> WindowTotals {
         let mut totals = WindowTotals::default();
         for server in servers {
@@ -70,13 +72,13 @@
         self.attempts += attempts;
         self.answered += answered;
         if answered == 0.0 {
-            let idle = attempts == 0.0 && server.is_open() && !server.slow_start.warming;
+            let idle = attempts == 0.0 && server.is_available() && !server.slow_start.warming;
             self.staying_servers += if idle { 1.0 } else { 0.0 };
             return;
         }
         let utilization = server.load.mean(from, |sample| sample.utilization);
         let capacity = answered / utilization_or_assumed(utilization);
-        // Attempts that fail at a server with time to spare point to a fault, not to load.
+        // Attempts that fail at a server with spare capacity indicate a fault, not load.
         let has_room = utilization.is_some_and(|value| value < FULL_UTILIZATION);
         self.load += if has_room { answered } else { attempts };
         self.capacity += capacity;
@@ -88,7 +90,8 @@
         }
     }
 
-    /// Estimates the capacity; `None` where no server answered.
+    /// Estimates the capacity; `None` if no server answered. `coverage` is the fraction of the received requests whose zone
+    /// sends load reports.
     pub(super) fn estimate(&self, objective_s: f64, coverage: f64) -> Option<CapacityEstimate> {
         if self.capacity == 0.0 {
             return None;
@@ -96,13 +99,14 @@
         let leaving = self.staying_servers < self.active_servers;
         let expected =
             if leaving { self.capacity * self.staying_servers / self.active_servers } else { self.capacity };
-        // Leaving servers have done less than their part of the window already.
+        // Servers that left during the window have already answered less than they would in a whole one, so the capacity per
+        // remaining server comes from the servers that are still ready.
         let staying = if leaving && self.active_ready_servers > 0.0 {
             self.capacity.min(self.ready_capacity * self.staying_servers / self.active_ready_servers)
         } else {
             self.capacity
         };
-        let late_s = LATE_OBJECTIVE_PART * objective_s;
+        let late_s = LATE_OBJECTIVE_FRACTION * objective_s;
         Some(CapacityEstimate {
             pressure: self.load / self.capacity,
             expected_pressure: self.load / expected.max(1.0),
@@ -112,9 +116,9 @@
     }
 }
 
-/// The time over which samples are kept, in seconds: shorter after the start, and no less than one second.
-pub(super) fn kept_span_s(now: Duration) -> f64 {
-    ServerState::SAMPLES_KEPT.min(now).as_secs_f64().max(1.0)
+/// Returns the time span that the stored samples cover, in seconds: shorter after the start, and at least one second.
+pub(super) fn retention_span_s(now: Duration) -> f64 {
+    ServerState::SAMPLE_RETENTION.min(now).as_secs_f64().max(1.0)
 }
 
 fn utilization_or_assumed(utilization: Option<f64>) -> f64 {
@@ -122,10 +126,11 @@
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// The part of the received requests whose zone reports on servers as well: a zone's reports may be cut off while its
-    /// proxies' counts still come.
+    /// Returns the fraction of the received requests whose zone also sends load reports. A zone's load reports may be cut
+    /// off while the request counts of its proxies still arrive.
     ///
-    /// A zone whose requests find no server looks the same; the others are then sent too many.
+    /// A zone whose requests reach no server is indistinguishable from such a zone. Too many requests are then admitted in
+    /// the other zones.
     pub(super) fn report_coverage(&self, now: Duration) -> f64 {
         let newest_reports: Vec<Duration> =
             (0..self.zone_spill.zones()).map(|zone| self.newest_report(zone)).collect();
@@ -144,20 +149,21 @@
         if all > 0.0 { (covered / all).max(MIN_COVERAGE) } else { 1.0 }
     }
 
-    /// When the newest report of a zone's proxies came; zero for none.
+    /// Returns the arrival time of the newest load report from a zone's proxies; zero if there is no report.
     fn newest_report(&self, zone: ZoneId) -> Duration {
         let samples = self.servers.iter().flat_map(|server| &server.load.samples);
         samples.filter(|sample| sample.client_zone == zone).map(|sample| sample.at).max().unwrap_or_default()
     }
 
-    /// By zone: what its ready servers can answer and what its proxies received, over as long as samples are kept.
+    /// Returns, by zone, the requests per second that its ready servers can answer and that its proxies received. Both are
+    /// means over the retention time of the samples.
     pub fn zone_capacity(&self, now: Duration) -> Vec<ZoneCapacity> {
         (0..self.zone_spill.zones()).map(|zone| self.capacity_of_zone(now, zone)).collect()
     }
 
     fn capacity_of_zone(&self, now: Duration, zone: ZoneId) -> ZoneCapacity {
-        let from = now.saturating_sub(ServerState::SAMPLES_KEPT);
-        let span_s = kept_span_s(now);
+        let from = now.saturating_sub(ServerState::SAMPLE_RETENTION);
+        let span_s = retention_span_s(now);
         let servers = self.servers.iter().filter(|server| server.is_ready() && server.zone == zone);
         let capacity = servers.map(|server| {
             let utilization = server.load.mean(from, |sample| sample.utilization);
--- a/src/policy/effective_weights.rs
+++ b/src/policy/effective_weights.rs
@@ -1,34 +1,37 @@
-//! The weights that are sent: learned ones times the exceptions. Responsible for every exception to the mechanism of
-//! [`weights`](super::weights); changes nothing that is learned.
+//! Effective weights: the weights that are sent, which are the learned weights times the exceptions.
+//!
+//! This module computes every exception to the weights that [`weights`](super::weights) learns, and changes no learned
+//! weight.
 
 use crate::host::PolicyHost;
 use crate::state::{Policy, Pool, SlowStart, WeightEntry};
 
-/// A far server's factor beside near ones, where its pool's zone has lost nothing.
-const FAR_FACTOR: f64 = 0.2;
-/// The most that it rises to by lost near servers, where none of these is warming up. A zone that leans on others may go
-/// beyond it.
-const MAX_FAR_FACTOR_BY_LOSS: f64 = 0.6;
-/// The same over a bad link.
+/// The factor of remote servers while all local servers of the pool are usable and the zone has no spillover.
+const REMOTE_FACTOR: f64 = 0.2;
+/// The upper limit of the remote factor by lost local servers, while no local server is warming up. Spillover may raise the
+/// factor above it.
+const MAX_REMOTE_FACTOR_BY_LOSS: f64 = 0.6;
+/// The minimum factor of remote servers over a bad link.
 const BAD_LINK_FACTOR: f64 = 0.02;
 
-/// What the pool of some entries has left, and how it fills up.
+/// The loss of local weight in a pool, and the use of remote servers that makes up for it.
 struct PoolLoss {
-    /// The part of the near servers' learned weight that may not be used.
+    /// The fraction of the local servers' learned weight that may not be used.
     lost: f64,
-    /// The factor of far servers over good links.
-    far_factor: f64,
-    /// Some route may not leave its zone, and a near server is ready: all routes share the table, so none may use far servers.
+    /// The factor of remote servers over good links.
+    remote_factor: f64,
+    /// True if some route may not leave its zone and a local server is ready. All routes share the table, so no route may
+    /// use remote servers then.
     forbids_remote: bool,
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// The weights to send for a pool, in the order of its entries. The exceptions apply in this order:
+    /// Returns the weights to send for a pool, in the order of its entries. The exceptions apply in this order:
     ///
     /// 1. [`Self::usable_share`]: draining, slow start, outlier ejection and the limit on a zone;
-    /// 2. [`Self::locality_factor`]: retiring entries, far servers, bad links, routes that stay local;
-    /// 3. [`Self::cap_warming_servers`]: a warming server gets no more where few others of its pool are usable;
-    /// 4. [`Self::fallback_weights`]: no table is emptied by outlier ejection.
+    /// 2. [`Self::locality_factor`]: retiring entries, remote servers, bad links and zone-local routes;
+    /// 3. [`Self::cap_warming_servers`]: a warming server gets no additional weight if few others of its pool are usable;
+    /// 4. [`Self::fallback_weights`]: outlier ejection does not empty a table.
     pub(super) fn effective_weights(&self, pool: &Pool) -> Vec<f32> {
         let shares: Vec<f64> = pool.entries.iter().map(|entry| self.usable_share(entry)).collect();
         let loss = self.pool_loss(pool, &shares);
@@ -43,7 +46,7 @@
         self.fallback_weights(pool, loss.forbids_remote)
     }
 
-    /// The part of a server's learned weight that may be used, wherever the server is.
+    /// Returns the share of a server's learned weight that may be used, whatever the zones of the pool and the server are.
     fn usable_share(&self, entry: &WeightEntry) -> f64 {
         let server = &self.servers[entry.server];
         if !server.is_ready() {
@@ -53,28 +56,30 @@
         server.slow_start.weight_share(self.admission.pressure).min(zone_limit)
     }
 
-    fn is_near(&self, pool: &Pool, entry: &WeightEntry) -> bool {
+    fn is_local(&self, pool: &Pool, entry: &WeightEntry) -> bool {
         self.servers[entry.server].zone == pool.zone
     }
 
-    /// Far servers make up at once for what a zone has lost, before its warming servers are overloaded.
+    /// Computes the loss of a pool. Remote servers make up for lost local servers at once, before the zone's warming servers
+    /// are overloaded.
     fn pool_loss(&self, pool: &Pool, shares: &[f64]) -> PoolLoss {
-        let near: Vec<(&WeightEntry, f64)> = (pool.entries.iter().zip(shares.iter().copied()))
-            .filter(|(entry, _)| self.is_near(pool, entry))
+        let local: Vec<(&WeightEntry, f64)> = (pool.entries.iter().zip(shares.iter().copied()))
+            .filter(|(entry, _)| self.is_local(pool, entry))
             .collect();
-        let learned = near.iter().map(|(entry, _)| entry.learned).sum::<f64>();
-        let usable = near.iter().map(|(entry, share)| entry.learned * share).sum::<f64>();
+        let learned = local.iter().map(|(entry, _)| entry.learned).sum::<f64>();
+        let usable = local.iter().map(|(entry, share)| entry.learned * share).sum::<f64>();
         let lost = 1.0 - if learned > 0.0 { usable / learned } else { 0.0 };
-        let warming = near.iter().any(|(entry, _)| self.servers[entry.server].slow_start.warming);
-        let max_far_factor = if warming { 1.0 } else { MAX_FAR_FACTOR_BY_LOSS };
-        let lean = self.zone_spill.lean[usize::from(pool.zone)];
-        let far_factor = FAR_FACTOR + ((max_far_factor - FAR_FACTOR) * lost).max((1.0 - FAR_FACTOR) * lean);
+        let warming = local.iter().any(|(entry, _)| self.servers[entry.server].slow_start.warming);
+        let max_remote_factor = if warming { 1.0 } else { MAX_REMOTE_FACTOR_BY_LOSS };
+        let spillover = self.zone_spill.spillover[usize::from(pool.zone)];
+        let remote_factor = REMOTE_FACTOR
+            + ((max_remote_factor - REMOTE_FACTOR) * lost).max((1.0 - REMOTE_FACTOR) * spillover);
         let forbids_remote = self.routes.iter().any(|route| route.zone_local)
-            && near.iter().any(|(entry, _)| self.servers[entry.server].is_ready());
-        PoolLoss { lost, far_factor, forbids_remote }
+            && local.iter().any(|(entry, _)| self.servers[entry.server].is_ready());
+        PoolLoss { lost, remote_factor, forbids_remote }
     }
 
-    /// What a server counts for in a pool by the zones of both.
+    /// Returns the factor of a server's weight that results from the zones of the pool and the server.
     fn locality_factor(&self, pool: &Pool, entry: &WeightEntry, loss: &PoolLoss) -> f64 {
         let zone = self.servers[entry.server].zone;
         if entry.retiring {
@@ -82,19 +87,21 @@
         } else if zone == pool.zone {
             1.0
         } else if loss.forbids_remote {
-            // A route that may not leave the zone shares its table with the others.
+            // A zone-local route shares its table with the other routes.
             0.0
         } else if self.zone_spill.is_bad_link(pool.zone, zone) {
-            BAD_LINK_FACTOR.max(loss.far_factor * loss.lost.powi(2))
+            BAD_LINK_FACTOR.max(loss.remote_factor * loss.lost.powi(2))
         } else {
-            loss.far_factor
+            loss.remote_factor
         }
     }
 
-    /// Limits a warming server to its step of an ordinary share, where few other servers of its pool are usable.
+    /// Limits the weights of warming servers to their step of an ordinary share, so that they do not replace the pool's
+    /// other servers while few of these are usable.
     fn cap_warming_servers(&self, pool: &Pool, shares: &[f64], weights: &mut [f32]) {
-        let near = pool.entries.iter().filter(|entry| self.is_near(pool, entry)).count();
-        let ordinary = if self.subset_size.is_unlimited() { near } else { near.max(self.subset_size.near) };
+        let local = pool.entries.iter().filter(|entry| self.is_local(pool, entry)).count();
+        let ordinary =
+            if self.subset_size.is_unlimited() { local } else { local.max(self.subset_size.local) };
         let sum = f64::from(weights.iter().sum::<f32>());
         let cap = SlowStart::MAX_SHARE * sum / (ordinary.max(1) as f64 * pool.mean_weight());
         for ((weight, entry), share) in weights.iter_mut().zip(&pool.entries).zip(shares) {
@@ -104,10 +111,10 @@
         }
     }
 
-    /// Even weights over all ready servers that the routes allow.
+    /// Returns equal weights for all ready servers that the routes allow.
     fn fallback_weights(&self, pool: &Pool, forbids_remote: bool) -> Vec<f32> {
         let is_allowed = |entry: &WeightEntry| {
-            self.servers[entry.server].is_ready() && (!forbids_remote || self.is_near(pool, entry))
+            self.servers[entry.server].is_ready() && (!forbids_remote || self.is_local(pool, entry))
         };
         pool.entries.iter().map(|entry| f32::from(u8::from(is_allowed(entry)))).collect()
     }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,47 +1,51 @@
-//! Endpoints: applies the endpoint list, and takes in the reports on its servers. Assumes that a list may be late or wrong:
-//! where removals are not final, a server that answers stays in use.
+//! Endpoints: applies the endpoint list, and records the load reports on its servers.
+//!
+//! A list may be late or wrong: if removals are not final, a removed server that answers stays in use.
 
 use crate::host::{Endpoint, EndpointState, LoadMetric, LoadReport, PolicyHost, ServerIndex};
-use crate::state::{LoadSample, OutlierDetector, Policy, ServerState, SlowStart, drop_old};
+use crate::state::{LoadSample, OutlierDetector, Policy, ServerState, SlowStart, evict_expired};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The load of a request that waits, beside the utilization of workers: that stops at 1 and can't tell how full a server is.
+/// The load of a waiting request, which is added to the utilization of the workers: utilization cannot exceed 1, so it does
+/// not show how overloaded a server is.
 const LOAD_PER_PENDING: f64 = 0.1;
-/// A start later than the known one by no more than this is the same start.
+/// The largest difference between two start times that count as the same start.
 const SAME_START: Duration = Duration::from_millis(1);
 
 impl ServerState {
-    /// How long samples are kept.
-    pub(super) const SAMPLES_KEPT: Duration = Duration::from_secs(8);
-    /// So many equal loads over no less than this time are not believed.
+    /// The time for which samples are stored.
+    pub(super) const SAMPLE_RETENTION: Duration = Duration::from_secs(8);
+    /// The number of consecutive equal loads from which a reported load is invalid, if they span [`Self::FROZEN_FOR`].
     const FROZEN_SAMPLES: usize = 3;
+    /// The minimum time that equal loads have to span to be invalid.
     const FROZEN_FOR: Duration = Duration::from_secs(3);
 
-    /// Whether it is ready and not ejected.
-    pub(super) fn is_open(&self) -> bool {
+    /// Returns true if the server is ready and not ejected.
+    pub(super) fn is_available(&self) -> bool {
         self.is_ready() && self.slow_start.step > 0
     }
 
-    /// Whether it warms up since a start, and not since an ejection.
+    /// Returns true if the server warms up after a start, not after an ejection.
     pub(super) fn is_newly_started(&self) -> bool {
         self.slow_start.warming && self.slow_start.evidence_from < self.warm_at
     }
 
-    /// Applies its removal from the list. Where that is not final, a server in use stays until it fails.
+    /// Applies the removal of the server from the list. If removals are not final, a server in use stays until it fails.
     fn remove(&mut self, removal_is_final: bool) {
-        self.removal_doubted = !removal_is_final && self.is_open();
-        if !self.removal_doubted {
+        self.removal_unconfirmed = !removal_is_final && self.is_available();
+        if !self.removal_unconfirmed {
             self.endpoint_state = EndpointState::Removed;
         }
     }
 
-    /// Takes in a sample. A load that stands still is not believed, as it would draw ever more requests.
+    /// Records a sample. A load that does not change is marked as invalid: a server whose reported load stays low would get
+    /// more and more requests.
     fn add_sample(&mut self, sample: LoadSample) {
         let now = sample.at;
         let load = sample.reported_load;
         let samples = &mut self.load.samples;
-        drop_old(samples, now, Self::SAMPLES_KEPT, |sample| sample.at);
+        evict_expired(samples, now, Self::SAMPLE_RETENTION, |sample| sample.at);
         samples.push_back(sample);
         let reported = samples.iter().rev().filter(|sample| sample.reported_load.is_some());
         let equal: Vec<Duration> =
@@ -57,9 +61,9 @@
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Applies an endpoint list. A `complete` one removes all servers that it does not name.
+    /// Applies an endpoint list. A `complete` list removes all servers that it does not contain.
     pub fn endpoints_updated(&mut self, now: Duration, complete: bool, endpoints: &[Endpoint]) {
-        // A list from before the start answers no poll.
+        // A list that is present at the start is not the answer to a poll.
         if !now.is_zero() {
             self.next_poll_at = None;
         }
@@ -107,16 +111,16 @@
         server.kind = endpoint.kind;
         server.endpoint_state = endpoint.state;
         server.warm_at = warm_at;
-        server.removal_doubted = false;
+        server.removal_unconfirmed = false;
     }
 
-    /// Tells that a poll of the list failed. The next tick polls again, and not this call, lest a list that rejects polls be
-    /// flooded.
+    /// Records that a poll of the list failed. The next tick repeats the poll; this call does not, so that a service that
+    /// rejects polls is not flooded.
     pub fn endpoint_poll_failed(&mut self, now: Duration) {
         self.next_poll_at = Some(now);
     }
 
-    /// Polls the endpoint list where that is due, at half of the interval that it may go without.
+    /// Polls the endpoint list if a poll is due. Polls are repeated at half of the longest permitted interval.
     pub(super) fn poll_endpoints_if_due(&mut self, now: Duration) {
         let Some(interval) = self.observability.endpoint_poll_interval else { return };
         if self.next_poll_at.is_some_and(|at| now >= at) {
@@ -125,8 +129,8 @@
         }
     }
 
-    /// Takes in what a zone's proxies observed of a server. Unknown servers are ignored, as are figures that are no number or
-    /// below zero.
+    /// Records a load report from a zone's proxies on a server. Unknown servers, and metrics that are negative or not
+    /// finite, are ignored.
     pub fn load_reported(&mut self, now: Duration, server: ServerIndex, report: &LoadReport) {
         let metric = |metric| {
             let position = self.observability.metrics.iter().position(|known| *known == metric)?;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,10 +1,10 @@
 //! The load-balancing policy: every decision on weights, admission, ejection and slow start.
 //!
-//! Create a [`Policy`] with a [`PolicyHost`] and the deployment's settings, then call one method for each event; it answers by
-//! commands to the host before it returns. It does no I/O and reads no clock: times are counted from its start and come
-//! with the events.
+//! Create a [`Policy`] with a [`PolicyHost`] and the deployment's settings, then call one method for each event. Each method
+//! sends its commands to the host before it returns. A policy does no I/O and reads no clock: the caller passes the time of
+//! each event, counted from the policy's start.
 //!
-//! Start reading at [`Policy::timer_fired`]; `weights` has the mechanism.
+//! Start reading at [`Policy::timer_fired`]. The module `weights` implements the algorithm that learns the weights.
 
 mod admission;
 mod capacity;
@@ -33,15 +33,17 @@
 
 /// The time between two evaluations of all rules.
 const TICK: Duration = Duration::from_secs(1);
-/// The first tick comes after a part of this range, by chance: policies that start together would publish together.
-const FIRST_TICK_PART: Range<f64> = 0.5..1.0;
-/// The interval of the mechanism.
+/// The range from which the delay of the first tick is drawn, as a fraction of [`TICK`]. Without the random delay, policies
+/// that start together would publish together.
+const FIRST_TICK_FRACTION: Range<f64> = 0.5..1.0;
+/// The number of ticks from one update of the learned weights to the next.
 const TICKS_PER_WEIGHT_UPDATE: u32 = 2;
 /// The latency objective of a deployment without routes, in seconds.
 const DEFAULT_OBJECTIVE_S: f64 = 1.0;
 
 impl<H: PolicyHost> Policy<H> {
-    /// A policy without servers and proxies. `seed` is that of all its random choices.
+    /// Creates a policy without servers and proxies, and sets its first timer. `seed` initializes its random number
+    /// generator.
     pub fn new(
         host: H,
         seed: u64,
@@ -69,25 +71,25 @@
             proxies: BTreeMap::new(),
             unbound: VecDeque::new(),
         };
-        let first_tick = TICK.mul_f64(policy.rng.random_range(FIRST_TICK_PART));
+        let first_tick = TICK.mul_f64(policy.rng.random_range(FIRST_TICK_FRACTION));
         policy.host.set_timer(first_tick, Timer::Tick);
         policy
     }
 
-    /// Evaluates all rules at a tick, then publishes what has changed. In this order:
+    /// At a tick, evaluates all rules and publishes the changes, in this order:
     ///
-    /// 1. `poll_endpoints_if_due`: the endpoint list;
-    /// 2. `update_admission`: what share of each route the servers have capacity for;
-    /// 3. `advance_slow_start`: servers that have started or returned;
-    /// 4. `detect_outliers`: servers that fail, hang or crawl;
-    /// 5. `update_zone_spill`: bad links, and how far zones lean on each other;
-    /// 6. `update_subsets`: which servers each pool holds;
-    /// 7. `update_weights`: the mechanism, at each second tick: a learned weight is multiplied by the pool's mean load over
-    ///    the server's own;
-    /// 8. `publish`: what has changed, as far as the control channel has room. Published weights are the learned ones times
-    ///    the exceptions, whose order stands at `effective_weights`.
+    /// 1. `poll_endpoints_if_due` requests the endpoint list;
+    /// 2. `update_admission` computes the share of each route that the servers have capacity for;
+    /// 3. `advance_slow_start` raises the weights of servers that have started or returned;
+    /// 4. `detect_outliers` finds servers that fail, are silent or are slow;
+    /// 5. `update_zone_spill` finds bad links, and decides how much each zone uses the servers of other zones;
+    /// 6. `update_subsets` decides which servers each pool holds;
+    /// 7. `update_weights`, at each second tick, multiplies each learned weight by the pool's mean load over the server's
+    ///    load;
+    /// 8. `publish` sends the changes that fit into the control channel. Published weights are the learned weights times the
+    ///    exceptions that `effective_weights` lists in order.
     ///
-    /// The urgent timer only publishes.
+    /// At the urgent timer, only publishes.
     pub fn timer_fired(&mut self, now: Duration, timer: Timer) {
         match timer {
             Timer::Tick => {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// The mean of the routes' latency objectives, in seconds.
+    /// Returns the mean of the routes' latency objectives, in seconds.
     fn mean_objective_s(&self) -> f64 {
         mean(self.routes.iter().map(|route| route.latency_objective.as_secs_f64()))
             .unwrap_or(DEFAULT_OBJECTIVE_S)
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,81 +1,89 @@
-//! Outlier detection: which servers fail, hang or crawl beside the others, how much weight they are left, and when an ejected
-//! one returns. Responsible for the evidence and the verdict; assumes that a fault which most servers show lies elsewhere.
+//! Outlier detection: finds servers that fail, are silent or are slow compared with the others, reduces their weights,
+//! ejects them, and decides when an ejected server returns.
+//!
+//! A fault that most servers show is attributed to something other than the servers.
 
 use crate::host::{EndpointState, HealthCheckResult, PolicyHost, ServerIndex, ZoneId};
 use crate::state::{LoadSample, OutlierDetector, Policy, ServerState, SlowStart, median};
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
-/// What a server did lately.
+/// The recent behaviour of a server.
 #[derive(Clone, Copy)]
 struct Evidence {
-    /// The part of its attempts that were answered, 0 to 1.
+    /// The share of the server's attempts that were answered, 0 to 1.
     answered_share: f64,
-    /// Mean of the latencies that its reports give, in seconds; reports count alike, whatever their number of answers.
+    /// The mean of the latencies in the server's reports, in seconds. Reports are not weighted by their numbers of answers.
     latency_s: Option<f64>,
 }
 
-/// What the ready servers have in common.
+/// The typical behaviour of the ready servers.
 struct Baseline {
-    /// Median over the servers of what [`Evidence`] has of each.
+    /// The median over the servers of [`Evidence::answered_share`].
     answered_share: f64,
+    /// The median over the servers of [`Evidence::latency_s`].
     latency_s: Option<f64>,
     /// The mean latency objective of the routes, in seconds.
     objective_s: f64,
-    /// When the newest of all reports came.
+    /// The arrival time of the newest of all reports.
     newest_report: Duration,
-    /// How far behind the newest report a server's own may be.
+    /// The age of a server's last report, relative to the newest of all reports, above which the server is silent.
     max_silence: Duration,
 }
 
-/// What is to be done about a server.
-enum Verdict {
-    /// Ejected: stays so for now.
+/// The decision on a server at a tick.
+enum Decision {
+    /// An ejected server stays ejected.
     StayEjected,
-    /// Ejected: has to pass health checks before it returns.
+    /// An ejected server has to pass health checks before it returns.
     CheckBeforeReturn,
-    /// Ejected: returns at the first step of its slow start.
+    /// An ejected server returns at the first step of its slow start.
     Return,
-    /// In use: at most so many steps of weight; 0 ejects it.
+    /// A server in use gets at most `steps` steps of weight; 0 ejects it.
     Allow { steps: u32 },
-    /// In use and silent: as before, until health checks tell more.
+    /// A silent server in use gets at most `steps` steps of weight until health checks confirm its state.
     CheckSilent { steps: u32 },
 }
 
 impl OutlierDetector {
-    /// How far back attempts count as evidence.
+    /// The time for which attempts count as evidence.
     pub(super) const WINDOW: Duration = Duration::from_secs(4);
-    /// Fewer attempts than these are no evidence.
+    /// The minimum number of attempts that count as evidence.
     pub(super) const MIN_ATTEMPTS: f64 = 4.0;
-    /// The part of the ready servers that may be ejected.
-    const MAX_EJECTED_PART: f64 = 0.5;
-    /// The least time of the first ejection. It doubles with each return and never shrinks again.
+    /// The largest fraction of the ready servers that may be ejected at the same time.
+    const MAX_EJECTED_FRACTION: f64 = 0.5;
+    /// The minimum duration of a server's first ejection. It doubles with each return and never decreases.
     const FIRST_EJECTION: Duration = Duration::from_secs(3);
-    /// The longest that it grows to.
+    /// The upper limit of the minimum duration of an ejection.
     const LONGEST_EJECTION: Duration = Duration::from_secs(20);
-    /// Where the median server answers less than this part of its attempts, the fault is not a server's.
+    /// The median answered share below which failures are attributed to a common cause and not to single servers.
     const COMMON_FAULT_SHARE: f64 = 0.4;
-    /// Answered shares, as a part of the median server's, above which a server may have one, two or all steps.
+    /// The answered share, as a fraction of the median, above which a server may have one step.
     const ONE_STEP_SHARE: f64 = 0.1;
+    /// The answered share, as a fraction of the median, above which a server may have two steps.
     const TWO_STEPS_SHARE: f64 = 0.4;
+    /// The answered share, as a fraction of the median, above which a server may have all steps.
     const ALL_STEPS_SHARE: f64 = 0.7;
-    /// Latency counts as slow from this part of the latency objective on.
-    const SLOW_OBJECTIVE_PART: f64 = 0.4;
-    /// Multiples of the median latency beyond which a server loses two steps, and one more.
+    /// The fraction of the latency objective above which a latency may count as slow.
+    const SLOW_OBJECTIVE_FRACTION: f64 = 0.4;
+    /// The multiple of the median latency above which a server loses two steps.
     const SLOW_RATIO: f64 = 3.0;
+    /// The multiple of the median latency above which a server loses a third step.
     const VERY_SLOW_RATIO: f64 = 6.0;
-    /// Health checks, one after another, that confirm a server or its silence.
+    /// The number of consecutive health checks with the same result that confirm that a server is healthy or has failed.
     const CHECKS_TO_CONFIRM: u32 = 2;
-    /// A server is silent where its last report is older than the newest of all by more than the sum of so many report intervals,
-    /// so many seconds, and so many times the median server's silence.
+    /// The report intervals in [`Baseline::max_silence`], which is the sum of this term and the next two.
     const SILENT_REPORT_INTERVALS: u32 = 2;
+    /// The constant term of [`Baseline::max_silence`], in seconds.
     const SILENT_BASE_S: f64 = 1.0;
+    /// The term of [`Baseline::max_silence`] that grows with the median silence of the servers, in multiples of it.
     const SILENT_MEDIANS: f64 = 4.0;
-    /// Health checks a tick: one for each so many ready servers, and a few. They cost work, and many are rejected.
+    /// The number of ready servers for each health check in a tick. Checks cost work, and servers reject many of them.
     const SERVERS_PER_CHECK: usize = 20;
+    /// The number of health checks in a tick in addition to those by the number of servers.
     const EXTRA_CHECKS: usize = 3;
 
-    /// A server without evidence.
+    /// The state of a server without evidence.
     pub(super) const NEW: OutlierDetector = OutlierDetector {
         allowed_steps: SlowStart::STEPS,
         evidence_from: Duration::ZERO,
@@ -84,7 +92,7 @@
         ejection_time: Self::FIRST_EJECTION,
     };
 
-    /// Forgets the evidence from before a moment.
+    /// Discards the evidence from before `evidence_from`, and keeps the duration of the next ejection.
     pub(super) fn reset(&mut self, evidence_from: Duration, allowed_steps: u32) {
         *self =
             OutlierDetector { allowed_steps, evidence_from, ejection_time: self.ejection_time, ..Self::NEW };
@@ -92,7 +100,7 @@
 }
 
 impl Evidence {
-    /// `None` where the server had too few attempts.
+    /// Collects the evidence of a server; `None` if it had too few attempts.
     fn of(server: &ServerState, now: Duration) -> Option<Evidence> {
         let from = now.saturating_sub(OutlierDetector::WINDOW).max(server.outlier.evidence_from);
         let attempts = server.load.sum(from, |sample| sample.attempts);
@@ -103,7 +111,7 @@
         })
     }
 
-    /// The steps of weight that the evidence allows. Slow answers alone never eject a server.
+    /// Returns the steps of weight that the evidence allows. Slow answers alone never eject a server.
     fn allowed_steps(&self, baseline: &Baseline) -> u32 {
         let slowness = self.slowness(baseline);
         let lost_to_slowness = 2 * u32::from(slowness > OutlierDetector::SLOW_RATIO)
@@ -123,23 +131,23 @@
         }
     }
 
-    /// Its latency as a multiple of the median server's; 0 where it is short, or not known.
+    /// Returns the server's latency as a multiple of the median; 0 if the latency is short or not known.
     fn slowness(&self, baseline: &Baseline) -> f64 {
         let is_slow =
-            |latency_s: &f64| *latency_s > OutlierDetector::SLOW_OBJECTIVE_PART * baseline.objective_s;
+            |latency_s: &f64| *latency_s > OutlierDetector::SLOW_OBJECTIVE_FRACTION * baseline.objective_s;
         let own_s = self.latency_s.filter(is_slow);
         own_s.zip(baseline.latency_s).map_or(0.0, |(own_s, median_s)| own_s / median_s)
     }
 }
 
-/// When a server was last heard of; a reset counts as a report.
+/// Returns the time of the last report on a server; a reset of its evidence counts as a report.
 fn last_report(server: &ServerState) -> Duration {
     let last = server.load.samples.back().map_or(Duration::ZERO, |sample| sample.at);
     last.max(server.outlier.evidence_from)
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Judges all ready servers: gathers the evidence, comes to a verdict on each, and applies it.
+    /// Evaluates all ready servers: gathers their evidence, decides on each and applies the decision.
     pub(super) fn detect_outliers(&mut self, now: Duration) {
         let ready: Vec<ServerIndex> =
             (0..self.servers.len()).filter(|server| self.servers[*server].is_ready()).collect();
@@ -147,16 +155,16 @@
             ready.iter().map(|server| Evidence::of(&self.servers[*server], now)).collect();
         let baseline = self.outlier_baseline(&ready, &evidence);
         let ejected = ready.iter().filter(|server| self.servers[**server].slow_start.step == 0).count();
-        let max_ejected = (ready.len() as f64 * OutlierDetector::MAX_EJECTED_PART) as usize;
+        let max_ejected = (ready.len() as f64 * OutlierDetector::MAX_EJECTED_FRACTION) as usize;
         let mut may_eject = max_ejected.saturating_sub(ejected);
         let mut to_check = vec![];
         for (server, evidence) in ready.iter().copied().zip(evidence) {
-            match self.verdict(now, &self.servers[server], evidence, &baseline) {
-                Verdict::StayEjected => {}
-                Verdict::CheckBeforeReturn => to_check.push(server),
-                Verdict::Return => self.return_ejected(now, server),
-                Verdict::Allow { steps } => self.limit_steps(now, server, steps, &mut may_eject),
-                Verdict::CheckSilent { steps } => {
+            match self.decide(now, &self.servers[server], evidence, &baseline) {
+                Decision::StayEjected => {}
+                Decision::CheckBeforeReturn => to_check.push(server),
+                Decision::Return => self.return_ejected(now, server),
+                Decision::Allow { steps } => self.limit_steps(now, server, steps, &mut may_eject),
+                Decision::CheckSilent { steps } => {
                     to_check.push(server);
                     self.limit_steps(now, server, steps, &mut may_eject);
                 }
@@ -169,7 +177,8 @@
         let known = || evidence.iter().flatten();
         let last = |server: &ServerIndex| last_report(&self.servers[*server]);
         let newest_report = ready.iter().map(last).max().unwrap_or(Duration::ZERO);
-        // Where most are seldom heard of, by few requests or by reports that are cut off, silence is no sign.
+        // If reports on most servers are rare, because of few requests or a lost connection, silence is not evidence of a
+        // fault.
         let silence_s = |server| newest_report.saturating_sub(last(server)).as_secs_f64();
         let median_silence_s = median(ready.iter().map(silence_s)).unwrap_or(0.0);
         let silent_s = OutlierDetector::SILENT_BASE_S + OutlierDetector::SILENT_MEDIANS * median_silence_s;
@@ -183,33 +192,34 @@
         }
     }
 
-    fn verdict(
+    fn decide(
         &self,
         now: Duration,
         server: &ServerState,
         evidence: Option<Evidence>,
         baseline: &Baseline,
-    ) -> Verdict {
+    ) -> Decision {
         let outlier = &server.outlier;
         if server.slow_start.step == 0 {
             let checked = outlier.checks_passed >= OutlierDetector::CHECKS_TO_CONFIRM;
             if self.observability.health_checks && !checked {
-                return Verdict::CheckBeforeReturn;
+                return Decision::CheckBeforeReturn;
             }
-            let served = now.saturating_sub(outlier.evidence_from) >= outlier.ejection_time;
-            return if served { Verdict::Return } else { Verdict::StayEjected };
+            let ejection_expired = now.saturating_sub(outlier.evidence_from) >= outlier.ejection_time;
+            return if ejection_expired { Decision::Return } else { Decision::StayEjected };
         }
         let steps = evidence.map_or(outlier.allowed_steps, |evidence| evidence.allowed_steps(baseline));
         if baseline.newest_report.saturating_sub(last_report(server)) <= baseline.max_silence {
-            Verdict::Allow { steps }
+            Decision::Allow { steps }
         } else if outlier.checks_failed < OutlierDetector::CHECKS_TO_CONFIRM {
-            Verdict::CheckSilent { steps }
+            Decision::CheckSilent { steps }
         } else {
-            Verdict::Allow { steps: 0 }
+            Decision::Allow { steps: 0 }
         }
     }
 
-    /// It may have restarted before the list tells, so it warms up as if it had.
+    /// Returns an ejected server to use. The server warms up as after a start, because it may have restarted before the
+    /// endpoint list shows that.
     fn return_ejected(&mut self, now: Duration, server: ServerIndex) {
         let state = &mut self.servers[server];
         state.slow_start = SlowStart { step: 1, warming: true, evidence_from: now };
@@ -218,10 +228,11 @@
         state.outlier.ejection_time = doubled.min(OutlierDetector::LONGEST_EJECTION);
     }
 
-    /// Limits a server's steps, and ejects it where none is left and `may_eject` is not used up.
+    /// Limits a server's steps. Ejects the server if `steps` is 0 and `may_eject`, the number of further servers that may be
+    /// ejected, is above 0.
     fn limit_steps(&mut self, now: Duration, server: ServerIndex, steps: u32, may_eject: &mut usize) {
         let state = &mut self.servers[server];
-        // A warming server that answers slowly or in part may be slow as well.
+        // A warming server that answers slowly, or not all attempts, may be overloaded, so its slow start restarts.
         let falls_back = state.slow_start.warming && steps < SlowStart::STEPS;
         let steps = if falls_back { steps.min(1) } else { steps };
         state.outlier.allowed_steps = if *may_eject == 0 { steps.max(1) } else { steps };
@@ -229,13 +240,13 @@
         if state.slow_start.step == 0 {
             *may_eject -= 1;
             state.outlier.reset(now, 0);
-            if state.removal_doubted {
+            if state.removal_unconfirmed {
                 state.endpoint_state = EndpointState::Removed;
             }
         }
     }
 
-    /// Checks a few of the servers, by chance.
+    /// Starts health checks of a few servers, chosen at random.
     fn start_health_checks(&mut self, mut servers: Vec<ServerIndex>, ready: usize) {
         servers.shuffle(&mut self.rng);
         if self.observability.health_checks {
@@ -244,8 +255,9 @@
         }
     }
 
-    /// Forgets the evidence against a zone's servers: what no proxy of the zone confirmed may have been a network partition.
-    pub(super) fn forget_evidence(&mut self, now: Duration, zone: ZoneId) {
+    /// Discards the evidence against a zone's servers. It was gathered while no proxy of the zone was joined, so a network
+    /// partition may have caused it.
+    pub(super) fn discard_evidence(&mut self, now: Duration, zone: ZoneId) {
         let evidence_from = now + self.channel.limits.max_transit;
         let warm_up = self.timeouts.warm_up;
         for server in self.servers.iter_mut().filter(|server| server.zone == zone) {
@@ -254,7 +266,7 @@
         }
     }
 
-    /// Tells how a health check ended. Checks of unknown servers are ignored.
+    /// Records the result of a health check. Checks of unknown servers are ignored.
     pub fn health_check_finished(&mut self, server: ServerIndex, result: HealthCheckResult) {
         let Some(state) = self.servers.get_mut(server) else { return };
         let outlier = &mut state.outlier;
--- a/src/policy/proxy_binding.rs
+++ b/src/policy/proxy_binding.rs
@@ -1,17 +1,17 @@
-//! Proxy binding: which pool each proxy uses, from when it joins.
+//! Proxy binding: assigns a pool to each proxy that joins.
 
 use crate::host::{PolicyHost, ProxyId, RouteSet, ZoneId};
 use crate::state::{ControlChannel, Policy, ProxyState};
 use std::time::Duration;
 
-/// The set that stands for every route.
+/// The route set that means all routes.
 const ALL_ROUTES: RouteSet = 0;
-/// Rates are compared in steps of a thousandth of a request a second.
+/// The number of steps per request per second in which rates are compared.
 const RATE_STEPS_PER_REQUEST: f64 = 1000.0;
 
 impl<H: PolicyHost> Policy<H> {
-    /// Tells that a proxy has joined. `restarted` tells that it has just started and holds no table, `request_rate` how many
-    /// requests a second it usually gets.
+    /// Records that a proxy has joined, and binds it to a pool if the channel allows. `restarted` is true if the proxy has
+    /// just started and holds no table; `request_rate` is its usual rate, in requests per second.
     pub fn proxy_joined(
         &mut self,
         now: Duration,
@@ -22,30 +22,30 @@
     ) {
         let zone_was_away = self.proxies.values().all(|other| !other.bound || other.zone != zone);
         if zone_was_away && !restarted {
-            self.forget_evidence(now, zone);
+            self.discard_evidence(now, zone);
         }
         let pool = self.proxies.get(&proxy).and_then(|known| known.pool);
         self.proxies.insert(proxy, ProxyState { zone, request_rate, pool, bound: false });
         self.unbound.retain(|other| *other != proxy);
         self.unbound.push_back(proxy);
-        self.bind_waiting(now);
+        self.bind_unbound(now);
     }
 
-    /// Tells that a proxy has left. Unknown proxies are ignored.
+    /// Records that a proxy has left. Unknown proxies are ignored.
     pub fn proxy_left(&mut self, proxy: ProxyId) {
         if let Some(state) = self.proxies.get_mut(&proxy) {
             state.bound = false;
         }
         self.unbound.retain(|other| *other != proxy);
-        // Once all have left, what was queued is lost.
+        // When the last proxy leaves, the entries queued in the channel are lost.
         if self.proxies.values().all(|other| !other.bound) {
             self.channel.queued = 0.0;
         }
     }
 
-    /// Binds waiting proxies in the order in which they joined, as far as the channel allows. Tells whether any was bound.
-    pub(super) fn bind_waiting(&mut self, now: Duration) -> bool {
-        let waiting_before = self.unbound.len();
+    /// Binds the unbound proxies in the order in which they joined, until the channel is full. Returns true if it bound any.
+    pub(super) fn bind_unbound(&mut self, now: Duration) -> bool {
+        let unbound_before = self.unbound.len();
         while let Some(&proxy) = self.unbound.front() {
             let Some(pool) = self.pool_for(&self.proxies[&proxy]) else { break };
             if self.bound_to(pool).next().is_none() {
@@ -61,10 +61,11 @@
             self.bind(proxy, pool);
             self.unbound.pop_front();
         }
-        self.unbound.len() < waiting_before
+        self.unbound.len() < unbound_before
     }
 
-    /// The pool that a proxy had, else the one of its zone with the least traffic, else that of any zone.
+    /// Returns the pool that a proxy had before; otherwise the pool with the lowest request rate, preferring those of the
+    /// proxy's zone.
     fn pool_for(&self, proxy: &ProxyState) -> Option<usize> {
         let order = |pool: &usize| {
             let rate: f64 = self.bound_to(*pool).map(|bound| bound.request_rate).sum();
@@ -77,7 +78,7 @@
         self.proxies.values().filter(move |proxy| proxy.bound && proxy.pool == Some(pool))
     }
 
-    /// A table that no proxy holds costs nothing to bring up to date.
+    /// Brings the table of a pool without bound proxies up to date. Its entries cost nothing, because they go to no proxy.
     fn write_unused_pool(&mut self, pool: usize) {
         let weights = self.effective_weights(&self.pools[pool]);
         self.write_weights(pool, weights.into_iter().enumerate());
--- a/src/policy/publishing.rs
+++ b/src/policy/publishing.rs
@@ -1,5 +1,6 @@
-//! Publishing: sends the weights and admission levels that have changed, the most urgent first, as far as the control channel
-//! has room. What does not fit is sent later, as it is by then.
+//! Publishing: sends changed weights and admission levels, the most urgent first, until the control channel is full.
+//!
+//! A change that does not fit is not stored: a later call computes and sends the values of that time.
 
 use super::weights::MIN_FACTOR;
 use crate::host::PolicyHost;
@@ -7,40 +8,43 @@
 use rand::seq::SliceRandom;
 use std::time::Duration;
 
-/// A message's own entry, beside the channel's overhead.
+/// The cost of a message in addition to its own entries and the channel's overhead, in entries.
 const MESSAGE_ENTRIES: f64 = 1.0;
-/// A cut is ordinary where the new weight is more than this part of [`MIN_FACTOR`] times the old one: what one interval cuts
-/// stays ordinary.
-const ORDINARY_FACTOR_PART: f64 = 0.9;
-/// A cut of a warming server's weight to less than this part of the old one is mandatory.
+/// The fraction of [`MIN_FACTOR`] that separates ordinary from protective reductions: one weight update multiplies a weight
+/// by [`MIN_FACTOR`] or more, and its reductions are ordinary.
+const ORDINARY_FACTOR_FRACTION: f64 = 0.9;
+/// The factor below which a reduction of a warming server's weight is mandatory.
 const MANDATORY_WARMING_FACTOR: f64 = 0.3;
 
 /// A weight that has changed.
 struct WeightChange {
-    /// Position in the pool.
+    /// The position of the entry in the pool.
     entry: usize,
+    /// The new weight.
     weight: f32,
-    /// The share of the channel that it may use.
+    /// The share of the channel that the change may use.
     share: f64,
 }
 
-/// The changes of one pool.
+/// The changed weights of one pool.
 struct PoolUpdate {
+    /// The position of the pool.
     pool: usize,
     /// The share of the channel that the message may use.
     share: f64,
+    /// The changed weights.
     changes: Vec<WeightChange>,
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Sends what has changed: admission first, then the pools by urgency, then the tables of proxies that wait for one. Asks
-    /// for an acknowledgement where anything was sent.
+    /// Sends the changes: admission first, then the pools by urgency, then the tables of unbound proxies. Requests an
+    /// acknowledgement if anything was sent.
     pub(super) fn publish(&mut self, now: Duration) {
         let sent_before = self.channel.sent;
         let proxies = self.bound_proxies_by_pool();
         let admission_sent = self.publish_admission(now, proxies.iter().sum());
         let mut updates = self.pool_updates(&proxies);
-        // Where not all fits, none is always the last.
+        // Pools of the same urgency are in random order, so that no pool is always the one whose changes do not fit.
         updates.shuffle(&mut self.rng);
         updates.sort_by(|a, b| b.share.total_cmp(&a.share));
         let mut any_sent = admission_sent;
@@ -48,13 +52,13 @@
             let proxies = proxies[update.pool];
             any_sent |= self.publish_pool(now, update, proxies, admission_sent);
         }
-        if self.bind_waiting(now) || any_sent {
+        if self.bind_unbound(now) || any_sent {
             let number = self.channel.next_ack(sent_before);
             self.host.request_ack(number);
         }
     }
 
-    /// By pool: how many proxies are bound to it.
+    /// Returns, by pool, the number of proxies that are bound to it.
     fn bound_proxies_by_pool(&self) -> Vec<f64> {
         let mut proxies = vec![0.0; self.pools.len()];
         for pool in self.proxies.values().filter(|proxy| proxy.bound).filter_map(|proxy| proxy.pool) {
@@ -63,7 +67,7 @@
         proxies
     }
 
-    /// The changes of each pool that a proxy is bound to.
+    /// Returns the changes of each pool that has bound proxies.
     fn pool_updates(&self, proxies: &[f64]) -> Vec<PoolUpdate> {
         let used = (0..self.pools.len()).filter(|pool| proxies[*pool] > 0.0);
         used.filter_map(|pool| self.pool_update(pool)).collect()
@@ -92,13 +96,13 @@
         Some(PoolUpdate { pool, share, changes })
     }
 
-    /// The share of the channel that a change may use: the more it takes from a server, the larger.
+    /// Returns the share of the channel that a change may use. The share is larger for larger reductions of a weight.
     fn channel_share(&self, entry: &WeightEntry, weight: f32) -> f64 {
         let factor = f64::from(weight) / f64::from(entry.last_sent);
         let server = &self.servers[entry.server];
         let warming = server.slow_start.warming;
-        // Not a number where no weight is sent and none was.
-        if factor.is_nan() || factor > ORDINARY_FACTOR_PART * MIN_FACTOR {
+        // The factor is not a number if both weights are 0.
+        if factor.is_nan() || factor > ORDINARY_FACTOR_FRACTION * MIN_FACTOR {
             ControlChannel::ORDINARY_SHARE
         } else if !server.is_ready() || (warming && factor < MANDATORY_WARMING_FACTOR) {
             ControlChannel::MANDATORY_SHARE
@@ -109,12 +113,13 @@
         }
     }
 
-    /// Entries that a message of so many lines costs the channel.
-    fn message_cost(&self, proxies: f64, lines: usize) -> f64 {
-        proxies * (lines as f64 + (self.channel.limits.message_overhead + MESSAGE_ENTRIES))
+    /// Returns the cost of a message of `entries` entries to each of `proxies` proxies, in entries.
+    fn message_cost(&self, proxies: f64, entries: usize) -> f64 {
+        proxies * (entries as f64 + (self.channel.limits.message_overhead + MESSAGE_ENTRIES))
     }
 
-    /// Sends a pool's changes; where not all fit, those that are as urgent as the message. Tells whether it was sent.
+    /// Sends a pool's changes; if not all of them fit, only those that are as urgent as the message. Returns true if the
+    /// message was sent. `joins_message` is true if the changes become part of an admission message that is already counted.
     fn publish_pool(&mut self, now: Duration, update: PoolUpdate, proxies: f64, joins_message: bool) -> bool {
         let PoolUpdate { pool, share, mut changes } = update;
         let message_times = &mut self.pools[pool].message_times;
@@ -138,7 +143,7 @@
         false
     }
 
-    /// Commands the weights that differ from what was last sent, by position in the pool.
+    /// Sends the weights that differ from the last ones sent. Each weight comes with its position in the pool.
     pub(super) fn write_weights(&mut self, pool: usize, weights: impl Iterator<Item = (usize, f32)>) {
         let pool = &mut self.pools[pool];
         for (position, weight) in weights {
@@ -150,12 +155,13 @@
         }
     }
 
-    /// Sends the admission settings that have changed to all bound proxies. Tells whether a message was sent.
+    /// Sends the changed admission settings to all bound proxies. Returns true if a message was sent.
     fn publish_admission(&mut self, now: Duration, bound: f64) -> bool {
         let settings: Vec<AdmissionSetting> =
             (0..self.routes.len()).map(|route| self.admission_setting(now, route)).collect();
-        let changed: Vec<usize> =
-            (0..settings.len()).filter(|route| settings[*route] != self.admission.written[*route]).collect();
+        let changed: Vec<usize> = (0..settings.len())
+            .filter(|route| settings[*route] != self.admission.last_sent[*route])
+            .collect();
         let cost = self.message_cost(bound, changed.len());
         if changed.is_empty() || !self.may_message_every_pool(now) {
             return false;
@@ -165,7 +171,7 @@
         }
         for route in changed {
             let setting = settings[route];
-            self.admission.written[route] = setting;
+            self.admission.last_sent[route] = setting;
             self.host.set_admission(1 << route, setting.level, setting.retries);
         }
         self.channel.add(cost);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: the share of its weight that a server gets after a start or a return, in steps of a quarter.
+//! Slow start: raises the weight of a server after a start or a return, in steps of a quarter.
 
 use super::capacity::FULL_UTILIZATION;
 use crate::host::PolicyHost;
@@ -6,18 +6,19 @@
 use std::time::Duration;
 
 impl SlowStart {
-    /// Steps to the full weight.
+    /// The number of steps to the full weight.
     pub(super) const STEPS: u32 = 4;
-    /// The most of an ordinary share, times its step, that a warming server may have of what its pool has left.
+    /// The largest share of its pool's usable weight that a warming server may have, in multiples of an ordinary share times
+    /// the server's step share.
     pub(super) const MAX_SHARE: f64 = 1.25;
-    /// Pressure above which a warming server gets nothing.
+    /// The pressure above which a warming server gets no weight.
     const MAX_PRESSURE: f64 = 1.4;
-    /// Pressure from which on its share falls.
-    const EASY_PRESSURE: f64 = 0.9;
-    /// A shorter warm-up counts as this many seconds.
+    /// The pressure above which the share of a warming server is reduced.
+    const SHARE_REDUCTION_PRESSURE: f64 = 0.9;
+    /// The lower bound on the warm-up time, in seconds. It prevents a division by zero.
     const MIN_WARM_UP_S: f64 = 0.001;
 
-    /// Whether the full weight is reached.
+    /// Returns true if the full weight is reached.
     pub(super) fn is_complete(&self) -> bool {
         self.step == Self::STEPS
     }
@@ -26,24 +27,24 @@
         f64::from(self.step) / f64::from(Self::STEPS)
     }
 
-    /// The part of an ordinary server that this one counts for in a pool.
+    /// Returns the fraction of an ordinary server that this server counts for in the size of a pool.
     pub(super) fn entry_share(&self) -> f64 {
         if self.warming { self.step_share() } else { 1.0 }
     }
 
-    /// The share of its learned weight that a server may have now. Under pressure proxies avoid full servers and would send
-    /// a warming one many times its share.
+    /// Returns the share of its learned weight that a server may have now. A warming server gets less under pressure,
+    /// because proxies avoid full servers and would send it many times its share.
     pub(super) fn weight_share(&self, pressure: f64) -> f64 {
         if !self.warming {
             self.step_share()
         } else if pressure > Self::MAX_PRESSURE {
             0.0
         } else {
-            self.step_share() * (Self::EASY_PRESSURE / pressure).min(1.0).powi(2)
+            self.step_share() * (Self::SHARE_REDUCTION_PRESSURE / pressure).min(1.0).powi(2)
         }
     }
 
-    /// The steps that a server may have reached by its age.
+    /// Returns the number of steps that a server may have reached by its age.
     pub(super) fn steps_by_age(now: Duration, warm_at: Duration, warm_up: Duration) -> u32 {
         let left_s = warm_at.saturating_sub(now).as_secs_f64();
         let left = left_s / warm_up.as_secs_f64().max(Self::MIN_WARM_UP_S);
@@ -52,7 +53,7 @@
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Raises each server by a step where its age, its health and its last report allow that.
+    /// Raises each server by one step if its age, its health and its last report allow it.
     pub(super) fn advance_slow_start(&mut self, now: Duration) {
         for server in &mut self.servers {
             let by_age = SlowStart::steps_by_age(now, server.warm_at, self.timeouts.warm_up);
@@ -68,7 +69,7 @@
     }
 }
 
-/// Whether the last report tells of the present step, and that one more would not fill the server.
+/// Returns true if the server's last report reflects its current step and shows that another step would not fill the server.
 fn has_room_for_a_step(server: &ServerState) -> bool {
     let step = server.slow_start.step;
     let max_utilization = FULL_UTILIZATION * f64::from(step) / f64::from(step + 1);
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -1,4 +1,6 @@
-//! Subsetting: which servers each pool holds. Assumes that the list is applied; never changes a weight that stands.
+//! Subsetting: decides which servers each pool holds.
+//!
+//! The endpoint list has to be applied before. The weights of existing entries stay as they are.
 
 use super::weights::learned_by_kind;
 use crate::host::{
@@ -8,32 +10,35 @@
 use rand::seq::SliceRandom;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where proxies outnumber the connections: the part of the servers' connections that pools use.
+/// The fraction of the servers' connections that pools may use if a pool cannot hold all servers.
 const CONNECTIONS_USED: f64 = 0.4;
-/// The part of a pool's entries that near servers get.
-const NEAR_PART: f64 = 0.75;
-/// Entries of the smallest pool.
+/// The fraction of a pool's entries that are local servers.
+const LOCAL_FRACTION: f64 = 0.75;
+/// The lower bound on the number of entries per pool.
 const MIN_ENTRIES: f64 = 8.0;
-/// Newly started servers that count towards a pool's size, for each of the others there.
+/// The number of newly started servers that count towards a pool's size for each established server in the pool.
 const NEW_PER_ESTABLISHED: usize = 2;
 
-/// Which servers of a pool are meant, by their zone beside the pool's.
+/// The zone of a server relative to the zone of its pool.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Locality {
-    Near,
-    Far,
+    /// The server is in the pool's zone.
+    Local,
+    /// The server is in another zone.
+    Remote,
 }
 
 impl SubsetSize {
-    /// Whether a pool holds all servers.
+    /// Returns true if a pool holds all servers.
     pub(super) fn is_unlimited(&self) -> bool {
-        self.near == usize::MAX
+        self.local == usize::MAX
     }
 
-    /// The size for a zone that leans on others: so many times its near servers more of the far ones.
-    fn with_lean(self, lean: f64, servers: usize) -> SubsetSize {
-        let leaned_on = (lean * self.near.min(servers) as f64) as usize;
-        SubsetSize { near: self.near, far: self.far.saturating_add(leaned_on) }
+    /// Returns the size for a zone with spillover: the number of remote servers grows by `spillover` times that of local
+    /// ones.
+    fn with_spillover(self, spillover: f64, servers: usize) -> SubsetSize {
+        let additional = (spillover * self.local.min(servers) as f64) as usize;
+        SubsetSize { local: self.local, remote: self.remote.saturating_add(additional) }
     }
 }
 
@@ -44,18 +49,18 @@
     zone_spill: &'a ZoneSpill,
     /// All ready servers, in random order.
     candidates: &'a [ServerIndex],
-    /// What servers of a kind have earned, in multiples of a pool's mean weight.
+    /// By kind of server: the mean learned weight, as a multiple of a pool's mean weight.
     kind_weights: &'a BTreeMap<ServerKind, f64>,
-    /// By server: how many pools of the zone hold it.
+    /// By server: the number of pools of the zone that hold it.
     holders: Vec<usize>,
 }
 
 impl ZoneSubsets<'_> {
-    fn is_near(&self, server: ServerIndex) -> bool {
+    fn is_local(&self, server: ServerIndex) -> bool {
         self.servers[server].zone == self.zone
     }
 
-    /// Drops entries that are not needed any more once that is sent, and counts who holds the others.
+    /// Removes entries that are no longer needed and whose weight of 0 has been sent, and counts the holders of the others.
     fn retire(&mut self, pools: &mut [&mut Pool]) {
         for pool in pools {
             let servers = self.servers;
@@ -67,27 +72,28 @@
         }
     }
 
-    /// Puts each server of the zone that no pool holds into the pool with the fewest near servers.
+    /// Adds each server of the zone that no pool holds to the pool with the fewest local servers.
     fn cover_every_server(&mut self, pools: &mut [&mut Pool]) {
         for server in self.candidates.iter().copied() {
-            if !self.is_near(server) || self.holders[server] > 0 {
+            if !self.is_local(server) || self.holders[server] > 0 {
                 continue;
             }
-            let near = |pool: &&mut &mut Pool| {
-                pool.entries.iter().filter(|entry| self.is_near(entry.server)).count()
+            let local = |pool: &&mut &mut Pool| {
+                pool.entries.iter().filter(|entry| self.is_local(entry.server)).count()
             };
-            if let Some(pool) = pools.iter_mut().min_by_key(near) {
+            if let Some(pool) = pools.iter_mut().min_by_key(local) {
                 self.add(pool, server);
             }
         }
     }
 
-    /// Retires near servers beyond one more than `size` that other pools hold as well, those that most hold first: what
-    /// stood in for lost servers goes when these are back.
+    /// Retires local servers until the pool has `size` + 1, starting with those that most pools hold. Only servers that
+    /// other pools also hold are retired. Replacements of lost servers leave the pool in this way after the lost servers
+    /// return.
     fn shrink(&mut self, pool: &mut Pool, size: usize) {
-        for _ in size.saturating_add(1)..self.occupancy(pool, Locality::Near) {
+        for _ in size.saturating_add(1)..self.occupancy(pool, Locality::Local) {
             let is_spare = |entry: &&mut WeightEntry| {
-                self.is_open(entry) && self.is_near(entry.server) && self.holders[entry.server] > 1
+                self.is_available(entry) && self.is_local(entry.server) && self.holders[entry.server] > 1
             };
             let spare = pool.entries.iter_mut().filter(is_spare);
             if let Some(entry) = spare.max_by_key(|entry| self.holders[entry.server]) {
@@ -97,43 +103,45 @@
         }
     }
 
-    /// Adds servers until the pool has `size` near or far ones: near servers first, then over good links, then those that
-    /// the fewest pools hold.
+    /// Adds servers until the pool has `size` local or remote ones. Local servers come first, then servers over good links,
+    /// then those that the fewest pools hold.
     fn fill(&mut self, pool: &mut Pool, locality: Locality, size: usize) {
         let missing = size.saturating_sub(self.occupancy(pool, locality));
         let held: BTreeSet<ServerIndex> = pool.entries.iter().map(|entry| entry.server).collect();
         let may_add = |server: &ServerIndex| {
             let state = &self.servers[*server];
-            let right_zone = locality == Locality::Near || !self.is_near(*server);
-            // A warming server has its share in one pool, not anew in each that lacks entries.
+            let right_zone = locality == Locality::Local || !self.is_local(*server);
+            // A warming server gets its share in one pool, not in every pool that lacks entries.
             let has_share_left = !state.slow_start.warming || self.holders[*server] == 0;
-            state.is_open() && right_zone && !held.contains(server) && has_share_left
+            state.is_available() && right_zone && !held.contains(server) && has_share_left
         };
         let mut candidates: Vec<ServerIndex> = self.candidates.iter().copied().filter(may_add).collect();
         let over_bad_link =
             |server: ServerIndex| self.zone_spill.is_bad_link(self.zone, self.servers[server].zone);
         candidates
-            .sort_by_key(|server| (!self.is_near(*server), over_bad_link(*server), self.holders[*server]));
+            .sort_by_key(|server| (!self.is_local(*server), over_bad_link(*server), self.holders[*server]));
         for server in candidates.into_iter().take(missing) {
             self.add(pool, server);
         }
     }
 
-    /// Adds a server at what its kind has earned: at the pool's mean, a slow one would get the calls of a fast one.
+    /// Adds a server with the mean learned weight of its kind. With the pool's mean weight, a slow server would get the
+    /// requests of a fast one.
     fn add(&mut self, pool: &mut Pool, server: ServerIndex) {
         let weight = self.kind_weights.get(&self.servers[server].kind).copied().unwrap_or(1.0);
         pool.add_server(server, weight);
         self.holders[server] += 1;
     }
 
-    fn is_open(&self, entry: &WeightEntry) -> bool {
-        !entry.retiring && self.servers[entry.server].is_open()
+    fn is_available(&self, entry: &WeightEntry) -> bool {
+        !entry.retiring && self.servers[entry.server].is_available()
     }
 
-    /// How many ordinary servers a pool's entries stand for: a pool full of newly started ones would overload them.
+    /// Returns the number of ordinary servers that a pool's entries are equivalent to. Newly started servers count only up
+    /// to a multiple of the established ones, because a pool of new servers alone would overload them.
     fn occupancy(&self, pool: &Pool, locality: Locality) -> usize {
         let is_counted = |entry: &&WeightEntry| {
-            self.is_open(entry) && self.is_near(entry.server) == (locality == Locality::Near)
+            self.is_available(entry) && self.is_local(entry.server) == (locality == Locality::Local)
         };
         let (new, established): (Vec<&WeightEntry>, Vec<&WeightEntry>) = (pool.entries.iter())
             .filter(is_counted)
@@ -145,13 +153,13 @@
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Brings every pool up to date with the servers: retire, cover every server, shrink, fill.
+    /// Brings every pool up to date with the servers: removes entries, covers every server, shrinks and fills the pools.
     pub(super) fn update_subsets(&mut self) {
         if self.pools.is_empty() {
             self.create_pools();
         }
         let kind_weights = learned_by_kind(&self.pools, &self.servers);
-        // In random order: policies that assign alike would overload the same pools.
+        // The order is random, because policies that assign servers in the same order would overload the same pools.
         let mut candidates: Vec<ServerIndex> =
             (0..self.servers.len()).filter(|server| self.servers[*server].is_ready()).collect();
         candidates.shuffle(&mut self.rng);
@@ -164,21 +172,23 @@
                 kind_weights: &kind_weights,
                 holders: vec![0; self.servers.len()],
             };
-            let size =
-                self.subset_size.with_lean(self.zone_spill.lean[usize::from(zone)], self.servers.len());
+            let size = self
+                .subset_size
+                .with_spillover(self.zone_spill.spillover[usize::from(zone)], self.servers.len());
             let mut pools: Vec<&mut Pool> = self.pools.iter_mut().filter(|pool| pool.zone == zone).collect();
             subsets.retire(&mut pools);
             subsets.cover_every_server(&mut pools);
             for pool in pools {
-                subsets.shrink(pool, size.near);
-                subsets.fill(pool, Locality::Near, size.near);
-                subsets.fill(pool, Locality::Far, size.far);
+                subsets.shrink(pool, size.local);
+                subsets.fill(pool, Locality::Local, size.local);
+                subsets.fill(pool, Locality::Remote, size.remote);
             }
         }
     }
 
-    /// One pool a zone with all servers, as long as these accept the connections; past that several pools, each no longer
-    /// than what the channel takes for all proxies together, since these may come at once.
+    /// Creates the pools: one with all servers per zone if the servers accept enough connections, otherwise several. The
+    /// table of a pool is short enough for the channel to take it for all proxies at once, since they may all join at the
+    /// same time.
     fn create_pools(&mut self) {
         let servers = self.servers.iter().filter(|server| server.is_ready()).count() as f64;
         if servers == 0.0 || self.capabilities.slices > 0 {
@@ -186,13 +196,13 @@
         }
         let zones = self.zone_spill.zones();
         let entries = self.entries_per_pool(servers);
-        let near = servers / f64::from(zones);
+        let local = servers / f64::from(zones);
         let mut pools_per_zone = 1.0;
         if entries < servers {
-            pools_per_zone = (near / (NEAR_PART * entries)).ceil().max(1.0);
+            pools_per_zone = (local / (LOCAL_FRACTION * entries)).ceil().max(1.0);
             self.subset_size = SubsetSize {
-                near: (near / pools_per_zone) as usize,
-                far: ((1.0 - NEAR_PART) * entries).ceil() as usize,
+                local: (local / pools_per_zone) as usize,
+                remote: ((1.0 - LOCAL_FRACTION) * entries).ceil() as usize,
             };
         }
         for zone in 0..zones {
@@ -202,14 +212,14 @@
         }
     }
 
-    /// The entries that a pool may have by the servers' connections and by the channel.
+    /// Returns the number of entries that a pool may have by the servers' connections and by the channel.
     fn entries_per_pool(&self, servers: f64) -> f64 {
         let proxies = self.capabilities.proxies.max(1) as f64;
         let by_connections = CONNECTIONS_USED * self.capabilities.min_server_connections * servers / proxies;
         by_connections.min(self.channel.entries_per_proxy(proxies)).max(MIN_ENTRIES)
     }
 
-    /// What each pool holds and which pool each bound proxy has, for the policy that plans next.
+    /// Returns the servers of each pool and the pool of each bound proxy, for the policy that takes over from this one.
     pub fn pool_assignments(&self) -> PoolAssignments {
         let held = |pool: &Pool| {
             pool.entries.iter().filter(|entry| !entry.retiring).map(|entry| entry.server).collect()
@@ -222,8 +232,8 @@
         }
     }
 
-    /// Takes over another policy's pools and each proxy's zone and pool, lest every proxy change most of its connections at
-    /// once. Called after the first list and before any proxy joins.
+    /// Takes over another policy's pools and each proxy's zone and pool, so that proxies do not all change most of their
+    /// connections at once. Call it after the first endpoint list and before any proxy joins.
     pub fn restore_pool_assignments(
         &mut self,
         pools: &[PoolSubset],
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -1,10 +1,10 @@
-//! The mechanism: weights that follow the inverse of the servers' loads.
+//! The weight algorithm: learned weights that follow the inverse of the servers' loads.
 //!
-//! Source: "Towards load-balanced service chaining by Hash-based Traffic Steering on Softswitches" (Thai, Lin, Lin,
-//! Lai), algorithm D-HATS, section 4. The paper sets a weight to the group's largest load over the server's own at each
-//! interval; here the present weight is multiplied by the pool's mean load over the server's own, within bounds.
+//! Source: "Towards load-balanced service chaining by Hash-based Traffic Steering on Softswitches" (Thai, Lin, Lin, Lai),
+//! algorithm D-HATS, section 4. At each interval, the paper sets a weight to the group's largest load over the server's
+//! load; this module multiplies the current weight by the pool's mean load over the server's load, within bounds.
 //!
-//! Responsible for the learned weights alone. What is sent differs by the exceptions of
+//! This module changes only the learned weights. The weights that are sent also include the exceptions of
 //! [`effective_weights`](super::effective_weights).
 
 use super::TICK;
@@ -13,25 +13,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The least that an interval multiplies a weight by.
+/// The smallest factor by which an update multiplies a weight.
 pub(super) const MIN_FACTOR: f64 = 0.8;
-/// The most that an interval multiplies a weight by.
+/// The largest factor by which an update multiplies a weight.
 const MAX_FACTOR: f64 = 1.25;
-/// The narrowest dead band: a factor closer to 1 than the dead band changes nothing.
+/// The minimum width of the dead band: a factor closer to 1 than the dead band changes nothing.
 const DEAD_BAND: f64 = 0.1;
-/// Seconds since a weight's last change from which the dead band is no wider than [`DEAD_BAND`].
+/// The time since a weight's last change after which the dead band is [`DEAD_BAND`] wide, in seconds.
 const FULL_CONFIDENCE_S: f64 = 6.0;
 /// The largest weight, in multiples of the pool's mean.
 const MAX_WEIGHT: f64 = 3.0;
-/// The least weight, as a part of the largest: a server that falls further takes minutes to recover.
+/// The smallest weight, as a fraction of the largest. A server with a smaller weight would take minutes to recover.
 const MIN_WEIGHT_OF_MAX: f64 = 0.02;
-/// A pool's mean weight further from 1 than this is scaled back to 1.
+/// The distance of a pool's mean weight from 1 above which the weights are scaled back to a mean of 1.
 const MAX_MEAN_DRIFT: f64 = 0.2;
 
 impl Pool {
-    /// The mechanism, for one interval: multiplies each weight by the pool's mean load over the server's own.
+    /// Runs one update of the algorithm: multiplies each weight by the pool's mean load over the server's load.
     ///
-    /// `loads` has the load of each entry in any unit that all share, `None` where it is not known.
+    /// `loads` has the load of each entry, `None` if it is not known; all loads have the same unit. `unrestricted` returns
+    /// true for servers that have completed their slow start.
     fn apply_inverse_load(
         &mut self,
         now: Duration,
@@ -44,7 +45,7 @@
         for (entry, load) in self.entries.iter_mut().zip(loads) {
             let Some(load) = *load else { continue };
             let factor = (mean_load / load).clamp(MIN_FACTOR, MAX_FACTOR);
-            // A server that is held back looks idle, so it gains nothing by that.
+            // A server with reduced weight looks idle, so its low load does not raise its learned weight.
             let may_apply = factor < 1.0 || unrestricted(entry.server);
             if may_apply && (factor - 1.0).abs() >= dead_band(now - entry.changed_at) {
                 entry.learned *= factor;
@@ -54,7 +55,7 @@
         self.rescale();
     }
 
-    /// Scales a mean that has drifted back to 1, and keeps every weight within its bounds.
+    /// Scales the weights to a mean of 1 if the mean has drifted, and clamps every weight to its bounds.
     fn rescale(&mut self) {
         let mean = self.mean_weight();
         let scale = if (mean - 1.0).abs() > MAX_MEAN_DRIFT { 1.0 / mean } else { 1.0 };
@@ -65,19 +66,22 @@
     }
 }
 
-/// The dead band of a weight that has not changed for so long. It is wider after a recent change, of which few reports tell.
+/// Returns the width of the dead band of a weight that has not changed for `unchanged_for`. The band is wider after a recent
+/// change, because few reports reflect that change.
 fn dead_band(unchanged_for: Duration) -> f64 {
     DEAD_BAND * (FULL_CONFIDENCE_S / unchanged_for.as_secs_f64()).sqrt().max(1.0)
 }
 
-/// What was measured of a pool's entry since its weight took effect.
+/// The load of a pool's entry since its current weight took effect.
 struct EntryLoad {
+    /// The mean reported load, in the unit of the deployment's metrics.
     load: Option<f64>,
+    /// The mean latency, in seconds.
     latency_s: Option<f64>,
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Runs the mechanism over all pools.
+    /// Updates the learned weights of all pools.
     pub(super) fn update_weights(&mut self, now: Duration) {
         for i in 0..self.pools.len() {
             let loads = self.entry_loads(now, &self.pools[i]);
@@ -86,26 +90,29 @@
         }
     }
 
-    /// Each entry's load. Where no load is known, the wait beside the pool's median wait stands in for it.
+    /// Returns the load of each entry. An unknown load is estimated from the entry's latency relative to the pool's median.
     fn entry_loads(&self, now: Duration, pool: &Pool) -> Vec<Option<f64>> {
         let measured: Vec<EntryLoad> = pool.entries.iter().map(|entry| self.entry_load(now, entry)).collect();
         let mean_load = mean(measured.iter().filter_map(|m| m.load));
-        let median_latency_s = median(measured.iter().filter_map(|m| m.latency_s)).filter(|wait| *wait > 0.0);
-        let load_by_wait = |latency_s: Option<f64>| Some(mean_load? * latency_s? / median_latency_s?);
-        measured.iter().map(|m| m.load.or_else(|| load_by_wait(m.latency_s))).collect()
+        let median_latency_s =
+            median(measured.iter().filter_map(|m| m.latency_s)).filter(|latency_s| *latency_s > 0.0);
+        let load_by_latency = |latency_s: Option<f64>| Some(mean_load? * latency_s? / median_latency_s?);
+        measured.iter().map(|m| m.load.or_else(|| load_by_latency(m.latency_s))).collect()
     }
 
-    /// Only reports from after the last change took effect count, or the same change would be made twice.
+    /// Returns the load of an entry. Only reports from after the last change took effect count; otherwise the same change
+    /// would be made twice.
     fn entry_load(&self, now: Duration, entry: &WeightEntry) -> EntryLoad {
         let server = &self.servers[entry.server];
         let settling = self.observability.report_interval + self.channel.limits.max_transit + TICK;
-        let from = now.saturating_sub(ServerState::SAMPLES_KEPT).max(entry.changed_at + settling);
-        let counts = server.is_open() && server.warm_at <= now;
-        let measure = |of: fn(&LoadSample) -> Option<f64>| server.load.mean(from, of).filter(|_| counts);
+        let from = now.saturating_sub(ServerState::SAMPLE_RETENTION).max(entry.changed_at + settling);
+        let counts = server.is_available() && server.warm_at <= now;
+        let measure =
+            |value: fn(&LoadSample) -> Option<f64>| server.load.mean(from, value).filter(|_| counts);
         EntryLoad { load: measure(|sample| sample.load), latency_s: measure(|sample| sample.latency_s) }
     }
 
-    /// The learned weight of each server as a multiple of its pool's mean, averaged over the pools that hold it.
+    /// Returns the learned weight of each server as a multiple of its pool's mean, averaged over the pools that hold it.
     pub fn learned_weights(&self) -> BTreeMap<ServerIndex, f64> {
         let mut by_server: BTreeMap<ServerIndex, Vec<f64>> = BTreeMap::new();
         for pool in &self.pools {
@@ -116,8 +123,8 @@
         means(by_server)
     }
 
-    /// Takes over a weight that another policy learned, as a multiple of the pool's mean. Called after the first list
-    /// and before any proxy joins.
+    /// Takes over a weight that another policy learned, as a multiple of the pool's mean. Call it after the first endpoint
+    /// list and before any proxy joins.
     pub fn restore_weight(&mut self, server: ServerIndex, weight: f64) {
         let entries = self.pools.iter_mut().flat_map(|pool| &mut pool.entries);
         for entry in entries.filter(|entry| entry.server == server) {
@@ -126,7 +133,8 @@
     }
 }
 
-/// The mean learned weight of each kind of server, as a multiple of its pool's mean, over entries that were changed.
+/// Returns the mean learned weight of each kind of server, as a multiple of its pool's mean. Only entries whose learned
+/// weight has changed count.
 pub(super) fn learned_by_kind(pools: &[Pool], servers: &[ServerState]) -> BTreeMap<ServerKind, f64> {
     let mut by_kind: BTreeMap<ServerKind, Vec<f64>> = BTreeMap::new();
     for pool in pools {
--- a/src/policy/zone_spill.rs
+++ b/src/policy/zone_spill.rs
@@ -1,15 +1,19 @@
-//! Zone spill: how far a zone's proxies use other zones' servers, and over which links. Responsible for the links' state and
-//! for each zone's lean; what these make of a weight is in [`effective_weights`](super::effective_weights).
+//! Zone spill: decides how much a zone's proxies use other zones' servers, and over which links.
+//!
+//! This module computes the state of the links and the spillover of each zone;
+//! [`effective_weights`](super::effective_weights) applies both to the weights.
 
 use super::capacity::FULL_UTILIZATION;
 use crate::host::{PolicyHost, ZoneId};
 use crate::state::{Link, LoadSample, OutlierDetector, Policy, ZoneSpill, mean};
 use std::time::Duration;
 
-/// What a zone's proxies observed of another zone's servers.
+/// The reports of one zone's proxies on the servers of a zone.
 #[derive(Clone, Copy, Default)]
 struct LinkTotals {
+    /// The number of attempts that ended.
     attempts: f64,
+    /// The number of answered attempts.
     answered: f64,
     /// The sum of the answered attempts' latencies, in seconds.
     latency_sum_s: f64,
@@ -32,34 +36,37 @@
         self.answered / self.attempts
     }
 
-    /// Whether requests fare badly beside those that stay in their zone.
+    /// Returns true if attempts over the link are slower, or fail more often, than those that stay in their zone.
     fn is_worse_than(&self, local: &LinkTotals, objective_s: f64) -> bool {
-        let max_latency_s = local.latency_s() + ZoneSpill::SLOW_OBJECTIVE_PART * objective_s;
+        let max_latency_s = local.latency_s() + ZoneSpill::SLOW_OBJECTIVE_FRACTION * objective_s;
         let min_answered_share = ZoneSpill::LOSSY_SHARE * local.answered / local.attempts;
         self.latency_s() > max_latency_s || self.answered_share() < min_answered_share
     }
 }
 
 impl ZoneSpill {
-    /// How long a link counts as bad. Then it is tried again: what is sent over a bad one is too little to tell.
+    /// The time for which a link counts as bad. After that the link is tried again, because a bad link gets too few attempts
+    /// to show a recovery.
     const BAD_LINK_TIME: Duration = Duration::from_secs(5);
-    /// A good link is judged by so many times the attempts that a server is judged by.
+    /// The minimum number of attempts for the evaluation of a good link, in multiples of [`OutlierDetector::MIN_ATTEMPTS`].
     const GOOD_LINK_ATTEMPTS: f64 = 5.0;
-    /// A link is bad where its latency is longer by this part of the latency objective, or its answered share is below this
-    /// part of the local one.
-    const SLOW_OBJECTIVE_PART: f64 = 0.4;
+    /// The difference from the local latency above which a link is bad, as a fraction of the latency objective.
+    const SLOW_OBJECTIVE_FRACTION: f64 = 0.4;
+    /// The fraction of the local answered share below which a link is bad.
     const LOSSY_SHARE: f64 = 0.7;
-    /// A zone leans more on others above the first utilization, and less below the second.
-    const LEAN_MORE_UTILIZATION: f64 = 0.92;
-    const LEAN_LESS_UTILIZATION: f64 = 0.7;
-    /// Change of the lean in a tick for each unit by which utilizations differ.
-    const LEAN_GAIN: f64 = 0.4;
-    /// [`Self::LEAN_GAIN`] over this is what the lean falls by in a tick that needs none.
-    const LEAN_DECAY_DIVISOR: f64 = 20.0;
-    /// The most that a zone leans on others.
-    const MAX_LEAN: f64 = 1.5;
+    /// The utilization above which a zone's spillover changes by the difference between its own and the other zone's
+    /// utilization.
+    const SPILL_MORE_UTILIZATION: f64 = 0.92;
+    /// The utilization at or below which a zone's spillover decreases.
+    const SPILL_LESS_UTILIZATION: f64 = 0.7;
+    /// The change of the spillover in a tick per unit of difference in utilization.
+    const SPILLOVER_GAIN: f64 = 0.4;
+    /// The divisor of [`Self::SPILLOVER_GAIN`] that gives the decrease of the spillover in a tick without need for it.
+    const SPILLOVER_DECAY_DIVISOR: f64 = 20.0;
+    /// The largest spillover of a zone.
+    const MAX_SPILLOVER: f64 = 1.5;
 
-    /// Judges the link from a zone to another.
+    /// Evaluates the link from one zone to another.
     fn update_link(
         &mut self,
         now: Duration,
@@ -70,7 +77,8 @@
     ) {
         let factor = if self.bad_links.contains_key(&link) { 1.0 } else { Self::GOOD_LINK_ATTEMPTS };
         let min_attempts = factor * OutlierDetector::MIN_ATTEMPTS;
-        // Requests fare badly at full servers too; these lose weight one by one.
+        // Requests at full servers are slow and fail as well, but the link is not the cause; full servers lose weight one by
+        // one.
         let is_full = |utilization: f64| utilization >= FULL_UTILIZATION;
         let full = self.utilization[usize::from(link.to)].is_some_and(is_full);
         if local.attempts.min(remote.attempts) < min_attempts || full {
@@ -83,29 +91,29 @@
         }
     }
 
-    /// The utilization of the least utilized zone that a zone has a good link to.
+    /// Returns the utilization of the least utilized zone to which a zone has a good link.
     fn least_utilized_remote(&self, from: ZoneId) -> Option<f64> {
         let reachable = (0..self.zones()).filter(|to| *to != from && !self.is_bad_link(from, *to));
         reachable.filter_map(|to| self.utilization[usize::from(to)]).min_by(f64::total_cmp)
     }
 
-    /// Leans more on other zones where these have room, and less again by and by.
-    fn update_lean(&mut self, zone: ZoneId, shedding: bool) {
+    /// Raises a zone's spillover while other zones have spare capacity, and lowers it gradually otherwise.
+    fn update_spillover(&mut self, zone: ZoneId, shedding: bool) {
         let remote = self.least_utilized_remote(zone);
         let zone = usize::from(zone);
         let change = match (self.utilization[zone], remote) {
-            (Some(own), Some(remote)) if own > Self::LEAN_MORE_UTILIZATION || shedding || remote > own => {
-                Self::LEAN_GAIN * (own - remote)
+            (Some(own), Some(remote)) if own > Self::SPILL_MORE_UTILIZATION || shedding || remote > own => {
+                Self::SPILLOVER_GAIN * (own - remote)
             }
-            (Some(own), Some(_)) if own > Self::LEAN_LESS_UTILIZATION => 0.0,
-            _ => -Self::LEAN_GAIN / Self::LEAN_DECAY_DIVISOR,
+            (Some(own), Some(_)) if own > Self::SPILL_LESS_UTILIZATION => 0.0,
+            _ => -Self::SPILLOVER_GAIN / Self::SPILLOVER_DECAY_DIVISOR,
         };
-        self.lean[zone] = (self.lean[zone] + change).clamp(0.0, Self::MAX_LEAN);
+        self.spillover[zone] = (self.spillover[zone] + change).clamp(0.0, Self::MAX_SPILLOVER);
     }
 }
 
 impl<H: PolicyHost> Policy<H> {
-    /// Judges the links between zones that are cut, slow or lossy, and lets a full zone lean on one with room.
+    /// Finds links between zones that are cut, slow or lossy, and lets a full zone use a zone with spare capacity.
     pub(super) fn update_zone_spill(&mut self, now: Duration) {
         let from_time = now.saturating_sub(OutlierDetector::WINDOW);
         for zone in 0..self.zone_spill.zones() {
@@ -121,12 +129,12 @@
                 let remote = self.link_totals(link, from_time);
                 self.zone_spill.update_link(now, link, &local, &remote, objective_s);
             }
-            self.zone_spill.update_lean(from, shedding);
+            self.zone_spill.update_spillover(from, shedding);
         }
     }
 
-    /// The mean utilization of a zone's servers; `None` where it is not known, or its weight is limited. Warming servers look
-    /// idle because they are held back.
+    /// Returns the mean utilization of a zone's servers; `None` if it is not known or the zone's weight is limited. Warming
+    /// servers do not count: they look idle because their weight is reduced.
     fn zone_utilization(&self, zone: ZoneId, from: Duration) -> Option<f64> {
         if self.zone_spill.weight_limits[usize::from(zone)] < 1.0 {
             return None;
@@ -141,7 +149,7 @@
         samples.filter(|sample| sample.client_zone == link.from).fold(LinkTotals::default(), LinkTotals::add)
     }
 
-    /// Limits the part of a zone's weight that may be used, 0 to 1, by what is told from outside of the zone as a whole.
+    /// Sets an upper limit on the share of the weight of a zone's servers that may be used, 0 to 1.
     pub fn limit_zone_share(&mut self, now: Duration, zone: ZoneId, share: f64) {
         self.zone_spill.weight_limits[usize::from(zone)] = share;
         self.publish(now);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,12 +1,12 @@
-//! The state of a [`Policy`]: plain data, and statistics over load samples. Nothing here decides anything.
+//! The state of a [`Policy`]: plain data, and statistics over load samples. This module makes no decisions.
 //!
-//! A policy owns all of its state and is called from one task, so nothing is shared or locked. Times are counted from the
+//! A policy owns all of its state and is called from one task, so the state needs no locks. Times are counted from the
 //! policy's start.
 
 mod load;
 mod pools;
 
-pub(crate) use load::{LoadHistory, LoadSample, drop_old, mean, median};
+pub(crate) use load::{LoadHistory, LoadSample, evict_expired, mean, median};
 pub(crate) use pools::{Pool, SubsetSize, WeightEntry};
 
 use crate::host::{
@@ -17,42 +17,42 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// One server: what the endpoint list states, and what each rule remembers of it.
+/// One server: its entry on the endpoint list, and the state of each rule for it.
 pub(crate) struct ServerState {
-    /// The zone it is in.
+    /// The server's zone.
     pub(crate) zone: ZoneId,
-    /// Its kind: servers of one kind have the same capacity.
+    /// The server's kind: servers of one kind have the same capacity.
     pub(crate) kind: ServerKind,
-    /// Its state on the list.
+    /// The server's state on the endpoint list.
     pub(crate) endpoint_state: EndpointState,
-    /// When its warm-up by age ends; zero for a server that has long been warm.
+    /// The time at which the warm-up ends by the server's age; zero if the server was warm when it was listed.
     pub(crate) warm_at: Duration,
-    /// The list removed it where removals are not final: it stays in use until it fails.
-    pub(crate) removal_doubted: bool,
-    /// What was reported of it lately.
+    /// True if the list has removed the server and removals are not final: the server stays in use until it fails.
+    pub(crate) removal_unconfirmed: bool,
+    /// Recent load reports on the server.
     pub(crate) load: LoadHistory,
-    /// Whether it fails, hangs or crawls.
+    /// The evidence of failures, silence and slowness.
     pub(crate) outlier: OutlierDetector,
-    /// How much of its weight it has since a start or a return.
+    /// The progress of the slow start since the server started or returned from an ejection.
     pub(crate) slow_start: SlowStart,
 }
 
 impl ServerState {
-    /// A server that has not been listed: not in use.
+    /// Returns the state of a server that has not been listed and is not in use.
     pub(crate) fn unlisted(outlier: OutlierDetector, step: u32) -> ServerState {
         ServerState {
             zone: 0,
             kind: 0,
             endpoint_state: EndpointState::Draining,
             warm_at: Duration::ZERO,
-            removal_doubted: false,
+            removal_unconfirmed: false,
             load: LoadHistory::default(),
             outlier,
             slow_start: SlowStart { step, warming: false, evidence_from: Duration::ZERO },
         }
     }
 
-    /// Whether the server accepts requests, by the list.
+    /// Returns true if the server is ready according to the endpoint list.
     pub(crate) fn is_ready(&self) -> bool {
         self.endpoint_state == EndpointState::Ready
     }
@@ -67,105 +67,106 @@
     pub(crate) to: ZoneId,
 }
 
-/// How far the zones use each other's servers.
+/// The extent to which the zones use each other's servers.
 pub(crate) struct ZoneSpill {
-    /// Links over which requests fare badly, and until when that counts.
+    /// Links over which requests are slow or fail, and the time at which each of them ceases to count as bad.
     pub(crate) bad_links: BTreeMap<Link, Duration>,
-    /// By zone: mean utilization of its servers, 0 to 1, where known.
+    /// By zone: the mean utilization of its servers, 0 to 1; `None` if it is not known.
     pub(crate) utilization: Vec<Option<f64>>,
-    /// By zone: how much it uses other zones' servers beyond the ordinary. 0: not at all; 1: far servers weigh as much as near
-    /// ones; at most 1.5.
-    pub(crate) lean: Vec<f64>,
-    /// By zone: the part of its servers' weight that may be used, 0 to 1.
+    /// By zone: its use of other zones' servers in addition to the ordinary remote factor, 0 to 1.5. At 0 there is no
+    /// additional use; at 1 remote servers get the same factor as local ones.
+    pub(crate) spillover: Vec<f64>,
+    /// By zone: the share of its servers' weight that may be used, 0 to 1.
     pub(crate) weight_limits: Vec<f64>,
 }
 
 impl ZoneSpill {
-    /// Zones that do not lean on each other.
+    /// Returns the state of zones without spillover and without limits on their weights.
     pub(crate) fn new(zones: usize) -> ZoneSpill {
-        let (utilization, lean, weight_limits) = (vec![None; zones], vec![0.0; zones], vec![1.0; zones]);
-        ZoneSpill { bad_links: BTreeMap::new(), utilization, lean, weight_limits }
+        let (utilization, spillover, weight_limits) = (vec![None; zones], vec![0.0; zones], vec![1.0; zones]);
+        ZoneSpill { bad_links: BTreeMap::new(), utilization, spillover, weight_limits }
     }
 
-    /// The number of zones.
+    /// Returns the number of zones.
     pub(crate) fn zones(&self) -> ZoneId {
         self.utilization.len() as ZoneId
     }
 
-    /// Whether requests of one zone fare badly at another's servers.
+    /// Returns true if the link between two zones counts as bad.
     pub(crate) fn is_bad_link(&self, from: ZoneId, to: ZoneId) -> bool {
         self.bad_links.contains_key(&Link { from, to })
     }
 }
 
-/// What the evidence of a server's health allows it.
+/// The limit that the evidence of a server's health sets on its weight.
 pub(crate) struct OutlierDetector {
-    /// Steps of weight that are allowed; 0 ejects the server.
+    /// The number of weight steps that are allowed; 0 ejects the server.
     pub(crate) allowed_steps: u32,
-    /// Evidence from before this moment does not count. An ejection sets it, so while ejected it is when that was.
+    /// The time from which evidence counts; earlier evidence is ignored. While the server is ejected, this is the time of
+    /// the ejection.
     pub(crate) evidence_from: Duration,
-    /// Health checks passed since, one after another.
+    /// The number of consecutive health checks that the server has passed since `evidence_from`.
     pub(crate) checks_passed: u32,
-    /// Health checks failed since, one after another.
+    /// The number of consecutive health checks that the server has failed since `evidence_from`.
     pub(crate) checks_failed: u32,
-    /// How long the next ejection lasts at the least. It never shrinks again.
+    /// The minimum duration of the next ejection. It never decreases.
     pub(crate) ejection_time: Duration,
 }
 
-/// The part of the learned weight that a server may have, in steps of a quarter: raised after a start or a return, lowered by
-/// outlier detection, and 0 while ejected.
+/// The share of the learned weight that a server may have, in steps of a quarter: raised after a start or a return, lowered
+/// by outlier detection, and 0 while the server is ejected.
 pub(crate) struct SlowStart {
-    /// The step reached, of [`SlowStart::STEPS`]; 0 while ejected.
+    /// The current step, of [`SlowStart::STEPS`]; 0 while the server is ejected.
     pub(crate) step: u32,
-    /// On the way to its full weight since a start or a return.
+    /// True if the server has not reached its full weight since its last start or return.
     pub(crate) warming: bool,
-    /// Reports from after this moment tell of the present step.
+    /// The time after which reports reflect the current step.
     pub(crate) evidence_from: Duration,
 }
 
-/// Requests of a route that a proxy received within a report interval.
+/// The requests of a route that a proxy received within a report interval.
 pub(crate) struct RequestCount {
-    /// When the report came.
+    /// The time at which the report arrived.
     pub(crate) at: Duration,
-    /// Requests received.
+    /// The number of requests.
     pub(crate) requests: f64,
-    /// The proxy that received them.
+    /// The proxy that received the requests.
     pub(crate) proxy: ProxyId,
 }
 
-/// What the proxies are told of a route.
+/// The admission level and the retry policy of a route, as sent to the proxies.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) struct AdmissionSetting {
-    /// In the unit of the deployment's [`AdmissionMode`](crate::host::AdmissionMode).
+    /// The admission level, in the unit of the deployment's [`AdmissionMode`](crate::host::AdmissionMode).
     pub(crate) level: f32,
-    /// When proxies retry.
+    /// The retry policy.
     pub(crate) retries: RetryPolicy,
 }
 
 impl AdmissionSetting {
-    /// Differs from every setting that is sent.
+    /// The initial value, which differs from every setting that is sent.
     const UNSET: AdmissionSetting = AdmissionSetting { level: -1.0, retries: RetryPolicy::Never };
 }
 
-/// How loaded the servers are as a whole, and how much of each route is admitted.
+/// The load of the servers as a whole, and the admitted share of each route.
 pub(crate) struct AdmissionControl {
-    /// The load of all servers as a part of their capacity, in tenths; 1 is just full. No lower than 3 falling to 0 within the
-    /// first 10 s, and than 0.7 for each attempt that an answer took.
+    /// The load of all servers as a part of their capacity, in steps of a tenth; at 1 the servers are just full. Two lower
+    /// bounds apply: one that falls from 3 to 0 over the first 10 s, and 0.7 times the mean number of attempts per answer.
     pub(crate) pressure: f64,
     /// By route: the requests received, oldest first.
     pub(crate) received: Vec<VecDeque<RequestCount>>,
-    /// By route: the share that is to be admitted, 0 to 1.
+    /// By route: the share of the requests to admit, 0 to 1.
     pub(crate) admitted_share: Vec<f32>,
-    /// By route: the largest share that may be admitted, whatever is measured.
+    /// By route: the upper limit on the admitted share, set from outside the policy, 0 to 1.
     pub(crate) share_limits: Vec<f32>,
-    /// The servers are full: no retries.
+    /// True if the servers are full. No route has retries then.
     pub(crate) overloaded: bool,
-    /// By route: what was last sent.
-    pub(crate) written: Vec<AdmissionSetting>,
+    /// By route: the setting that was last sent.
+    pub(crate) last_sent: Vec<AdmissionSetting>,
 }
 
 impl AdmissionControl {
-    /// Admits everything.
+    /// Returns the state in which all requests are admitted.
     pub(crate) fn new(routes: usize, pressure: f64) -> AdmissionControl {
         AdmissionControl {
             pressure,
@@ -173,55 +174,55 @@
             admitted_share: vec![1.0; routes],
             share_limits: vec![1.0; routes],
             overloaded: false,
-            written: vec![AdmissionSetting::UNSET; routes],
+            last_sent: vec![AdmissionSetting::UNSET; routes],
         }
     }
 
-    /// Whether any route is admitted in part.
+    /// Returns true if the admitted share of any route is below 1.
     pub(crate) fn is_shedding(&self) -> bool {
         self.admitted_share.iter().any(|share| *share < 1.0)
     }
 }
 
-/// An acknowledgement that was asked for.
+/// An acknowledgement that was requested and has not arrived.
 pub(crate) struct PendingAck {
-    /// Its number.
+    /// The number of the acknowledgement.
     pub(crate) number: u16,
-    /// All entries sent before the commands that it covers.
+    /// The number of entries sent before the commands that the acknowledgement covers.
     pub(crate) entries_before: f64,
 }
 
 /// The load of the control channel, in table entries.
 pub(crate) struct ControlChannel {
-    /// Its capacity, as stated.
+    /// The capacity of the channel, from the deployment's settings.
     pub(crate) limits: ControlChannelLimits,
-    /// Entries taken to be queued in the channel.
+    /// The estimated number of entries queued in the channel.
     pub(crate) queued: f64,
-    /// All entries ever sent.
+    /// The number of entries sent since the policy's start.
     pub(crate) sent: f64,
-    /// When `queued` was last reduced by what the channel delivers.
-    pub(crate) drained_at: Duration,
-    /// When the last acknowledgement came.
+    /// The time until which delivered entries have been subtracted from `queued`.
+    pub(crate) queue_updated_at: Duration,
+    /// The time at which the last acknowledgement arrived.
     pub(crate) acknowledged_at: Duration,
-    /// The number of the last acknowledgement asked for.
+    /// The number of the last requested acknowledgement.
     pub(crate) last_ack: u16,
-    /// Those that have not come, oldest first.
+    /// The acknowledgements that have not arrived, oldest first.
     pub(crate) pending_acks: VecDeque<PendingAck>,
-    /// [`Timer::UrgentPublish`](crate::host::Timer::UrgentPublish) is set and has not fired.
+    /// True if [`Timer::UrgentPublish`](crate::host::Timer::UrgentPublish) is set and has not fired.
     pub(crate) urgent_timer_set: bool,
 }
 
 impl ControlChannel {
-    /// Numbers of acknowledgements are below this.
+    /// The number of distinct acknowledgement numbers; after the largest, numbering continues at 0.
     const ACK_NUMBERS: u16 = 50_000;
 
-    /// An empty channel.
+    /// Returns an empty channel.
     pub(crate) fn new(limits: ControlChannelLimits) -> ControlChannel {
         ControlChannel {
             limits,
             queued: 0.0,
             sent: 0.0,
-            drained_at: Duration::ZERO,
+            queue_updated_at: Duration::ZERO,
             acknowledged_at: Duration::ZERO,
             last_ack: 0,
             pending_acks: VecDeque::new(),
@@ -229,13 +230,13 @@
         }
     }
 
-    /// Counts entries that are sent.
+    /// Counts `entries` as sent and as queued.
     pub(crate) fn add(&mut self, entries: f64) {
         self.queued += entries;
         self.sent += entries;
     }
 
-    /// The number of a new acknowledgement, of everything after the first `entries_before` entries.
+    /// Registers a new acknowledgement of everything sent after the first `entries_before` entries, and returns its number.
     pub(crate) fn next_ack(&mut self, entries_before: f64) -> u16 {
         self.last_ack = (self.last_ack + 1) % Self::ACK_NUMBERS;
         self.pending_acks.push_back(PendingAck { number: self.last_ack, entries_before });
@@ -243,22 +244,23 @@
     }
 }
 
-/// A proxy that joined once.
+/// A proxy that has joined at least once.
 pub(crate) struct ProxyState {
-    /// Its zone.
+    /// The proxy's zone.
     pub(crate) zone: ZoneId,
-    /// Requests a second that it usually gets.
+    /// The proxy's usual rate, in requests per second.
     pub(crate) request_rate: f64,
-    /// The position of its pool. Kept while the proxy is away, so that its connections serve on.
+    /// The position of the proxy's pool. A proxy that leaves keeps its pool, so that its connections stay usable when it
+    /// returns.
     pub(crate) pool: Option<usize>,
-    /// Joined, and told its table.
+    /// True if the proxy is joined and has been bound to its table.
     pub(crate) bound: bool,
 }
 
 /// The load-balancing policy of one planner: see [`crate::policy`].
 pub struct Policy<H> {
     pub(crate) host: H,
-    /// The one source of chance; the order of draws is part of the behaviour.
+    /// The only random number generator. The order of its draws is part of the behaviour.
     pub(crate) rng: Pcg64Mcg,
     pub(crate) routes: Vec<Route>,
     pub(crate) capabilities: ProxyCapabilities,
@@ -266,9 +268,9 @@
     pub(crate) observability: Observability,
     /// By [`ServerIndex`](crate::host::ServerIndex).
     pub(crate) servers: Vec<ServerState>,
-    /// When the endpoint list is polled next; `None` once a list has come, until a poll fails.
+    /// The time of the next poll of the endpoint list; `None` after a list has arrived, until a poll fails.
     pub(crate) next_poll_at: Option<Duration>,
-    /// Ticks so far.
+    /// The number of ticks since the start.
     pub(crate) ticks: u32,
     pub(crate) admission: AdmissionControl,
     pub(crate) channel: ControlChannel,
@@ -276,6 +278,6 @@
     pub(crate) subset_size: SubsetSize,
     pub(crate) zone_spill: ZoneSpill,
     pub(crate) proxies: BTreeMap<ProxyId, ProxyState>,
-    /// Joined proxies without a table, in the order in which they joined.
+    /// Joined proxies that have not been bound to a table, in the order in which they joined.
     pub(crate) unbound: VecDeque<ProxyId>,
 }
