--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,6 +1,6 @@
-//! Pages and comments name only pages that exist.
+//! Checks that every documentation page that a link or a comment refers to exists.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test may panic")]
 
 use rstest::rstest;
 use std::path::{Path, PathBuf};
@@ -9,10 +9,10 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Build output, journals, and stored output of programs: no pages of the project.
+/// Folders that hold no documentation pages: build output, journals, and stored output of programs.
 const SKIPPED: [&str; 3] = ["target", "journal", "fixtures"];
 
-/// All files below `folder` with one of the endings, apart from those in skipped folders.
+/// Returns all files below `folder` with one of the endings, except those in skipped folders.
 fn files(folder: &Path, endings: &[&str]) -> Vec<PathBuf> {
     let mut found = vec![];
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -27,14 +27,14 @@
     found
 }
 
-/// The targets of a page's links, without those to other machines and to places within the page.
+/// Returns the relative paths that a page links to, without external links and links within the page.
 fn link_targets(page: &str) -> Vec<&str> {
     let links = page.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     let paths = links.map(|link| link.split('#').next().unwrap_or_default());
     paths.filter(|path| !path.is_empty() && !path.contains("://") && !path.contains(' ')).collect()
 }
 
-/// The pages that a source file names by their place in the repository.
+/// Returns the pages that a source file names by their path from the root of the repository.
 fn pages_named(source: &str) -> Vec<&str> {
     let is_path = |c: char| c.is_ascii_alphanumeric() || "/.-_".contains(c);
     let words = source.split(|c| !is_path(c)).map(|word| word.trim_end_matches('.'));
@@ -66,5 +66,5 @@
             }
         }
     }
-    assert!(dead.is_empty(), "pages that are not there: {dead:#?}");
+    assert!(dead.is_empty(), "missing pages: {dead:#?}");
 }
--- a/tests/policy/channel.rs
+++ b/tests/policy/channel.rs
@@ -1,15 +1,15 @@
-//! The control channel.
+//! Tests of the control channel.
 
 use crate::helpers::*;
 use grebespool::host::*;
 use rstest::rstest;
 use std::time::Duration;
 
-// Invariant 3: drains within the grace period.
+// Invariant 3: drains are published within the grace period.
 #[rstest]
 #[case::draining(EndpointState::Draining)]
 #[case::removed(EndpointState::Removed)]
-fn publishes_drains_soon_in_all_tables(#[case] state: EndpointState) {
+fn publishes_drain_within_a_second_in_all_tables(#[case] state: EndpointState) {
     let mut harness = PolicyHarness::with_servers(6, 2);
     // Protective updates must not use up the messages that drains need.
     harness.run(Duration::from_secs(20), |server| {
@@ -20,7 +20,7 @@
     assert_eq!((harness.weight(0, 2), harness.weight(1, 2)), (0.0, 0.0));
 }
 
-// Invariant 5: a short queue.
+// Invariant 5: the queue stays short.
 #[rstest]
 fn sends_no_more_messages_than_allowed() {
     let mut harness = PolicyHarness::with_servers(12, 1);
@@ -37,23 +37,23 @@
         let state = if round % 2 == 0 { EndpointState::Draining } else { EndpointState::Ready };
         harness.update_endpoints(false, &[endpoint(round % 12, 0, state, None)]);
     }
-    let written: Vec<Duration> = harness.commands.borrow().written_at.iter().copied().collect();
-    for (i, from) in written.iter().enumerate() {
+    let update_times: Vec<Duration> = harness.commands.borrow().update_times.iter().copied().collect();
+    for (i, from) in update_times.iter().enumerate() {
         // The binding of a proxy is a message as well.
-        let within = written[i..].iter().filter(|table| **table <= *from + CHANNEL.window).count();
+        let within = update_times[i..].iter().filter(|time| **time <= *from + CHANNEL.window).count();
         assert!(within <= CHANNEL.max_messages - 2, "{within} messages from {from:?}");
     }
 }
 
 #[rstest]
 fn keeps_messages_for_drains_after_many_lists() {
-    // A zone's servers that go in many small lists must not use up the messages.
+    // Servers that are removed by many small lists must not use up the messages.
     let mut harness = PolicyHarness::with_servers(60, 1);
     for server in 0..40 {
         harness.update_endpoints(false, &[endpoint(server, 0, EndpointState::Removed, None)]);
-        harness.run(ms(500), |x| QUIET.filter(|_| x < 60 && x > server));
+        harness.run(ms(500), |other| QUIET.filter(|_| other < 60 && other > server));
         assert_eq!(
-            harness.servers_in(0).iter().filter(|x| **x + 3 < server).count(),
+            harness.servers_in(0).iter().filter(|other| **other + 3 < server).count(),
             0,
             "after {server} lists"
         );
@@ -70,7 +70,7 @@
     for proxy in 0..30 {
         harness.policy.proxy_joined(harness.now, proxy, 0, true, 1.0);
     }
-    // Each takes ten entries, two of its own and four of message overhead.
+    // Each binding costs ten table entries, two entries of its own and four of message overhead.
     assert!(harness.commands.borrow().tables_by_proxy.len() <= 6);
     harness.run(Duration::from_secs(10), |server| QUIET.filter(|_| server < 10));
     assert_eq!(harness.commands.borrow().tables_by_proxy.len(), 30);
@@ -78,7 +78,7 @@
 
 #[rstest]
 fn unacknowledged_entries_count_as_queued() {
-    // The channel may be far slower than stated.
+    // The channel may be far slower than its settings state.
     let narrow = ControlChannelLimits {
         entries_per_s: 2000.0,
         max_queued_entries: 2000.0,
@@ -94,7 +94,7 @@
             (server < 40).then_some(observed(8, 0, if (server + round) % 2 == 0 { 0.1 } else { 0.9 }, 0.0))
         });
     }
-    // Each entry goes to about ten proxies; an eighth of the pace delivers 2,500 entries in ten seconds.
-    let lines = (harness.commands.borrow().weights_set - before) * 80 / 12;
-    assert!(lines <= 4500, "{lines} lines");
+    // Each entry goes to about ten proxies; an eighth of the rate in the settings delivers 2,500 entries in ten seconds.
+    let entries = (harness.commands.borrow().weights_set - before) * 80 / 12;
+    assert!(entries <= 4500, "{entries} entries");
 }
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -1,14 +1,14 @@
-//! The endpoint list, and proxies that join.
+//! Tests of the endpoint list and of proxies that join.
 
 use crate::helpers::*;
 use grebespool::host::*;
 use rstest::rstest;
 use std::time::Duration;
 
-// Invariant 1: a usable entry for each joined proxy.
+// Invariant 1: each joined proxy has a usable entry.
 #[rstest]
-#[case::fails_everywhere(|_| Some(observed(10, 10, 0.0, 0.0)))]
-#[case::silent(|_| None)]
+#[case::all_attempts_fail(|_| Some(observed(10, 10, 0.0, 0.0)))]
+#[case::no_reports(|_| None)]
 fn joined_proxy_always_has_a_usable_entry(#[case] report: fn(ServerIndex) -> Option<Observed>) {
     let mut harness = PolicyHarness::with_servers(6, 2);
     harness.healthy = false;
@@ -46,14 +46,14 @@
 #[rstest]
 #[case::removal_is_final(true, false, 0.0)]
 #[case::removal_is_not_final(false, false, 1.0)]
-#[case::seen_draining_before(false, true, 0.0)]
-fn keeps_removed_server_in_use_where_removal_is_not_final(
-    #[case] binds: bool,
-    #[case] drained: bool,
+#[case::draining_before_removal(false, true, 0.0)]
+fn keeps_removed_server_in_use_if_removal_is_not_final(
+    #[case] removal_is_final: bool,
+    #[case] draining: bool,
     #[case] weight: f32,
 ) {
-    let mut harness = PolicyHarness::with_many_proxies(6, 2, CHANNEL, binds);
-    if drained {
+    let mut harness = PolicyHarness::with_many_proxies(6, 2, CHANNEL, removal_is_final);
+    if draining {
         harness.update_endpoints(false, &[endpoint(0, 0, EndpointState::Draining, None)]);
     }
     harness.update_endpoints(false, &[endpoint(0, 0, EndpointState::Removed, None)]);
@@ -62,7 +62,7 @@
     harness.run(Duration::from_secs(8), |server| {
         if server == 0 { Some(observed(9, 9, 0.0, 0.0)) } else { QUIET.filter(|_| server < 6) }
     });
-    assert_eq!(harness.weight(0, 0), 0.0, "one that fails as well is removed");
+    assert_eq!(harness.weight(0, 0), 0.0, "a removed server that fails is no longer in use");
 }
 
 #[rstest]
@@ -82,7 +82,7 @@
     let polls_before = harness.commands.borrow().polls;
     harness.policy.endpoint_poll_failed(harness.now);
     harness.run(Duration::from_secs(6), |server| (server < 3).then_some(observed(0, 0, f32::INFINITY, 0.0)));
-    assert!(harness.commands.borrow().polls > polls_before, "a list that failed is polls_before for again");
+    assert!(harness.commands.borrow().polls > polls_before, "a failed poll is repeated");
     harness.update_endpoints(true, &[]);
     assert!((0..3).all(|server| harness.weight(0, server) == 0.0));
 }
--- a/tests/policy/helpers.rs
+++ b/tests/policy/helpers.rs
@@ -1,4 +1,4 @@
-//! A host that records the policy's commands, and a harness that drives a policy through time.
+//! A host that records the policy's commands, and a harness that runs a policy in simulated time.
 
 use grebespool::host::*;
 use grebespool::policy::Policy;
@@ -7,11 +7,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Servers that [`PolicyHarness::run`] asks for reports on.
+/// The number of servers for which [`PolicyHarness::run`] may report a load.
 const REPORTED_SERVERS: ServerIndex = 64;
 const REPORT_INTERVAL: Duration = ms(500);
 
-/// What is reported of a server for one interval.
+/// The values of a load report on a server over one interval.
 #[derive(Clone, Copy)]
 pub struct Observed {
     pub attempts: u32,
@@ -24,25 +24,26 @@
     Observed { attempts, failures, utilization, pending }
 }
 
-/// A server at half of its capacity.
+/// A report on a server at half of its capacity.
 pub const QUIET: Option<Observed> = Some(observed(5, 0, 0.5, 0.0));
 
-/// What the policy has commanded.
+/// The commands of the policy.
 #[derive(Default)]
 pub struct Commands {
     pub weights: BTreeMap<(TableId, ServerIndex), f32>,
     pub tables_by_proxy: BTreeMap<ProxyId, BTreeSet<TableId>>,
     pub admission: BTreeMap<RouteSet, (f32, RetryPolicy)>,
-    /// Health checks and acknowledgements that were asked for and not answered yet.
+    /// The health checks that were requested and not answered.
     pub health_checks: Vec<ServerIndex>,
+    /// The acknowledgements that were requested and not answered.
     pub acks: Vec<u16>,
-    /// How many weights were set.
+    /// The number of weights set.
     pub weights_set: usize,
-    /// How often the list was polled.
+    /// The number of polls of the endpoint list.
     pub polls: usize,
-    /// When weights or levels were set, by calls of the policy.
-    pub written_at: BTreeSet<Duration>,
-    /// Levels are requests a second, and not shares.
+    /// The times of the policy calls that set weights or levels.
+    pub update_times: BTreeSet<Duration>,
+    /// True if levels are requests per second, not shares.
     pub levels_are_rates: bool,
     timers: BTreeSet<(Duration, Timer)>,
     now: Duration,
@@ -59,7 +60,7 @@
         assert!(weight.is_finite() && weight >= 0.0, "weight {weight} of server {server}");
         let mut commands = self.0.borrow_mut();
         let now = commands.now;
-        commands.written_at.insert(now);
+        commands.update_times.insert(now);
         commands.weights_set += 1;
         commands.weights.insert((table, server), weight);
     }
@@ -71,7 +72,7 @@
         let max = if commands.levels_are_rates { f32::MAX } else { 1.0 };
         assert!((0.0..=max).contains(&level), "level {level}");
         let now = commands.now;
-        commands.written_at.insert(now);
+        commands.update_times.insert(now);
         commands.admission.insert(routes, (level, retries));
     }
     fn request_ack(&mut self, number: u16) {
@@ -97,7 +98,7 @@
     Endpoint { server, zone, kind: 0, state, age }
 }
 
-/// Ready servers that have long been warm, in turn over the zones.
+/// Returns ready, warm servers, distributed round-robin over the zones.
 pub fn warm_endpoints(servers: std::ops::Range<ServerIndex>, zones: usize) -> Vec<Endpoint> {
     servers.map(|server| endpoint(server, (server % zones) as ZoneId, EndpointState::Ready, None)).collect()
 }
@@ -111,14 +112,14 @@
     max_transit: Duration::from_millis(500),
 };
 
-/// A policy and what it has commanded.
+/// A policy, its commands and the simulated time.
 pub struct PolicyHarness {
     pub policy: Policy<RecordingHost>,
     pub commands: Rc<RefCell<Commands>>,
     pub now: Duration,
-    /// Whether servers pass health checks.
+    /// True if servers pass health checks.
     pub healthy: bool,
-    /// Whether proxies acknowledge.
+    /// True if proxies send acknowledgements.
     pub acknowledging: bool,
     /// The latency of answered attempts.
     pub latency: Duration,
@@ -155,12 +156,12 @@
             proxies: 4,
             min_server_connections: 200.0,
         };
-        let harness = PolicyHarness::on(capabilities, channel, routes, true);
+        let harness = PolicyHarness::with_capabilities(capabilities, channel, routes, true);
         harness.commands.borrow_mut().levels_are_rates = admission_mode == AdmissionMode::Rate;
         harness
     }
 
-    pub fn on(
+    pub fn with_capabilities(
         capabilities: ProxyCapabilities,
         channel: ControlChannelLimits,
         routes: Vec<Route>,
@@ -186,7 +187,7 @@
         }
     }
 
-    /// Far more proxies than servers have connections for, in two zones.
+    /// Creates a harness with two zones and more proxies than the servers have connections for.
     pub fn with_many_proxies(
         servers: usize,
         proxies: usize,
@@ -202,7 +203,7 @@
             min_server_connections: 20.0,
         };
         let routes = vec![route(1.0, Idempotency::Idempotent)];
-        let mut harness = PolicyHarness::on(capabilities, channel, routes, removal_is_final);
+        let mut harness = PolicyHarness::with_capabilities(capabilities, channel, routes, removal_is_final);
         harness.update_endpoints(true, &warm_endpoints(0..servers, 2));
         for proxy in 0..proxies {
             harness.policy.proxy_joined(harness.now, proxy as ProxyId, (proxy % 2) as ZoneId, true, 1.0);
@@ -210,7 +211,7 @@
         harness
     }
 
-    /// Warm servers in turn over the zones, and a joined proxy in each zone.
+    /// Creates a harness with warm servers, distributed round-robin over the zones, and a joined proxy in each zone.
     pub fn with_servers(servers: usize, zones: usize) -> PolicyHarness {
         let routes = vec![route(1.0, Idempotency::Idempotent), route(2.0, Idempotency::NonIdempotent)];
         let mut harness = PolicyHarness::new(zones, CHANNEL, routes, 1.2);
@@ -226,7 +227,7 @@
         self.policy.endpoints_updated(self.now, complete, endpoints);
     }
 
-    /// Runs on, with what `observe` gives of each server at every report interval.
+    /// Advances the time by `length`. Reports the values that `observe` returns for each server at every report interval.
     pub fn run(&mut self, length: Duration, observe: impl Fn(ServerIndex) -> Option<Observed>) {
         let end = self.now + length;
         while self.now < end {
@@ -267,7 +268,7 @@
     }
 
     fn report(&mut self, server: ServerIndex, observed: Observed) {
-        // No honest figure stands still, but for zero.
+        // A reported load that does not change is invalid, so the utilization varies a little. Only 0 stays 0.
         let variation = 1.0 + (self.now.as_millis() / 500 % 7) as f32 * 0.002;
         let metrics = [observed.utilization * variation, observed.pending];
         let answered = observed.attempts > observed.failures;
@@ -285,19 +286,19 @@
         self.commands.borrow().weights.get(&(table, server)).copied().unwrap_or(0.0)
     }
 
-    /// The servers with a weight above zero in a table.
+    /// Returns the servers with a weight above 0 in a table.
     pub fn servers_in(&self, table: TableId) -> Vec<ServerIndex> {
         let commands = self.commands.borrow();
         let weights = commands.weights.iter().filter(|((of, _), weight)| *of == table && **weight > 0.0);
         weights.map(|((_, server), _)| *server).collect()
     }
 
-    /// The tables that proxies are bound to.
+    /// Returns the tables that proxies are bound to.
     pub fn bound_tables(&self) -> BTreeSet<TableId> {
         self.commands.borrow().tables_by_proxy.values().flatten().copied().collect()
     }
 
-    /// The admission level of a set of routes.
+    /// Returns the admission level of a set of routes.
     pub fn level(&self, routes: RouteSet) -> f32 {
         self.commands.borrow().admission[&routes].0
     }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,6 +1,6 @@
-//! Tests of the policy, by concern, against a host that records its commands.
+//! Tests of the policy against a host that records its commands. There is one module for each concern.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test may panic")]
 
 mod admission;
 mod channel;
--- a/tests/policy/takeover.rs
+++ b/tests/policy/takeover.rs
@@ -1,4 +1,4 @@
-//! Takeover from another policy.
+//! Tests of the takeover from another policy.
 
 use crate::helpers::*;
 use grebespool::host::*;
@@ -8,19 +8,19 @@
 #[case::within_the_bounds([1.6, 0.4, 1.0], [1.6, 0.4, 1.0])]
 #[case::above_the_maximum([9.0, 1.0, 1.0], [3.0, 1.0, 1.0])]
 #[case::zero([0.0, 1.0, 1.0], [0.06, 1.0, 1.0])]
-fn restores_learned_weights(#[case] reported: [f64; 3], #[case] bound: [f32; 3]) {
+fn restores_learned_weights_within_bounds(#[case] former: [f64; 3], #[case] restored: [f32; 3]) {
     let routes = vec![route(1.0, Idempotency::Idempotent)];
     let mut harness = PolicyHarness::new(1, CHANNEL, routes, 1.2);
     let mut endpoints: Vec<Endpoint> =
         (0..3).map(|server| endpoint(server, 0, EndpointState::Ready, None)).collect();
-    // Nobody has learned a weight of a server that has just started: it rises by its steps.
+    // A server that has just started has no learned weight to restore, and rises by the steps of its slow start.
     endpoints.push(endpoint(3, 0, EndpointState::Ready, Some(ms(1))));
     harness.update_endpoints(true, &endpoints);
-    for (server, weight) in reported.iter().enumerate() {
+    for (server, weight) in former.iter().enumerate() {
         harness.policy.restore_weight(server, *weight);
     }
     harness.policy.proxy_joined(harness.now, 0, 0, false, 1.0);
-    for (server, weight) in bound.iter().enumerate() {
+    for (server, weight) in restored.iter().enumerate() {
         assert!(
             (harness.weight(0, server) - weight).abs() < 1e-6,
             "server {server} at {}",
@@ -28,15 +28,15 @@
         );
     }
     assert!(harness.weight(0, 3) < 0.3);
-    let learnt = harness.policy.learned_weights();
-    assert!((learnt[&0] / learnt[&1] - f64::from(bound[0] / bound[1])).abs() < 1e-3, "{learnt:?}");
+    let learned = harness.policy.learned_weights();
+    assert!((learned[&0] / learned[&1] - f64::from(restored[0] / restored[1])).abs() < 1e-3, "{learned:?}");
 }
 
-/// Otherwise every proxy would change most of its connections at once.
+/// Without the restored assignments, every proxy would change most of its connections at once.
 #[rstest]
-#[case::nothing_has_changed(30)]
-#[case::one_removed(29)]
-fn restores_pool_assignments(#[case] left: usize) {
+#[case::same_servers(30)]
+#[case::one_server_removed(29)]
+fn restores_pool_assignments(#[case] servers: usize) {
     let capabilities = ProxyCapabilities {
         zones: 2,
         slices: 0,
@@ -47,7 +47,14 @@
     };
     let all: Vec<Endpoint> =
         (0..30).map(|server| endpoint(server, (server % 2) as ZoneId, EndpointState::Ready, None)).collect();
-    let new = || PolicyHarness::on(capabilities, CHANNEL, vec![route(1.0, Idempotency::NonIdempotent)], true);
+    let new = || {
+        PolicyHarness::with_capabilities(
+            capabilities,
+            CHANNEL,
+            vec![route(1.0, Idempotency::NonIdempotent)],
+            true,
+        )
+    };
     let mut former = new();
     former.update_endpoints(true, &all[..22]);
     former.update_endpoints(true, &all);
@@ -55,30 +62,30 @@
     let PoolAssignments { pools, pool_by_proxy } = former.policy.pool_assignments();
     assert!(pools.len() > 2 && pool_by_proxy.len() == 12, "{pools:?}");
     let mut next = new();
-    next.update_endpoints(true, &all[..left]);
-    let by_chance = next.policy.pool_assignments().pools;
-    assert_ne!(by_chance, pools, "assigned alike by chance: the test shows nothing");
+    next.update_endpoints(true, &all[..servers]);
+    let initial = next.policy.pool_assignments().pools;
+    assert_ne!(initial, pools, "the assignments are equal by chance, so the test shows nothing");
     let former_binding = |proxy, pool| FormerBinding { zone: proxy % 2, pool };
     let bindings =
         pool_by_proxy.iter().map(|(proxy, pool)| (*proxy, former_binding(*proxy, *pool))).collect();
     next.policy.restore_pool_assignments(&pools, &bindings);
     for (restored, before) in next.policy.pool_assignments().pools.iter().zip(&pools) {
-        let mut remaining = before.servers.iter().filter(|server| **server < left);
+        let mut remaining = before.servers.iter().filter(|server| **server < servers);
         let all_held = remaining.all(|server| restored.servers.contains(server));
-        assert!(restored.zone == before.zone && all_held, "{restored:?} of {before:?}");
+        assert!(restored.zone == before.zone && all_held, "{restored:?}, before {before:?}");
     }
     for proxy in (0..12).rev() {
         next.policy.proxy_joined(next.now, proxy, proxy % 2, false, 1.0);
     }
     let restored = next.policy.pool_assignments().pool_by_proxy;
-    assert_eq!(restored, pool_by_proxy, "each proxy goes on with its own pool");
-    // An unknown pool and an unknown server are left out.
-    let mut odd = new();
-    odd.update_endpoints(true, &all);
+    assert_eq!(restored, pool_by_proxy, "each proxy keeps its pool");
+    // Unknown pools and unknown servers are ignored.
+    let mut with_unknown = new();
+    with_unknown.update_endpoints(true, &all);
     let with_unknown_server =
         [PoolSubset { zone: 0, servers: vec![0, 99] }, PoolSubset { zone: 1, servers: vec![1] }];
     let unknown_pool = FormerBinding { zone: 0, pool: 7 };
-    odd.policy.restore_pool_assignments(&with_unknown_server, &[(0, unknown_pool)].into());
-    odd.policy.proxy_joined(odd.now, 0, 0, false, 1.0);
-    assert_eq!(odd.policy.pool_assignments().pool_by_proxy[&0], 0);
+    with_unknown.policy.restore_pool_assignments(&with_unknown_server, &[(0, unknown_pool)].into());
+    with_unknown.policy.proxy_joined(with_unknown.now, 0, 0, false, 1.0);
+    assert_eq!(with_unknown.policy.pool_assignments().pool_by_proxy[&0], 0);
 }
--- a/tests/policy/zone_spill.rs
+++ b/tests/policy/zone_spill.rs
@@ -1,4 +1,4 @@
-//! Zone spill.
+//! Tests of the use of other zones' servers.
 
 use crate::helpers::*;
 use grebespool::host::*;
@@ -8,30 +8,31 @@
 #[rstest]
 #[case::one_zone(1, 1.0)]
 #[case::three_zones(3, 0.2)]
-fn far_servers_count_for_a_fifth(#[case] zones: usize, #[case] far: f32) {
+fn remote_servers_get_a_fifth_of_the_weight(#[case] zones: usize, #[case] weight: f32) {
     let harness = PolicyHarness::with_servers(6, zones);
-    assert_eq!((harness.weight(0, 0), harness.weight(0, 1)), (1.0, far));
+    assert_eq!((harness.weight(0, 0), harness.weight(0, 1)), (1.0, weight));
 }
 
 #[rstest]
 #[case::draining(EndpointState::Draining, None, 0.6)]
 #[case::warming(EndpointState::Ready, Some(ms(1000)), 0.9)]
-fn far_servers_make_up_for_lost_near_servers(
+fn remote_servers_make_up_for_lost_local_servers(
     #[case] state: EndpointState,
     #[case] age: Option<Duration>,
-    #[case] far: f32,
+    #[case] remote_weight: f32,
 ) {
-    // Otherwise a zone's warming servers would be overloaded by the zone's own requests.
+    // Without remote servers, the zone's requests would overload its warming servers.
     let mut harness = PolicyHarness::with_servers(4, 2);
     harness.update_endpoints(false, &[endpoint(0, 0, state, age), endpoint(2, 0, state, age)]);
-    assert!((harness.weight(0, 1) - far).abs() < 0.11, "{}", harness.weight(0, 1));
+    assert!((harness.weight(0, 1) - remote_weight).abs() < 0.11, "{}", harness.weight(0, 1));
 }
 
-/// A zone-local route shares its table with the others, so far servers stay out of it even when all near ones are ejected.
+/// A zone-local route shares its table with the others, so the table must not contain remote servers, even while all local
+/// ones are ejected.
 #[rstest]
-#[case::silent_and_dropping(10, 10)]
-#[case::ejected_one_after_another(10, 7)]
-fn zone_local_route_never_gets_far_servers(#[case] attempts: u32, #[case] failures: u32) {
+#[case::local_servers_fail_all(10, 10)]
+#[case::local_servers_fail_most(10, 7)]
+fn zone_local_route_never_gets_remote_servers(#[case] attempts: u32, #[case] failures: u32) {
     let local = Route { zone_local: true, ..route(2.0, Idempotency::Idempotent) };
     let mut harness = PolicyHarness::new(2, CHANNEL, vec![route(1.0, Idempotency::Idempotent), local], 1.2);
     let endpoints: Vec<Endpoint> =
@@ -39,8 +40,8 @@
     harness.update_endpoints(true, &endpoints);
     (0..2).for_each(|proxy| harness.policy.proxy_joined(harness.now, proxy, proxy, true, 1.0));
     harness.healthy = false;
-    let table = |harness: &PolicyHarness, p: ProxyId| {
-        *harness.commands.borrow().tables_by_proxy[&p].iter().next().unwrap()
+    let table = |harness: &PolicyHarness, proxy: ProxyId| {
+        *harness.commands.borrow().tables_by_proxy[&proxy].iter().next().unwrap()
     };
     for second in 0..40 {
         harness.run(Duration::from_secs(1), |server| match server {
@@ -63,58 +64,62 @@
 #[case::lossy((10, 6), 0.5, 200, 0.0, 0.01)]
 #[case::slow((10, 0), 0.5, 1200, 0.0, 0.05)]
 #[case::lossy_but_full((10, 6), 0.99, 200, 0.02, 0.25)]
-fn bad_link_gets_a_trickle(
-    #[case] far: (u32, u32),
-    #[case] busy: f32,
-    #[case] wait: u64,
-    #[case] least: f32,
-    #[case] most: f32,
+fn bad_link_gets_little_weight(
+    #[case] remote: (u32, u32),
+    #[case] utilization: f32,
+    #[case] latency_ms: u64,
+    #[case] min: f32,
+    #[case] max: f32,
 ) {
     let mut harness = PolicyHarness::with_servers(6, 2);
     for _ in 0..8 {
         harness.latency = ms(200);
         harness.run(ms(500), |server| (server < 6 && server % 2 == 0).then_some(observed(10, 0, 0.5, 0.0)));
-        harness.latency = ms(wait);
+        harness.latency = ms(latency_ms);
         harness.run(ms(500), |server| {
-            (server < 6 && server % 2 == 1).then_some(observed(far.0, far.1, busy, 0.0))
+            (server < 6 && server % 2 == 1).then_some(observed(remote.0, remote.1, utilization, 0.0))
         });
     }
     let weight = harness.weight(0, 1);
-    assert!((least..=most).contains(&weight), "{weight}");
+    assert!((min..=max).contains(&weight), "{weight}");
 }
 
 #[rstest]
 #[case::other_zone_has_capacity(0.2, 0.5, 9.0)]
 #[case::other_zone_is_full(0.97, 0.1, 0.3)]
-fn full_zone_leans_on_zone_with_capacity(#[case] far: f32, #[case] least: f32, #[case] most: f32) {
+fn full_zone_uses_servers_of_zone_with_capacity(
+    #[case] remote_utilization: f32,
+    #[case] min: f32,
+    #[case] max: f32,
+) {
     let mut harness = PolicyHarness::with_servers(6, 2);
     harness.run(Duration::from_secs(8), |server| {
-        (server < 6).then_some(observed(10, 0, if server % 2 == 0 { 0.98 } else { far }, 0.0))
+        (server < 6).then_some(observed(10, 0, if server % 2 == 0 { 0.98 } else { remote_utilization }, 0.0))
     });
     let weight = harness.weight(0, 1) / harness.weight(0, 0);
-    assert!((least..=most).contains(&weight), "{weight}");
+    assert!((min..=max).contains(&weight), "{weight}");
 }
 
-/// A zone that returns looks idle while its servers warm up.
+/// A zone that returns looks idle while its servers warm up. Other zones must not send their requests to it.
 #[rstest]
-fn warming_zone_is_not_leaned_on() {
+fn warming_zone_gets_no_spillover() {
     let mut harness = PolicyHarness::with_servers(6, 2);
-    let busy = |warming: f32| {
+    let load = |remote_utilization: f32| {
         move |server: ServerIndex| {
             (server < 6).then_some(observed(
                 10,
                 0,
-                if server.is_multiple_of(2) { 0.97 } else { warming },
+                if server.is_multiple_of(2) { 0.97 } else { remote_utilization },
                 0.0,
             ))
         }
     };
-    harness.run(Duration::from_secs(3), busy(0.95));
+    harness.run(Duration::from_secs(3), load(0.95));
     let zone = |state, age| [1, 3, 5].map(|server| endpoint(server, 1, state, age));
     harness.update_endpoints(false, &zone(EndpointState::Removed, None));
-    harness.run(ms(1000), |server| busy(0.0)(server).filter(|_| server % 2 == 0));
+    harness.run(ms(1000), |server| load(0.0)(server).filter(|_| server % 2 == 0));
     harness.update_endpoints(false, &zone(EndpointState::Ready, Some(ms(100))));
-    harness.run(Duration::from_secs(4), busy(0.05));
+    harness.run(Duration::from_secs(4), load(0.05));
     let weight = harness.weight(0, 1) / harness.weight(0, 0);
     assert!(weight < 0.07, "{weight}");
 }
