--- a/crates/platform-settings/src/json.rs
+++ b/crates/platform-settings/src/json.rs
@@ -1,12 +1,12 @@
-//! Nested JSON as plain values by path, the same as pairs have them.
+//! Conversion of nested JSON to plain values by path, in the format of `path=value` pairs.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The field beside the items of a list of objects that has their number.
+/// The key of the number of items in a list of objects.
 const COUNT: &str = "count";
 
-/// The plain values of nested JSON by their paths.
+/// Returns the plain values of nested JSON by their paths.
 pub(crate) fn flatten(nested: &Value) -> BTreeMap<String, String> {
     let mut values = BTreeMap::new();
     insert(String::new(), nested, &mut values);
@@ -30,8 +30,8 @@
         Value::Array(items) => {
             values.insert(path, items.iter().map(plain).collect::<Vec<_>>().join(","));
         }
-        plain_value => {
-            values.insert(path, plain(plain_value));
+        scalar => {
+            values.insert(path, plain(scalar));
         }
     }
 }
@@ -40,7 +40,8 @@
     if path.is_empty() { name.into() } else { format!("{path}.{name}") }
 }
 
-/// As pairs have it: an underscore stands for what would separate items or lines.
+/// Formats a scalar as in `path=value` pairs: spaces, commas and line breaks in a text become underscores, because they
+/// separate items or lines.
 fn plain(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ',', '\n'], "_"),
--- a/crates/platform-settings/src/keys.rs
+++ b/crates/platform-settings/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys of the settings. On the wire: do not rename.
+//! The keys of the settings. Their texts are part of the wire format and must not change.
 
 pub(crate) const ROUTE_COUNT: &str = "classes.count";
 pub(crate) const PRIORITY_WEIGHT: &str = "points";
@@ -32,7 +32,7 @@
 pub(crate) const REPORT_INTERVAL_MS: &str = "familyInfo.cycleMs";
 pub(crate) const HEALTH_CHECKS: &str = "allowed.probing";
 
-/// The key of a route's setting.
+/// Returns the key of a route's setting.
 pub(crate) fn of_route(route: usize, name: &str) -> String {
     format!("classes.{route}.{name}")
 }
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! The settings of a deployment as the simulator and the platform state them, read into what a policy is created with.
+//! Reads the settings of a deployment, in the formats of the simulator and of the platform, into the settings of a policy.
 //!
-//! They come as `path=value` pairs, a line each, or as nested JSON; one reader serves both. It does no I/O and decides
-//! nothing; keys that it does not know are ignored. The keys are mapped to the policy's terms in `keys`, and nowhere else.
+//! The simulator sends `path=value` pairs, one per line; the platform has nested JSON. [`PlatformSettings`] reads both,
+//! ignores unknown keys and does no I/O. Only the module `keys` maps the keys to the policy's terms.
 
 mod json;
 mod keys;
@@ -16,17 +16,17 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A [`RouteSet`](grebespool::host::RouteSet) has this many bits.
+/// The largest number of routes, which is the number of bits of a [`RouteSet`](grebespool::host::RouteSet).
 const MAX_ROUTES: usize = 16;
 const MS_PER_S: f64 = 1000.0;
 
-/// Why settings cannot be used.
+/// The reason why settings cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The bytes are not UTF-8.
-    #[error("the settings are not text")]
-    NotText,
-    /// A key that has no default is absent or empty.
+    #[error("the settings are not valid UTF-8")]
+    InvalidUtf8,
+    /// A key without a default is absent or empty.
     #[error("setting {key} is missing")]
     Missing {
         /// The key.
@@ -40,24 +40,24 @@
         /// Its value.
         value: String,
     },
-    /// The value is negative, or no number.
-    #[error("setting {key} is no span: {ms}")]
-    NoDuration {
+    /// The value is negative, too large for a duration, or not a number.
+    #[error("setting {key} is not a duration in milliseconds: {ms}")]
+    InvalidDuration {
         /// The key.
         key: String,
-        /// Its value, in milliseconds.
+        /// The key's value, in milliseconds.
         ms: String,
     },
-    /// More routes than a set of routes can hold.
-    #[error("setting {key} is over {MAX_ROUTES}: {count}")]
+    /// The deployment has more routes than a set of routes can hold.
+    #[error("setting {key} is above the maximum of {MAX_ROUTES}: {count}")]
     TooManyRoutes {
         /// The key.
         key: &'static str,
         /// The number of routes.
         count: usize,
     },
-    /// The value is none of those that the key may have.
-    #[error("setting {key} is unknown: {value}")]
+    /// The value is not one of the values that the key may have.
+    #[error("setting {key} has the unknown value {value}")]
     Unknown {
         /// The key.
         key: String,
@@ -72,27 +72,27 @@
 }
 
 impl PlatformSettings {
-    /// Reads `path=value` pairs, a line each; other lines are ignored.
+    /// Reads `path=value` pairs, one per line, and ignores other lines.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::NotText`].
+    /// Returns [`SettingsError::InvalidUtf8`] if `text` is not valid UTF-8.
     pub fn from_pairs(text: &[u8]) -> Result<Self, SettingsError> {
-        let text = std::str::from_utf8(text).map_err(|_| SettingsError::NotText)?;
+        let text = std::str::from_utf8(text).map_err(|_| SettingsError::InvalidUtf8)?;
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         Ok(PlatformSettings { values: pairs.map(|(path, value)| (path.into(), value.into())).collect() })
     }
 
-    /// Reads nested JSON: the names of fields and the positions of items, joined by dots, are the path of a value.
+    /// Reads nested JSON. The path of a value consists of the names of fields and the positions of items, joined by dots.
     pub fn from_json(nested: &Value) -> Self {
         PlatformSettings { values: json::flatten(nested) }
     }
 
-    /// The routes, in their order.
+    /// Returns the routes, in their order.
     ///
     /// # Errors
     ///
-    /// Any but [`SettingsError::NotText`], for the first key that cannot be used.
+    /// Returns an error for the first key that is missing or has an invalid value, or if there are too many routes.
     pub fn routes(&self) -> Result<Vec<Route>, SettingsError> {
         let count: usize = self.required(keys::ROUTE_COUNT)?;
         if count > MAX_ROUTES {
@@ -135,11 +135,12 @@
         })
     }
 
-    /// What the proxies are able to do.
+    /// Returns the capabilities and the number of the proxies.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Unreadable`], and [`SettingsError::Unknown`] for the admission mode.
+    /// Returns [`SettingsError::Unreadable`] if a value is not of its key's type, and [`SettingsError::Unknown`] if the
+    /// admission mode is unknown.
     pub fn proxy_capabilities(&self) -> Result<ProxyCapabilities, SettingsError> {
         Ok(ProxyCapabilities {
             zones: self.list(keys::ZONES).count(),
@@ -151,7 +152,7 @@
         })
     }
 
-    /// An unknown mode is an error: a level means something else in each.
+    /// Returns the admission mode. An unknown mode is an error, because the unit of a level depends on the mode.
     fn admission_mode(&self) -> Result<AdmissionMode, SettingsError> {
         let mode: Option<String> = self.optional(keys::ADMISSION_MODE)?;
         match mode.as_deref() {
@@ -164,21 +165,23 @@
         }
     }
 
-    /// The deadlines around the start and the removal of servers.
+    /// Returns the rules for the start and the removal of servers.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Missing`], [`SettingsError::Unreadable`] and [`SettingsError::NoDuration`].
+    /// Returns [`SettingsError::Missing`], [`SettingsError::Unreadable`] or [`SettingsError::InvalidDuration`] for the first
+    /// key that cannot be used.
     pub fn timeouts(&self) -> Result<Timeouts, SettingsError> {
         let removal_is_not_final = self.optional(keys::REMOVAL_IS_NOT_FINAL)?.unwrap_or(false);
         Ok(Timeouts { warm_up: self.duration(keys::WARM_UP_MS)?, removal_is_final: !removal_is_not_final })
     }
 
-    /// The capacity of the control channel.
+    /// Returns the capacity of the control channel.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Missing`], [`SettingsError::Unreadable`] and [`SettingsError::NoDuration`].
+    /// Returns [`SettingsError::Missing`], [`SettingsError::Unreadable`] or [`SettingsError::InvalidDuration`] for the first
+    /// key that cannot be used.
     pub fn control_channel_limits(&self) -> Result<ControlChannelLimits, SettingsError> {
         let max_messages = self.optional(keys::MAX_MESSAGES)?.unwrap_or(0);
         Ok(ControlChannelLimits {
@@ -194,11 +197,12 @@
         })
     }
 
-    /// What the policy can observe.
+    /// Returns the sources of information about servers and endpoints.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::Missing`], [`SettingsError::Unreadable`] and [`SettingsError::NoDuration`].
+    /// Returns [`SettingsError::Missing`], [`SettingsError::Unreadable`] or [`SettingsError::InvalidDuration`] for the first
+    /// key that cannot be used.
     pub fn observability(&self) -> Result<Observability, SettingsError> {
         let list_mode: Option<String> = self.optional(keys::ENDPOINT_LIST_MODE)?;
         let report_mode: Option<String> = self.optional(keys::REPORT_MODE)?;
@@ -227,11 +231,11 @@
         self.optional(key)?.ok_or_else(|| SettingsError::Missing { key: key.into() })
     }
 
-    /// A duration that is stated in milliseconds.
+    /// Returns a duration whose setting is in milliseconds.
     fn duration(&self, key: &str) -> Result<Duration, SettingsError> {
         let ms: f64 = self.required(key)?;
-        let no_duration = |_| SettingsError::NoDuration { key: key.into(), ms: ms.to_string() };
-        Duration::try_from_secs_f64(ms / MS_PER_S).map_err(no_duration)
+        let invalid = |_| SettingsError::InvalidDuration { key: key.into(), ms: ms.to_string() };
+        Duration::try_from_secs_f64(ms / MS_PER_S).map_err(invalid)
     }
 
     fn list(&self, key: &str) -> impl Iterator<Item = &str> {
--- a/crates/platform-settings/tests/fixtures.rs
+++ b/crates/platform-settings/tests/fixtures.rs
@@ -1,6 +1,6 @@
-//! A fixed text with every key of the settings, as pairs and as nested JSON: each key is read into its field.
+//! Checks, with stored settings that contain every key as pairs and as nested JSON, that each key is read into its field.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test may panic")]
 
 use grebespool::host::{AdmissionMode, DeduplicationScope, Idempotency, LoadMetric};
 use grebespool_platform_settings::PlatformSettings;
@@ -67,7 +67,7 @@
 #[rstest]
 #[case::pairs(pairs())]
 #[case::nested(nested())]
-fn reads_every_key_of_the_timeouts_and_the_reports(#[case] settings: PlatformSettings) {
+fn reads_every_key_of_the_timeouts_and_the_observability(#[case] settings: PlatformSettings) {
     let timeouts = settings.timeouts().unwrap();
     assert_eq!((timeouts.warm_up, timeouts.removal_is_final), (ms(12_000), false));
     let observability = settings.observability().unwrap();
@@ -75,7 +75,7 @@
         (observability.report_interval, observability.health_checks, observability.endpoint_poll_interval),
         (ms(500), true, Some(ms(9000)))
     );
-    let fields = [
+    let metrics = [
         LoadMetric::InFlight,
         LoadMetric::Pending,
         LoadMetric::Utilization,
@@ -84,5 +84,5 @@
         LoadMetric::ErrorsPerSecond,
         LoadMetric::Other,
     ];
-    assert_eq!(observability.metrics, fields);
+    assert_eq!(observability.metrics, metrics);
 }
--- a/crates/platform-settings/tests/settings.rs
+++ b/crates/platform-settings/tests/settings.rs
@@ -1,6 +1,6 @@
-//! The same deployment as pairs of text and as nested JSON.
+//! Checks that the same settings are read alike from pairs and from nested JSON, and that errors name the key.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test may panic")]
 
 use grebespool::host::AdmissionMode;
 use grebespool_platform_settings::PlatformSettings;
@@ -38,7 +38,8 @@
     })
 }
 
-fn all(settings: &PlatformSettings) -> String {
+/// Returns the `Debug` text of the results of all readers.
+fn all_results(settings: &PlatformSettings) -> String {
     let parts = (
         settings.routes(),
         settings.proxy_capabilities(),
@@ -53,32 +54,36 @@
 fn reads_pairs_and_nested_json_alike() {
     let (pairs, nested) =
         (PlatformSettings::from_pairs(PAIRS.as_bytes()).unwrap(), PlatformSettings::from_json(&nested()));
-    assert_eq!(all(&pairs), all(&nested));
+    assert_eq!(all_results(&pairs), all_results(&nested));
     assert_eq!(pairs.proxy_capabilities().unwrap().proxies, 12);
-    assert!(!all(&pairs).contains("Err"), "{}", all(&pairs));
+    assert!(!all_results(&pairs).contains("Err"), "{}", all_results(&pairs));
 }
 
 #[rstest]
-#[case::left_out("/familyInfo/linesPerS", Value::Null, "setting familyInfo.linesPerS is missing")]
-#[case::no_number("/familyInfo/linesPerS", json!("fast"), "setting familyInfo.linesPerS cannot be read: fast")]
-#[case::negative("/familyInfo/worstTransitMs", json!(-1), "setting familyInfo.worstTransitMs is no span: -1")]
-fn error_names_the_key(#[case] at: &str, #[case] value: Value, #[case] says: &str) {
+#[case::missing("/familyInfo/linesPerS", Value::Null, "setting familyInfo.linesPerS is missing")]
+#[case::not_a_number("/familyInfo/linesPerS", json!("fast"), "setting familyInfo.linesPerS cannot be read: fast")]
+#[case::negative(
+    "/familyInfo/worstTransitMs",
+    json!(-1),
+    "setting familyInfo.worstTransitMs is not a duration in milliseconds: -1"
+)]
+fn error_names_the_key(#[case] pointer: &str, #[case] value: Value, #[case] message: &str) {
     let mut settings = nested();
-    *settings.pointer_mut(at).unwrap() = value;
+    *settings.pointer_mut(pointer).unwrap() = value;
     assert_eq!(
         PlatformSettings::from_json(&settings).control_channel_limits().unwrap_err().to_string(),
-        says
+        message
     );
 }
 
-/// An unknown mode is refused, since a level means something else in each.
+/// An unknown mode is rejected, because the unit of a level depends on the mode.
 #[rstest]
 #[case::shares(json!("share"), Ok(AdmissionMode::Share))]
 #[case::rates(json!("rate"), Ok(AdmissionMode::Rate))]
 #[case::off(json!("off"), Ok(AdmissionMode::Off))]
-#[case::left_out(Value::Null, Ok(AdmissionMode::Off))]
-#[case::unknown(json!("tokens"), Err("setting familyInfo.throttleBy is unknown: tokens".to_string()))]
-fn reads_admission_mode_and_refuses_unknown_ones(
+#[case::missing(Value::Null, Ok(AdmissionMode::Off))]
+#[case::unknown(json!("tokens"), Err("setting familyInfo.throttleBy has the unknown value tokens".to_string()))]
+fn reads_admission_mode_and_rejects_unknown_ones(
     #[case] mode: Value,
     #[case] expected: Result<AdmissionMode, String>,
 ) {
--- a/crates/wirehost/tests/fixtures.rs
+++ b/crates/wirehost/tests/fixtures.rs
@@ -1,6 +1,6 @@
 //! A stored session on the simulator's wire: the same batches are answered by the same bytes.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test may panic")]
 
 use grebespool_wirehost::Instances;
 use rstest::rstest;
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -1,6 +1,6 @@
-//! The adapter against frames built from the field layout, worked frames of the wire page among them.
+//! Tests of the adapter with frames built from the record layout, including example frames of the wire protocol's page.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test may panic")]
 
 use grebespool_wirehost::Instances;
 use rstest::rstest;
@@ -39,7 +39,7 @@
     record(code, &fields)
 }
 
-/// A start with one ready server and a proxy that joins.
+/// Returns a batch that starts an instance, lists one ready server and joins a proxy.
 fn start(settings: &str) -> Vec<u8> {
     let mut entry = vec![10, 18, 74, 7, 0x1f, 0x43, 0, 0, 0, 0, 0, 1];
     entry.extend(1f32.to_be_bytes());
@@ -66,23 +66,27 @@
     assert_eq!(reply[4..8], (reply.len() as u32).to_be_bytes());
     let records: Vec<&[u8]> = reply[8..].chunks(16).collect();
     assert_eq!(records[0], [4, 0x1a, 0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0]);
-    let line = [4, 0x56, 0x3f, 0x80, 0, 0, 0, 0, 10, 18, 74, 7, 0x1f, 0x43, 0, 0];
+    let weight = [4, 0x56, 0x3f, 0x80, 0, 0, 0, 0, 10, 18, 74, 7, 0x1f, 0x43, 0, 0];
     let bind = [4, 0x38, 0, 0x29, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0];
-    let at = |r: &[u8]| records.iter().position(|x| *x == r);
-    assert!(at(&line).unwrap() < at(&bind).unwrap());
+    let position = |record: &[u8]| records.iter().position(|other| *other == record);
+    assert!(position(&weight).unwrap() < position(&bind).unwrap());
 }
 
 #[rstest]
-#[case::needed("classes.count=1\n", "", "setting classes.count is missing")]
+#[case::missing("classes.count=1\n", "", "setting classes.count is missing")]
 #[case::unreadable("classes.0.aimMs=1500.0", "classes.0.aimMs=soon", "classes.0.aimMs cannot be read: soon")]
-#[case::no_span("classes.0.aimMs=1500.0", "classes.0.aimMs=-1", "classes.0.aimMs is no span")]
-#[case::unknown_effect("effect=retryable", "effect=odd", "classes.0.effect is unknown: odd")]
-#[case::absent_optional("report.fields=cpu_share,something_new\n", "", "")]
-fn error_names_the_setting(#[case] from: &str, #[case] to: &str, #[case] says: &str) {
+#[case::negative_duration(
+    "classes.0.aimMs=1500.0",
+    "classes.0.aimMs=-1",
+    "classes.0.aimMs is not a duration in milliseconds"
+)]
+#[case::unknown_effect("effect=retryable", "effect=odd", "classes.0.effect has the unknown value odd")]
+#[case::missing_optional("report.fields=cpu_share,something_new\n", "", "")]
+fn error_names_the_setting(#[case] from: &str, #[case] to: &str, #[case] message: &str) {
     let result = Instances::default().apply_batch(&start(&SETTINGS.replace(from, to)));
     match result {
-        Ok(_) => assert_eq!(says, ""),
-        Err(m) => assert!(!says.is_empty() && m.to_string().contains(says), "{m}"),
+        Ok(_) => assert_eq!(message, ""),
+        Err(error) => assert!(!message.is_empty() && error.to_string().contains(message), "{error}"),
     }
 }
 
@@ -91,7 +95,7 @@
 #[case::clock_is_no_number(vec![0, 0, 0, 16, 0x7f, 0xf8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0], "the clock")]
 #[case::offset_past_the_tail(frame(&[pointed(1140, &[0], 24, 1)], &[0; 24]), "past the tail")]
 #[case::length_that_overflows(frame(&[pointed(1140, &[0], 0, u32::MAX as usize)], &[]), "past the tail")]
-#[case::text_that_is_none(frame(&[target(1), pointed(1000, &[0; 8], 0, 2)], &[0xff, 0xfe]), "not text")]
+#[case::text_that_is_none(frame(&[target(1), pointed(1000, &[0; 8], 0, 2)], &[0xff, 0xfe]), "not valid UTF-8")]
 #[case::unknown_code(frame(&[target(1), record(7, &[])], &[]), "record 1 (code 7)")]
 #[case::no_instance(frame(&[record(1020, &[])], &[]), "for no instance")]
 #[case::not_started(frame(&[target(4), record(1020, &[])], &[]), "instance 4 was not started")]
