--- a/crates/wirehost/src/codes.rs
+++ b/crates/wirehost/src/codes.rs
@@ -1,6 +1,6 @@
-//! The numbers of records. On the wire: do not change.
+//! The numeric codes of the wire format. The simulator uses the same numbers, so they must not change.
 
-/// Records of a batch.
+/// The codes of records in a batch.
 pub(crate) mod event {
     pub(crate) const INSTANCE_STARTED: u16 = 1000;
     pub(crate) const ENDPOINTS_UPDATED: u16 = 1010;
@@ -12,20 +12,20 @@
     pub(crate) const ACKNOWLEDGED: u16 = 1080;
     pub(crate) const LOAD_REPORTED: u16 = 1090;
     pub(crate) const REQUESTS_RECEIVED: u16 = 1100;
-    /// The entries of a list that later records of the batch refer to.
+    /// Contains the entries of an endpoint list, to which later records of the batch refer.
     pub(crate) const ENDPOINT_LIST: u16 = 1140;
-    /// The instance that the following records are for.
+    /// Names the instance to which the following records belong.
     pub(crate) const INSTANCE: u16 = 1150;
-    /// Messages of peers, slices and their stores: the policy uses none of them (docs/design.md).
+    /// Messages of peers, slices and their stores, which the policy does not use (docs/design.md).
     pub(crate) const UNUSED: [u16; 4] = [1040, 1110, 1120, 1130];
 }
 
-/// Records of a reply.
+/// The codes of records in a reply.
 pub(crate) mod command {
     pub(crate) const REQUEST_ACK: u16 = 1010;
     pub(crate) const SET_TIMER: u16 = 1030;
     pub(crate) const POLL_ENDPOINTS: u16 = 1040;
-    /// The instance that the following records are from.
+    /// Names the instance to which the following records belong.
     pub(crate) const INSTANCE: u16 = 1050;
     pub(crate) const SET_ADMISSION: u16 = 1060;
     pub(crate) const START_HEALTH_CHECK: u16 = 1070;
@@ -40,7 +40,7 @@
     pub(crate) const DRAINING: u8 = 2;
 }
 
-/// How a list came.
+/// The kinds of endpoint list updates.
 pub(crate) mod list_kind {
     pub(crate) const CHANGES: u8 = 0;
     pub(crate) const COMPLETE: u8 = 1;
@@ -48,26 +48,26 @@
     pub(crate) const POLL_FAILED: u8 = 3;
 }
 
-/// How a health check ended.
+/// The results of a health check.
 pub(crate) mod health_check {
     pub(crate) const HEALTHY: u16 = 100;
     pub(crate) const REJECTED: u16 = 302;
-    /// All but [`REJECTED`] among them.
+    /// The range of failures. [`REJECTED`] lies in the range and is not a failure.
     pub(crate) const FAILED: std::ops::RangeInclusive<u16> = 301..=307;
 }
 
-/// When proxies retry.
+/// The retry policies.
 pub(crate) mod retries {
     pub(crate) const NEVER: u8 = 0;
     pub(crate) const IF_NOT_EXECUTED: u8 = 1;
     pub(crate) const AFTER_FAILURE: u8 = 2;
 }
 
-/// The timers.
+/// The tokens of the timers.
 pub(crate) mod timer {
     pub(crate) const TICK: u32 = 1;
     pub(crate) const URGENT_PUBLISH: u32 = 2;
 }
 
-/// The table that stands for every joined proxy.
+/// The table number that addresses all joined proxies.
 pub(crate) const EVERY_TABLE: u16 = 65535;
--- a/crates/wirehost/src/error.rs
+++ b/crates/wirehost/src/error.rs
@@ -1,78 +1,79 @@
-//! What is wrong with a batch, and where.
+//! The errors of a batch and their positions.
 
+use crate::frame::MAX_METRICS;
 use grebespool_platform_settings::SettingsError;
 use thiserror::Error;
 
-/// Why a batch cannot be used.
+/// The reason why a batch cannot be applied.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum WireError {
-    /// The frame does not hold what its header says.
+    /// The frame's header is invalid.
     #[error("malformed batch: {0}")]
     Frame(#[from] FrameError),
-    /// A record cannot be used; the records before it are applied.
+    /// A record cannot be applied. The records before it have been applied.
     #[error("malformed batch: record {position} (code {code}): {fault}")]
     Record {
-        /// Its position in the batch.
+        /// The position of the record in the batch.
         position: usize,
-        /// Its code.
+        /// The code of the record.
         code: u16,
-        /// What is wrong with it.
+        /// The error in the record.
         fault: RecordError,
     },
 }
 
-/// What is wrong with the header of a frame.
+/// An error in the header of a frame.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The time is infinite or not a number.
-    #[error("the clock at byte 4 is not a number")]
-    Clock,
-    /// The records reach past the end.
+    #[error("the clock at byte 4 is not a finite number")]
+    InvalidClock,
+    /// The records reach past the end of the frame.
     #[error("{records} records at byte 12 do not fit into {frame_bytes} bytes")]
-    Records {
-        /// The records that the header has.
+    TooManyRecords {
+        /// The number of records in the header.
         records: usize,
-        /// The length of the frame.
+        /// The length of the frame in bytes.
         frame_bytes: usize,
     },
 }
 
-/// What is wrong with a record.
+/// An error in a record.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum RecordError {
-    /// Its code is not known.
+    /// The code of the record is unknown.
     #[error("unknown code")]
     UnknownCode,
-    /// No record before it has named an instance.
-    #[error("an event for no instance")]
+    /// No earlier record of the batch names an instance.
+    #[error("no earlier record names an instance")]
     NoInstance,
-    /// It is for an instance that is not there.
+    /// The record belongs to an instance that does not exist.
     #[error("instance {0} was not started")]
     NotStarted(u32),
-    /// It refers to bytes that are not there.
+    /// The record refers to bytes past the end of the tail.
     #[error("offset {offset} and length {length} reach past the tail")]
     OutsideTail {
-        /// The first byte, or the bytes before it in units of an item.
+        /// The offset of the first byte in the tail.
         offset: usize,
         /// The number of items.
         length: usize,
     },
-    /// A load report has more values than fit.
-    #[error("a load report of {0} values")]
-    ReportLength(usize),
-    /// A batch has fewer lists.
-    #[error("list number {0}")]
-    ListNumber(u8),
-    /// It is not known how the list came.
-    #[error("a list of sort {0}")]
-    ListKind(u8),
-    /// An entry's state is not known.
-    #[error("a list entry of phase {0}")]
-    EndpointState(u8),
-    /// It is not known how the health check ended.
-    #[error("a probe result of {0}")]
-    HealthCheckResult(u16),
-    /// The settings of a new instance cannot be used.
+    /// A load report or a health check has more metrics than a record can hold.
+    #[error("a record has {0} metrics instead of at most {MAX_METRICS}")]
+    TooManyMetrics(usize),
+    /// The number of an endpoint list is above the largest number.
+    #[error("list number {0} is out of range")]
+    ListNumberOutOfRange(u8),
+    /// The kind of an endpoint list update is unknown.
+    #[error("unknown kind {0} of list update")]
+    UnknownListKind(u8),
+    /// The state of a list entry is unknown.
+    #[error("unknown state {0} of a list entry")]
+    UnknownEndpointState(u8),
+    /// The result of a health check is unknown.
+    #[error("unknown health check result {0}")]
+    UnknownHealthCheckResult(u16),
+    /// The settings of a new instance are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/wirehost/src/frame.rs
+++ b/crates/wirehost/src/frame.rs
@@ -1,13 +1,13 @@
-//! Frames: a batch taken apart into records, and the records of a reply put together. All numbers are big-endian.
+//! Frames: splits a batch into records, and builds a reply from records. All numbers are big-endian.
 
 use crate::codes::command;
 use crate::error::{FrameError, RecordError};
 
-/// Bytes of the length at the head of a frame; the length counts them as well.
+/// The size of the length field at the start of a frame, in bytes. The length of a frame includes this field.
 pub const LENGTH_BYTES: usize = 4;
-/// Bytes of a batch before its records: length, clock and number of records.
+/// The size of the header of a batch (length, clock and number of records), in bytes.
 pub const BATCH_HEADER_BYTES: usize = 16;
-/// Bytes of an entry of an endpoint list.
+/// The size of an entry of an endpoint list, in bytes.
 pub(crate) const ENDPOINT_BYTES: usize = 24;
 
 const EVENT_BYTES: usize = 56;
@@ -15,12 +15,13 @@
 const REPLY_HEADER_BYTES: u32 = 8;
 const CLOCK_OFFSET: usize = 4;
 const RECORD_COUNT_OFFSET: usize = 12;
-const MAX_METRICS: usize = 4;
+/// The largest number of metrics in a record.
+pub(crate) const MAX_METRICS: usize = 4;
 
-/// The address of a server.
+/// The address of a server: an IPv4 address and a port.
 pub(crate) type Address = [u8; 6];
 
-/// The fields of a record, by their offset in it. Whoever makes one has checked the record's length.
+/// Reads the fields of a record by their offsets. The creator must have checked the record's length.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(pub(crate) &'a [u8]);
 
@@ -57,17 +58,17 @@
         self.take(offset)
     }
 
-    /// The metrics of a load report: their number, and as many values.
+    /// Reads the metrics of a record: one byte with their number, followed by the values.
     pub(crate) fn metrics(&self, offset: usize) -> Result<Vec<f32>, RecordError> {
         let count = usize::from(self.u8(offset));
         if count > MAX_METRICS {
-            return Err(RecordError::ReportLength(count));
+            return Err(RecordError::TooManyMetrics(count));
         }
         Ok((0..count).map(|i| self.f32(offset + 1 + size_of::<f32>() * i)).collect())
     }
 }
 
-/// A batch of events, and the tail of bytes that these refer to.
+/// A batch of events, and the tail of bytes to which the events refer.
 pub(crate) struct Batch<'a> {
     /// The simulator's time, in milliseconds.
     pub(crate) clock_ms: f64,
@@ -76,27 +77,29 @@
 }
 
 impl<'a> Batch<'a> {
-    /// Takes a frame apart, of no less than [`BATCH_HEADER_BYTES`].
+    /// Splits a frame of at least [`BATCH_HEADER_BYTES`] bytes into records and tail.
     pub(crate) fn parse(frame: &'a [u8]) -> Result<Self, FrameError> {
         let header = Fields(frame);
         let clock_ms = header.f64(CLOCK_OFFSET);
         if !clock_ms.is_finite() {
-            return Err(FrameError::Clock);
+            return Err(FrameError::InvalidClock);
         }
         let body = &frame[BATCH_HEADER_BYTES..];
         let records = header.u32(RECORD_COUNT_OFFSET) as usize;
         let record_bytes = records.saturating_mul(EVENT_BYTES);
         let parts = body.split_at_checked(record_bytes);
-        let (records, tail) = parts.ok_or(FrameError::Records { records, frame_bytes: frame.len() })?;
+        let (records, tail) =
+            parts.ok_or(FrameError::TooManyRecords { records, frame_bytes: frame.len() })?;
         Ok(Batch { clock_ms, records, tail })
     }
 
-    /// The records, in their order.
+    /// Returns the records, in their order.
     pub(crate) fn events(&self) -> impl Iterator<Item = Fields<'a>> + use<'a> {
         self.records.chunks_exact(EVENT_BYTES).map(Fields)
     }
 
-    /// The part of the tail that a record's offset in bytes and length in items of `item_bytes` refer to; both are 4 bytes.
+    /// Returns the part of the tail to which a record refers by an offset in bytes and a length in items of `item_bytes`.
+    /// The two fields have 4 bytes each and start at `field`.
     pub(crate) fn tail(
         &self,
         record: Fields,
@@ -111,7 +114,8 @@
     }
 }
 
-/// The records of a reply. An instance is named only where it differs from that of the record before.
+/// The records of a reply. A record that names the instance precedes a command only if the instance differs from that of the
+/// previous command.
 #[derive(Default)]
 pub(crate) struct Reply {
     records: Vec<u8>,
@@ -121,15 +125,15 @@
 
 impl Reply {
     /// Appends a command of an instance.
-    pub(crate) fn put(&mut self, instance: u32, code: u16, fields: &[&[u8]]) {
+    pub(crate) fn append(&mut self, instance: u32, code: u16, fields: &[&[u8]]) {
         if self.instance != Some(instance) {
             self.instance = Some(instance);
-            self.record(command::INSTANCE, &[&instance.to_be_bytes()]);
+            self.append_record(command::INSTANCE, &[&instance.to_be_bytes()]);
         }
-        self.record(code, fields);
+        self.append_record(code, fields);
     }
 
-    fn record(&mut self, code: u16, fields: &[&[u8]]) {
+    fn append_record(&mut self, code: u16, fields: &[&[u8]]) {
         let end = self.records.len() + COMMAND_BYTES;
         self.records.extend(code.to_be_bytes());
         for field in fields {
@@ -139,7 +143,7 @@
         self.count += 1;
     }
 
-    /// The whole frame; the reply is empty again afterwards.
+    /// Returns the frame of the reply and clears the reply.
     pub(crate) fn take_frame(&mut self) -> Vec<u8> {
         let mut frame = self.count.to_be_bytes().to_vec();
         frame.extend((self.records.len() as u32 + REPLY_HEADER_BYTES).to_be_bytes());
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,7 +1,7 @@
-//! One policy, and its events as they stand on the wire.
+//! One policy, and the decoding of its events.
 
 use crate::codes::{endpoint_state, event, health_check, list_kind};
-use crate::command_writer::{CommandWriter, timer_of_token};
+use crate::command_writer::{CommandWriter, timer_from_token};
 use crate::error::RecordError;
 use crate::frame::{Address, Fields, Reply};
 use crate::server_ids::ServerIds;
@@ -16,25 +16,25 @@
 
 const MS_PER_S: f64 = 1000.0;
 
-/// An entry of an endpoint list, which may be used by several instances.
+/// An entry of an endpoint list. Several instances may use the same list.
 pub(crate) struct ListedEndpoint {
     address: Address,
     zone: ZoneId,
     kind: ServerKind,
     state: EndpointState,
-    /// The simulator's time at the server's start; no start is known where it is 0 or less.
+    /// The simulator's time at the server's start, in milliseconds; not known if it is 0 or less.
     started_ms: f64,
 }
 
 impl ListedEndpoint {
-    /// Reads an entry of [`ENDPOINT_BYTES`](crate::frame::ENDPOINT_BYTES).
+    /// Reads an entry of [`ENDPOINT_BYTES`](crate::frame::ENDPOINT_BYTES) bytes.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Self, RecordError> {
         let fields = Fields(bytes);
         let state = match fields.u8(11) {
             endpoint_state::REMOVED => EndpointState::Removed,
             endpoint_state::READY => EndpointState::Ready,
             endpoint_state::DRAINING => EndpointState::Draining,
-            unknown => return Err(RecordError::EndpointState(unknown)),
+            unknown => return Err(RecordError::UnknownEndpointState(unknown)),
         };
         Ok(ListedEndpoint {
             address: fields.address(0),
@@ -46,7 +46,7 @@
     }
 }
 
-/// One policy. Times on the wire are the simulator's; the policy's count from its own start.
+/// One policy. It converts the simulator's times on the wire to times since the policy's start.
 pub(crate) struct Instance {
     started_ms: f64,
     server_ids: Rc<RefCell<ServerIds>>,
@@ -54,7 +54,7 @@
 }
 
 impl Instance {
-    /// Starts a policy with the settings of its deployment.
+    /// Creates a policy with the settings of its deployment.
     pub(crate) fn start(
         number: u32,
         started_ms: f64,
@@ -76,7 +76,7 @@
         Ok(Instance { started_ms, server_ids, policy })
     }
 
-    /// Tells the policy of an event. `lists` are the endpoint lists of the batch, by number.
+    /// Passes an event to the policy. `lists` are the endpoint lists by number.
     pub(crate) fn apply(
         &mut self,
         clock_ms: f64,
@@ -86,7 +86,7 @@
         let now = duration(clock_ms - self.started_ms);
         match record.u16(0) {
             event::ENDPOINTS_UPDATED => self.endpoints_updated(now, clock_ms, record, lists)?,
-            event::TIMER_FIRED => self.policy.timer_fired(now, timer_of_token(record.u32(2))),
+            event::TIMER_FIRED => self.policy.timer_fired(now, timer_from_token(record.u32(2))),
             event::HEALTH_CHECK_FINISHED => self.health_check_finished(record)?,
             event::PROXY_JOINED => {
                 let request_rate = record.f32(7).max(0.0).into();
@@ -120,10 +120,10 @@
                 self.policy.endpoint_poll_failed(now);
                 return Ok(());
             }
-            unknown => return Err(RecordError::ListKind(unknown)),
+            unknown => return Err(RecordError::UnknownListKind(unknown)),
         };
         let number = record.u8(7);
-        let list = lists.get(usize::from(number)).ok_or(RecordError::ListNumber(number))?;
+        let list = lists.get(usize::from(number)).ok_or(RecordError::ListNumberOutOfRange(number))?;
         let endpoints: Vec<Endpoint> = list.iter().map(|listed| self.endpoint(clock_ms, listed)).collect();
         self.policy.endpoints_updated(now, complete, &endpoints);
         Ok(())
@@ -140,13 +140,13 @@
         }
     }
 
-    /// The metrics that come with a health check are checked and not used.
+    /// Passes the result of a health check to the policy. The metrics in the record are validated and not used.
     fn health_check_finished(&mut self, record: Fields) -> Result<(), RecordError> {
         let result = match record.u16(8) {
             health_check::HEALTHY => HealthCheckResult::Healthy,
             health_check::REJECTED => HealthCheckResult::Rejected,
             code if health_check::FAILED.contains(&code) => HealthCheckResult::Failed,
-            unknown => return Err(RecordError::HealthCheckResult(unknown)),
+            unknown => return Err(RecordError::UnknownHealthCheckResult(unknown)),
         };
         record.metrics(18)?;
         if let Some(server) = self.server(record.address(2)) {
@@ -171,13 +171,13 @@
         Ok(())
     }
 
-    /// Events of servers that were never listed are ignored.
+    /// Returns the index of a server; `None` if it was never listed. Events of such servers are ignored.
     fn server(&self, address: Address) -> Option<ServerIndex> {
         self.server_ids.borrow().find(address)
     }
 }
 
-/// A duration in milliseconds; what is negative or no number counts as zero.
+/// Converts milliseconds to a duration. Values that are negative, not finite or too large become zero.
 fn duration(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms / MS_PER_S).unwrap_or_default()
 }
--- a/crates/wirehost/src/instances.rs
+++ b/crates/wirehost/src/instances.rs
@@ -1,4 +1,4 @@
-//! All policies of one process. They share nothing but the frames.
+//! The policies of one process. They share only the frames and the endpoint lists.
 
 use crate::codes::event;
 use crate::error::{RecordError, WireError};
@@ -9,10 +9,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Endpoint lists that a batch may refer to.
+/// The number of endpoint lists to which records may refer.
 const MAX_LISTS: usize = 16;
 
-/// The policies of a process, by the numbers that the simulator gave them.
+/// The policies of a process, by the numbers that the simulator assigned to them.
 #[derive(Default)]
 pub struct Instances {
     instances: BTreeMap<u32, Instance>,
@@ -21,12 +21,12 @@
 }
 
 impl Instances {
-    /// Applies a batch and returns the reply: the commands of all policies, in their order. `frame` has its length at its head,
-    /// and no fewer bytes than [`BATCH_HEADER_BYTES`](crate::BATCH_HEADER_BYTES).
+    /// Applies a batch and returns the reply: the commands of all policies, in the order in which they were sent. `frame`
+    /// starts with its length and has at least [`BATCH_HEADER_BYTES`](crate::BATCH_HEADER_BYTES) bytes.
     ///
     /// # Errors
     ///
-    /// The first record that cannot be used, or the frame's header.
+    /// Returns an error if the frame's header is invalid, or for the first record that cannot be applied.
     pub fn apply_batch(&mut self, frame: &[u8]) -> Result<Vec<u8>, WireError> {
         let batch = Batch::parse(frame)?;
         let mut target = None;
@@ -41,7 +41,7 @@
         Ok(self.reply.borrow_mut().take_frame())
     }
 
-    /// `target` is the instance that the last record of its kind has named.
+    /// Applies a record. `target` is the instance that the last instance record has named.
     fn apply(&mut self, batch: &Batch, record: Fields, target: &mut Option<u32>) -> Result<(), RecordError> {
         match record.u16(0) {
             event::INSTANCE => {
@@ -67,13 +67,14 @@
 
     fn set_list(&mut self, batch: &Batch, record: Fields) -> Result<(), RecordError> {
         let number = record.u8(2);
-        let list = self.lists.get_mut(usize::from(number)).ok_or(RecordError::ListNumber(number))?;
+        let list =
+            self.lists.get_mut(usize::from(number)).ok_or(RecordError::ListNumberOutOfRange(number))?;
         let entries = batch.tail(record, 3, ENDPOINT_BYTES)?.chunks_exact(ENDPOINT_BYTES);
         *list = entries.map(ListedEndpoint::parse).collect::<Result<_, _>>()?;
         Ok(())
     }
 
-    /// Starts an instance, in place of one of the same number.
+    /// Starts an instance and replaces an existing instance with the same number.
     fn start(&mut self, batch: &Batch, record: Fields, number: u32) -> Result<(), RecordError> {
         let settings = PlatformSettings::from_pairs(batch.tail(record, 10, 1)?)?;
         let reply = self.reply.clone();
--- a/crates/wirehost/src/lib.rs
+++ b/crates/wirehost/src/lib.rs
@@ -1,7 +1,7 @@
-//! Hosts policies on the simulator's wire: batches of events in, replies of commands out.
+//! Runs policies on the simulator's wire protocol: applies batches of events and returns replies with commands.
 //!
-//! Responsible for frames, record layouts and ids. It decides nothing, reads no clock and does no I/O; the program `main.rs`
-//! moves the bytes. A malformed batch ends the program.
+//! This library implements the frames, the record layouts and the ids. It makes no decisions, reads no clock and does no
+//! I/O; the program in `main.rs` reads and writes the bytes. A malformed batch ends the program.
 
 mod codes;
 mod command_writer;
--- a/crates/wirehost/src/server_ids.rs
+++ b/crates/wirehost/src/server_ids.rs
@@ -1,10 +1,10 @@
-//! The ids of one instance's servers: an address on the wire, a small index inside.
+//! The ids of one instance's servers: the wire uses addresses, the policy uses indices.
 
 use crate::frame::Address;
 use grebespool::host::ServerIndex;
 use std::collections::HashMap;
 
-/// Indices in the order in which servers were first listed.
+/// Assigns indices to addresses, in the order in which servers are first listed.
 #[derive(Default)]
 pub(crate) struct ServerIds {
     indices: HashMap<Address, ServerIndex>,
@@ -12,7 +12,7 @@
 }
 
 impl ServerIds {
-    /// The index of an address; a new one where it has none.
+    /// Returns the index of an address, and assigns one to a new address.
     pub(crate) fn get_or_insert(&mut self, address: Address) -> ServerIndex {
         *self.indices.entry(address).or_insert_with(|| {
             self.addresses.push(address);
@@ -20,16 +20,16 @@
         })
     }
 
-    /// The index of an address that was listed.
+    /// Returns the index of an address; `None` if it was never listed.
     pub(crate) fn find(&self, address: Address) -> Option<ServerIndex> {
         self.indices.get(&address).copied()
     }
 
-    /// The address of an index that this has given out.
+    /// Returns the address of an index.
     ///
     /// # Panics
     ///
-    /// For any other index.
+    /// Panics if the index was not assigned by this map.
     pub(crate) fn address(&self, server: ServerIndex) -> Address {
         self.addresses[server]
     }
--- a/crates/wirehost/tests/fixtures.rs
+++ b/crates/wirehost/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! A stored session on the simulator's wire: the same batches are answered by the same bytes.
+//! Replays a stored session on the simulator's wire and checks that the same batches get the same replies, byte for byte.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test may panic")]
 
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-/// Batches and replies in turn, a frame in hexadecimal a line; an underscore stands for eight bytes of zero.
+/// Alternating batches and replies: one frame per line, in hexadecimal. An underscore means eight zero bytes.
 const SESSION: &str = include_str!("fixtures/session.hex");
 const RECORD_BYTES: usize = 16;
 const FRAME_HEAD_BYTES: usize = 8;
@@ -21,12 +21,12 @@
     frames.chunks_exact(2).map(|pair| (pair[0].clone(), pair[1].clone())).collect()
 }
 
-fn codes(frame: &[u8], head: usize, record: usize) -> impl Iterator<Item = u16> {
-    frame[head..].chunks_exact(record).map(|r| u16::from_be_bytes([r[0], r[1]]))
+fn codes(frame: &[u8], header_bytes: usize, record_bytes: usize) -> impl Iterator<Item = u16> {
+    frame[header_bytes..].chunks_exact(record_bytes).map(|r| u16::from_be_bytes([r[0], r[1]]))
 }
 
 #[rstest]
-fn stored_batches_are_answered_by_the_stored_replies() {
+fn stored_batches_get_the_stored_replies() {
     let mut instances = Instances::default();
     for (i, (batch, reply)) in session().into_iter().enumerate() {
         assert_eq!(instances.apply_batch(&batch).unwrap(), reply, "batch {i}");
@@ -34,16 +34,16 @@
 }
 
 #[rstest]
-fn stored_replies_hold_a_record_of_every_kind() {
+fn stored_replies_contain_every_kind_of_record() {
     let replies = session().into_iter().map(|(_, reply)| reply);
     let seen: BTreeSet<u16> =
         replies.flat_map(|r| codes(&r, FRAME_HEAD_BYTES, RECORD_BYTES).collect::<Vec<_>>()).collect();
     assert_eq!(seen, BTreeSet::from([1010, 1030, 1040, 1050, 1060, 1070, 1080, 1110]));
 }
 
-/// A record that sets the admission carries when proxies try again as a number from 0 to 2.
+/// A record that sets the admission contains the retry policy as a number from 0 to 2.
 #[rstest]
-fn stored_replies_hold_every_retry_mode() {
+fn stored_replies_contain_every_retry_policy() {
     let replies = session().into_iter().map(|(_, reply)| reply);
     let records = replies.flat_map(|r| {
         r[FRAME_HEAD_BYTES..].chunks_exact(RECORD_BYTES).map(<[u8]>::to_vec).collect::<Vec<_>>()
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -92,28 +92,28 @@
 
 #[rstest]
 #[case::records_past_the_frame(vec![0, 0, 0, 16, 0x40, 0xc0, 0x6e, 0x20, 0, 0, 0, 0, 0xff, 0, 0, 0], "do not fit")]
-#[case::clock_is_no_number(vec![0, 0, 0, 16, 0x7f, 0xf8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0], "the clock")]
+#[case::clock_is_not_a_number(vec![0, 0, 0, 16, 0x7f, 0xf8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0], "the clock")]
 #[case::offset_past_the_tail(frame(&[pointed(1140, &[0], 24, 1)], &[0; 24]), "past the tail")]
 #[case::length_that_overflows(frame(&[pointed(1140, &[0], 0, u32::MAX as usize)], &[]), "past the tail")]
-#[case::text_that_is_none(frame(&[target(1), pointed(1000, &[0; 8], 0, 2)], &[0xff, 0xfe]), "not valid UTF-8")]
+#[case::settings_are_not_text(frame(&[target(1), pointed(1000, &[0; 8], 0, 2)], &[0xff, 0xfe]), "not valid UTF-8")]
 #[case::unknown_code(frame(&[target(1), record(7, &[])], &[]), "record 1 (code 7)")]
-#[case::no_instance(frame(&[record(1020, &[])], &[]), "for no instance")]
-#[case::not_started(frame(&[target(4), record(1020, &[])], &[]), "instance 4 was not started")]
-#[case::list_number(frame(&[record(1140, &[16])], &[]), "list number 16")]
-fn refuses_malformed_batches(#[case] batch: Vec<u8>, #[case] says: &str) {
+#[case::no_instance(frame(&[record(1020, &[])], &[]), "no earlier record names an instance")]
+#[case::instance_not_started(frame(&[target(4), record(1020, &[])], &[]), "instance 4 was not started")]
+#[case::list_number_out_of_range(frame(&[record(1140, &[16])], &[]), "list number 16 is out of range")]
+fn rejects_malformed_batches(#[case] batch: Vec<u8>, #[case] message: &str) {
     let error = Instances::default().apply_batch(&batch).unwrap_err().to_string();
-    assert!(error.contains(says) && error.lines().count() == 1, "{error}");
+    assert!(error.contains(message) && error.lines().count() == 1, "{error}");
 }
 
 #[rstest]
-fn instances_are_independent() {
-    let (mut both, mut alone) = (Instances::default(), Instances::default());
-    let first = both.apply_batch(&start(SETTINGS)).unwrap();
-    assert_eq!(first, both.apply_batch(&start(SETTINGS)).unwrap());
-    assert_eq!(first, alone.apply_batch(&start(SETTINGS)).unwrap());
+fn restarted_instance_replies_like_a_new_one() {
+    let (mut twice, mut once) = (Instances::default(), Instances::default());
+    let first = twice.apply_batch(&start(SETTINGS)).unwrap();
+    assert_eq!(first, twice.apply_batch(&start(SETTINGS)).unwrap());
+    assert_eq!(first, once.apply_batch(&start(SETTINGS)).unwrap());
 }
 
-/// The token is whatever the simulator returns: one that was never set publishes, and fires no regular evaluation.
+/// The simulator may return any token. An unknown token publishes changes and does not start a regular evaluation.
 #[rstest]
 fn unknown_timer_token_publishes_like_the_urgent_timer() {
     let fired = |token: u32| {
