--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! The simulator sends `path=value` pairs, one per line; the platform has nested JSON. [`PlatformSettings`] reads both,
 //! ignores unknown keys and does no I/O. Only the module `keys` maps the keys to the policy's terms.
+//! The texts of values, such as `retryable`, are part of the wire format like the keys.
 
 mod json;
 mod keys;
@@ -20,7 +21,7 @@
 const MAX_ROUTES: usize = 16;
 const MS_PER_S: f64 = 1000.0;
 
-/// The reason why settings cannot be used.
+/// The reason why settings cannot be used. Tests of `grebespool-wirehost` also compare the texts.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SettingsError {
     /// The bytes are not UTF-8.
--- a/crates/wirehost/src/frame.rs
+++ b/crates/wirehost/src/frame.rs
@@ -1,4 +1,5 @@
-//! Frames: splits a batch into records, and builds a reply from records. All numbers are big-endian.
+//! Frames: splits a batch into records, and builds a reply from records. All numbers are big-endian. The sizes and offsets
+//! are part of the wire format and must not change.
 
 use crate::codes::command;
 use crate::error::{FrameError, RecordError};
--- a/crates/wirehost/src/instance.rs
+++ b/crates/wirehost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One policy, and the decoding of its events.
+//! One policy, and the decoding of its events. The offsets of fields are part of the wire format and must not change.
 
 use crate::codes::{endpoint_state, event, health_check, list_kind};
 use crate::command_writer::{CommandWriter, timer_from_token};
--- a/crates/wirehost/tests/wire.rs
+++ b/crates/wirehost/tests/wire.rs
@@ -28,11 +28,11 @@
     bytes
 }
 
-fn target(instance: u32) -> Vec<u8> {
+fn instance_record(instance: u32) -> Vec<u8> {
     record(1150, &instance.to_be_bytes())
 }
 
-fn pointed(code: u16, before: &[u8], offset: usize, length: usize) -> Vec<u8> {
+fn tail_record(code: u16, before: &[u8], offset: usize, length: usize) -> Vec<u8> {
     let mut fields = before.to_vec();
     fields.extend((offset as u32).to_be_bytes());
     fields.extend((length as u32).to_be_bytes());
@@ -45,9 +45,9 @@
     entry.extend(1f32.to_be_bytes());
     entry.extend([0; 8]);
     let records = [
-        target(3),
-        pointed(1000, &7u64.to_be_bytes(), 0, settings.len()),
-        pointed(1140, &[0], settings.len(), 1),
+        instance_record(3),
+        tail_record(1000, &7u64.to_be_bytes(), 0, settings.len()),
+        tail_record(1140, &[0], settings.len(), 1),
         record(1010, &[2, 0, 0, 0, 1, 0]),
         record(1060, &[0, 0x29, 0, 0, 1]),
     ];
@@ -93,12 +93,12 @@
 #[rstest]
 #[case::records_past_the_frame(vec![0, 0, 0, 16, 0x40, 0xc0, 0x6e, 0x20, 0, 0, 0, 0, 0xff, 0, 0, 0], "do not fit")]
 #[case::clock_is_not_a_number(vec![0, 0, 0, 16, 0x7f, 0xf8, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0], "the clock")]
-#[case::offset_past_the_tail(frame(&[pointed(1140, &[0], 24, 1)], &[0; 24]), "past the tail")]
-#[case::length_that_overflows(frame(&[pointed(1140, &[0], 0, u32::MAX as usize)], &[]), "past the tail")]
-#[case::settings_are_not_text(frame(&[target(1), pointed(1000, &[0; 8], 0, 2)], &[0xff, 0xfe]), "not valid UTF-8")]
-#[case::unknown_code(frame(&[target(1), record(7, &[])], &[]), "record 1 (code 7)")]
+#[case::offset_past_the_tail(frame(&[tail_record(1140, &[0], 24, 1)], &[0; 24]), "past the tail")]
+#[case::length_that_overflows(frame(&[tail_record(1140, &[0], 0, u32::MAX as usize)], &[]), "past the tail")]
+#[case::settings_are_not_text(frame(&[instance_record(1), tail_record(1000, &[0; 8], 0, 2)], &[0xff, 0xfe]), "not valid UTF-8")]
+#[case::unknown_code(frame(&[instance_record(1), record(7, &[])], &[]), "record 1 (code 7)")]
 #[case::no_instance(frame(&[record(1020, &[])], &[]), "no earlier record names an instance")]
-#[case::instance_not_started(frame(&[target(4), record(1020, &[])], &[]), "instance 4 was not started")]
+#[case::instance_not_started(frame(&[instance_record(4), record(1020, &[])], &[]), "instance 4 was not started")]
 #[case::list_number_out_of_range(frame(&[record(1140, &[16])], &[]), "list number 16 is out of range")]
 fn rejects_malformed_batches(#[case] batch: Vec<u8>, #[case] message: &str) {
     let error = Instances::default().apply_batch(&batch).unwrap_err().to_string();
@@ -119,7 +119,7 @@
     let fired = |token: u32| {
         let mut instances = Instances::default();
         instances.apply_batch(&start(SETTINGS)).unwrap();
-        instances.apply_batch(&frame(&[target(3), record(1020, &token.to_be_bytes())], &[])).unwrap()
+        instances.apply_batch(&frame(&[instance_record(3), record(1020, &token.to_be_bytes())], &[])).unwrap()
     };
     assert_eq!(fired(12345), fired(2));
     assert_ne!(fired(12345), fired(1));
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -93,10 +93,10 @@
         let mut by_priority: Vec<usize> =
             (0..received.len()).filter(|route| received[*route] > 0.0).collect();
         by_priority.sort_by(|a, b| routes[*b].priority_weight.total_cmp(&routes[*a].priority_weight));
-        let mut left = target.admitted;
+        let mut remaining = target.admitted;
         for route in by_priority {
-            let share = (left / received[route]).min(1.0);
-            left = (left - share * received[route]).max(0.0);
+            let share = (remaining / received[route]).min(1.0);
+            remaining = (remaining - share * received[route]).max(0.0);
             let stepped = (share / Self::SHARE_STEP).round() * Self::SHARE_STEP;
             self.admitted_share[route] =
                 if share > Self::FULL_SHARE_THRESHOLD { 1.0 } else { stepped as f32 };
@@ -139,14 +139,14 @@
 fn fair_limit(demands: &[f64], total: f64) -> f64 {
     let mut demands = demands.to_vec();
     demands.sort_by(f64::total_cmp);
-    let mut left = total;
-    let mut remaining = demands.len() as f64;
+    let mut remaining = total;
+    let mut remaining_demands = demands.len() as f64;
     for demand in demands {
-        if demand * remaining > left {
-            return left / remaining;
+        if demand * remaining_demands > remaining {
+            return remaining / remaining_demands;
         }
-        left -= demand;
-        remaining -= 1.0;
+        remaining -= demand;
+        remaining_demands -= 1.0;
     }
     f64::INFINITY
 }
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -170,11 +170,11 @@
             let utilization = utilization_or_assumed(utilization);
             server.load.sum(from, LoadSample::answered) / utilization / span_s
         });
-        let is_here = |count: &&RequestCount| {
+        let is_from_zone = |count: &&RequestCount| {
             count.at > from && self.proxies.get(&count.proxy).is_some_and(|proxy| proxy.zone == zone)
         };
         let received = |counts: &VecDeque<RequestCount>| {
-            counts.iter().filter(is_here).map(|count| count.requests).sum::<f64>() / span_s
+            counts.iter().filter(is_from_zone).map(|count| count.requests).sum::<f64>() / span_s
         };
         ZoneCapacity {
             capacity_per_s: capacity.sum(),
--- a/src/policy/control_channel.rs
+++ b/src/policy/control_channel.rs
@@ -21,9 +21,9 @@
     pub(super) const MAX_QUEUE_SHARE: f64 = 0.7;
 
     /// The assumed delivery rate while acknowledgements arrive, as a fraction of the rate in the settings.
-    const ASSUMED_PACE: f64 = 0.125;
+    const ASSUMED_RATE_FRACTION: f64 = 0.125;
     /// The assumed delivery rate while no acknowledgements arrive, as a fraction of the rate in the settings.
-    const UNACKNOWLEDGED_PACE: f64 = 0.03;
+    const UNACKNOWLEDGED_RATE_FRACTION: f64 = 0.03;
     /// The age of the last acknowledgement from which acknowledgements count as missing, in multiples of the longest
     /// transit.
     const SILENT_TRANSITS: u32 = 2;
@@ -46,8 +46,10 @@
     pub(super) fn has_room(&mut self, now: Duration, entries: f64, share: f64) -> bool {
         let acknowledged =
             now.saturating_sub(self.acknowledged_at) < self.limits.max_transit * Self::SILENT_TRANSITS;
-        let pace = if acknowledged { Self::ASSUMED_PACE } else { Self::UNACKNOWLEDGED_PACE };
-        let delivered = (now - self.queue_updated_at).as_secs_f64() * (self.limits.entries_per_s * pace);
+        let rate_fraction =
+            if acknowledged { Self::ASSUMED_RATE_FRACTION } else { Self::UNACKNOWLEDGED_RATE_FRACTION };
+        let delivered =
+            (now - self.queue_updated_at).as_secs_f64() * (self.limits.entries_per_s * rate_fraction);
         self.queued = (self.queued - delivered).max(0.0);
         self.queue_updated_at = now;
         self.queued + entries <= self.limits.max_queued_entries * share.min(Self::MAX_QUEUE_SHARE)
@@ -58,8 +60,8 @@
         evict_expired(sent, now, self.limits.window, |at| *at);
         let max = self.limits.max_messages as f64;
         let used = sent.len() as f64;
-        let distance_s = self.limits.window.as_secs_f64() / (max - Self::RESERVED_MESSAGES).max(1.0);
-        let is_spaced = sent.back().is_none_or(|last| (now - *last).as_secs_f64() >= distance_s);
+        let spacing_s = self.limits.window.as_secs_f64() / (max - Self::RESERVED_MESSAGES).max(1.0);
+        let is_spaced = sent.back().is_none_or(|last| (now - *last).as_secs_f64() >= spacing_s);
         let within_share = used < (max - Self::UNSHARED_MESSAGES) * share;
         let within_limit = used < max - Self::RESERVED_MESSAGES;
         max == 0.0 || (within_share && within_limit && (is_spaced || used < max / Self::BURST_DIVISOR))
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -156,17 +156,17 @@
         let baseline = self.outlier_baseline(&ready, &evidence);
         let ejected = ready.iter().filter(|server| self.servers[**server].slow_start.step == 0).count();
         let max_ejected = (ready.len() as f64 * OutlierDetector::MAX_EJECTED_FRACTION) as usize;
-        let mut may_eject = max_ejected.saturating_sub(ejected);
+        let mut ejections_left = max_ejected.saturating_sub(ejected);
         let mut to_check = vec![];
         for (server, evidence) in ready.iter().copied().zip(evidence) {
             match self.decide(now, &self.servers[server], evidence, &baseline) {
                 Decision::StayEjected => {}
                 Decision::CheckBeforeReturn => to_check.push(server),
                 Decision::Return => self.return_ejected(now, server),
-                Decision::Allow { steps } => self.limit_steps(now, server, steps, &mut may_eject),
+                Decision::Allow { steps } => self.limit_steps(now, server, steps, &mut ejections_left),
                 Decision::CheckSilent { steps } => {
                     to_check.push(server);
-                    self.limit_steps(now, server, steps, &mut may_eject);
+                    self.limit_steps(now, server, steps, &mut ejections_left);
                 }
             }
         }
@@ -184,8 +184,8 @@
         let silent_s = OutlierDetector::SILENT_BASE_S + OutlierDetector::SILENT_MEDIANS * median_silence_s;
         let intervals = self.observability.report_interval * OutlierDetector::SILENT_REPORT_INTERVALS;
         Baseline {
-            answered_share: median(known().map(|known| known.answered_share)).unwrap_or(1.0),
-            latency_s: median(known().filter_map(|known| known.latency_s)),
+            answered_share: median(known().map(|evidence| evidence.answered_share)).unwrap_or(1.0),
+            latency_s: median(known().filter_map(|evidence| evidence.latency_s)),
             objective_s: self.mean_objective_s(),
             newest_report,
             max_silence: intervals + Duration::from_secs_f64(silent_s),
@@ -228,17 +228,17 @@
         state.outlier.ejection_time = doubled.min(OutlierDetector::LONGEST_EJECTION);
     }
 
-    /// Limits a server's steps. Ejects the server if `steps` is 0 and `may_eject`, the number of further servers that may be
+    /// Limits a server's steps. Ejects the server if `steps` is 0 and `ejections_left`, the number of servers that may still be
     /// ejected, is above 0.
-    fn limit_steps(&mut self, now: Duration, server: ServerIndex, steps: u32, may_eject: &mut usize) {
+    fn limit_steps(&mut self, now: Duration, server: ServerIndex, steps: u32, ejections_left: &mut usize) {
         let state = &mut self.servers[server];
         // A warming server that answers slowly, or not all attempts, may be overloaded, so its slow start restarts.
-        let falls_back = state.slow_start.warming && steps < SlowStart::STEPS;
-        let steps = if falls_back { steps.min(1) } else { steps };
-        state.outlier.allowed_steps = if *may_eject == 0 { steps.max(1) } else { steps };
+        let restarts_slow_start = state.slow_start.warming && steps < SlowStart::STEPS;
+        let steps = if restarts_slow_start { steps.min(1) } else { steps };
+        state.outlier.allowed_steps = if *ejections_left == 0 { steps.max(1) } else { steps };
         state.slow_start.step = state.slow_start.step.min(state.outlier.allowed_steps);
         if state.slow_start.step == 0 {
-            *may_eject -= 1;
+            *ejections_left -= 1;
             state.outlier.reset(now, 0);
             if state.removal_unconfirmed {
                 state.endpoint_state = EndpointState::Removed;
--- a/src/policy/proxy_binding.rs
+++ b/src/policy/proxy_binding.rs
@@ -20,8 +20,8 @@
         restarted: bool,
         request_rate: f64,
     ) {
-        let zone_was_away = self.proxies.values().all(|other| !other.bound || other.zone != zone);
-        if zone_was_away && !restarted {
+        let zone_was_absent = self.proxies.values().all(|other| !other.bound || other.zone != zone);
+        if zone_was_absent && !restarted {
             self.discard_evidence(now, zone);
         }
         let pool = self.proxies.get(&proxy).and_then(|known| known.pool);
@@ -49,7 +49,7 @@
         while let Some(&proxy) = self.unbound.front() {
             let Some(pool) = self.pool_for(&self.proxies[&proxy]) else { break };
             if self.bound_to(pool).next().is_none() {
-                self.write_unused_pool(pool);
+                self.update_unused_pool(pool);
             }
             let entries = self.pools[pool].entries.iter().filter(|entry| entry.last_sent > 0.0).count();
             let cost = self.channel.binding_cost(entries);
@@ -79,9 +79,9 @@
     }
 
     /// Brings the table of a pool without bound proxies up to date. Its entries cost nothing, because they go to no proxy.
-    fn write_unused_pool(&mut self, pool: usize) {
+    fn update_unused_pool(&mut self, pool: usize) {
         let weights = self.effective_weights(&self.pools[pool]);
-        self.write_weights(pool, weights.into_iter().enumerate());
+        self.send_weights(pool, weights.into_iter().enumerate());
     }
 
     fn bind(&mut self, proxy: ProxyId, pool: usize) {
--- a/src/policy/publishing.rs
+++ b/src/policy/publishing.rs
@@ -134,7 +134,7 @@
             if !joins_message {
                 self.pools[pool].message_times.push_back(now);
             }
-            self.write_weights(pool, changes.into_iter().map(|change| (change.entry, change.weight)));
+            self.send_weights(pool, changes.into_iter().map(|change| (change.entry, change.weight)));
             return true;
         }
         if share >= ControlChannel::MANDATORY_SHARE {
@@ -144,7 +144,7 @@
     }
 
     /// Sends the weights that differ from the last ones sent. Each weight comes with its position in the pool.
-    pub(super) fn write_weights(&mut self, pool: usize, weights: impl Iterator<Item = (usize, f32)>) {
+    pub(super) fn send_weights(&mut self, pool: usize, weights: impl Iterator<Item = (usize, f32)>) {
         let pool = &mut self.pools[pool];
         for (position, weight) in weights {
             let entry = &mut pool.entries[position];
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -46,9 +46,9 @@
 
     /// Returns the number of steps that a server may have reached by its age.
     pub(super) fn steps_by_age(now: Duration, warm_at: Duration, warm_up: Duration) -> u32 {
-        let left_s = warm_at.saturating_sub(now).as_secs_f64();
-        let left = left_s / warm_up.as_secs_f64().max(Self::MIN_WARM_UP_S);
-        1 + ((1.0 - left).max(0.0) * f64::from(Self::STEPS - 1)) as u32
+        let remaining_s = warm_at.saturating_sub(now).as_secs_f64();
+        let remaining = remaining_s / warm_up.as_secs_f64().max(Self::MIN_WARM_UP_S);
+        1 + ((1.0 - remaining).max(0.0) * f64::from(Self::STEPS - 1)) as u32
     }
 }
 
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -93,11 +93,11 @@
     /// Returns the load of each entry. An unknown load is estimated from the entry's latency relative to the pool's median.
     fn entry_loads(&self, now: Duration, pool: &Pool) -> Vec<Option<f64>> {
         let measured: Vec<EntryLoad> = pool.entries.iter().map(|entry| self.entry_load(now, entry)).collect();
-        let mean_load = mean(measured.iter().filter_map(|m| m.load));
+        let mean_load = mean(measured.iter().filter_map(|entry| entry.load));
         let median_latency_s =
-            median(measured.iter().filter_map(|m| m.latency_s)).filter(|latency_s| *latency_s > 0.0);
+            median(measured.iter().filter_map(|entry| entry.latency_s)).filter(|latency_s| *latency_s > 0.0);
         let load_by_latency = |latency_s: Option<f64>| Some(mean_load? * latency_s? / median_latency_s?);
-        measured.iter().map(|m| m.load.or_else(|| load_by_latency(m.latency_s))).collect()
+        measured.iter().map(|entry| entry.load.or_else(|| load_by_latency(entry.latency_s))).collect()
     }
 
     /// Returns the load of an entry. Only reports from after the last change took effect count; otherwise the same change
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -23,7 +23,7 @@
         &[endpoint(0, 0, EndpointState::Ready, None), endpoint(1, 0, EndpointState::Ready, None)],
     );
     harness.policy.proxy_joined(harness.now, 0, 0, true, 1.0);
-    harness.run(Duration::from_secs(5), |server| QUIET.filter(|_| server < 2));
+    harness.run(Duration::from_secs(5), |server| HALF_LOADED.filter(|_| server < 2));
     let commands = harness.commands.borrow();
     let sent = commands.admission.get(&1).or(commands.admission.get(&0)).map(|setting| setting.1);
     assert_eq!(sent, Some(retries));
--- a/tests/policy/channel.rs
+++ b/tests/policy/channel.rs
@@ -16,7 +16,7 @@
         (server < 6).then_some(observed(8, server as u32, 0.1 + 0.15 * server as f32, 0.0))
     });
     harness.update_endpoints(false, &[endpoint(2, 0, state, None)]);
-    harness.run(ms(1000), |server| QUIET.filter(|_| server < 6));
+    harness.run(ms(1000), |server| HALF_LOADED.filter(|_| server < 6));
     assert_eq!((harness.weight(0, 2), harness.weight(1, 2)), (0.0, 0.0));
 }
 
@@ -51,7 +51,7 @@
     let mut harness = PolicyHarness::with_servers(60, 1);
     for server in 0..40 {
         harness.update_endpoints(false, &[endpoint(server, 0, EndpointState::Removed, None)]);
-        harness.run(ms(500), |other| QUIET.filter(|_| other < 60 && other > server));
+        harness.run(ms(500), |other| HALF_LOADED.filter(|_| other < 60 && other > server));
         assert_eq!(
             harness.servers_in(0).iter().filter(|other| **other + 3 < server).count(),
             0,
@@ -72,7 +72,7 @@
     }
     // Each binding costs ten table entries, two entries of its own and four of message overhead.
     assert!(harness.commands.borrow().tables_by_proxy.len() <= 6);
-    harness.run(Duration::from_secs(10), |server| QUIET.filter(|_| server < 10));
+    harness.run(Duration::from_secs(10), |server| HALF_LOADED.filter(|_| server < 10));
     assert_eq!(harness.commands.borrow().tables_by_proxy.len(), 30);
 }
 
@@ -86,7 +86,7 @@
         ..CHANNEL
     };
     let mut harness = PolicyHarness::with_many_proxies(40, 80, narrow, true);
-    harness.run(Duration::from_secs(10), |server| QUIET.filter(|_| server < 40));
+    harness.run(Duration::from_secs(10), |server| HALF_LOADED.filter(|_| server < 40));
     harness.acknowledging = false;
     let before = harness.commands.borrow().weights_set;
     for round in 0..10 {
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -57,10 +57,10 @@
         harness.update_endpoints(false, &[endpoint(0, 0, EndpointState::Draining, None)]);
     }
     harness.update_endpoints(false, &[endpoint(0, 0, EndpointState::Removed, None)]);
-    harness.run(Duration::from_secs(4), |server| QUIET.filter(|_| server < 6));
+    harness.run(Duration::from_secs(4), |server| HALF_LOADED.filter(|_| server < 6));
     assert_eq!(harness.weight(0, 0), weight);
     harness.run(Duration::from_secs(8), |server| {
-        if server == 0 { Some(observed(9, 9, 0.0, 0.0)) } else { QUIET.filter(|_| server < 6) }
+        if server == 0 { Some(observed(9, 9, 0.0, 0.0)) } else { HALF_LOADED.filter(|_| server < 6) }
     });
     assert_eq!(harness.weight(0, 0), 0.0, "a removed server that fails is no longer in use");
 }
--- a/tests/policy/helpers.rs
+++ b/tests/policy/helpers.rs
@@ -25,7 +25,7 @@
 }
 
 /// A report on a server at half of its capacity.
-pub const QUIET: Option<Observed> = Some(observed(5, 0, 0.5, 0.0));
+pub const HALF_LOADED: Option<Observed> = Some(observed(5, 0, 0.5, 0.0));
 
 /// The commands of the policy.
 #[derive(Default)]
--- a/tests/policy/outlier_detection.rs
+++ b/tests/policy/outlier_detection.rs
@@ -31,25 +31,26 @@
 #[rstest]
 fn checks_silent_server_before_ejecting_it() {
     let mut harness = PolicyHarness::with_servers(6, 1);
-    harness.run(Duration::from_secs(8), |server| QUIET.filter(|_| (1..6).contains(&server)));
+    harness.run(Duration::from_secs(8), |server| HALF_LOADED.filter(|_| (1..6).contains(&server)));
     assert!(harness.weight(0, 0) > 0.5, "a silent server that passes health checks keeps its weight");
     harness.healthy = false;
-    harness.run(Duration::from_secs(8), |server| QUIET.filter(|_| (1..6).contains(&server)));
+    harness.run(Duration::from_secs(8), |server| HALF_LOADED.filter(|_| (1..6).contains(&server)));
     assert_eq!(harness.weight(0, 0), 0.0);
 }
 
 #[rstest]
 fn ejected_server_returns_at_a_quarter_after_passing_checks() {
     let mut harness = PolicyHarness::with_servers(6, 1);
-    let failing =
-        |server| if server == 0 { Some(observed(10, 10, 0.0, 0.0)) } else { QUIET.filter(|_| server < 6) };
+    let failing = |server| {
+        if server == 0 { Some(observed(10, 10, 0.0, 0.0)) } else { HALF_LOADED.filter(|_| server < 6) }
+    };
     harness.healthy = false;
     harness.run(Duration::from_secs(12), failing);
     assert_eq!(harness.weight(0, 0), 0.0);
     harness.healthy = true;
     let mut first = 0.0;
     for _ in 0..20 {
-        harness.run(ms(500), |server| QUIET.filter(|_| server < 6));
+        harness.run(ms(500), |server| HALF_LOADED.filter(|_| server < 6));
         first = if first > 0.0 { first } else { harness.weight(0, 0) };
     }
     assert!((0.2..0.3).contains(&first), "first weight after the return: {first}");
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -25,19 +25,19 @@
     // Even the smallest weight attracts all requests if proxies avoid the full servers.
     let mut harness = PolicyHarness::with_servers(6, 1);
     harness.update_endpoints(false, &[endpoint(6, 0, EndpointState::Ready, Some(ms(1000)))]);
-    harness.run(Duration::from_secs(3), |server| QUIET.filter(|_| server < 6));
+    harness.run(Duration::from_secs(3), |server| HALF_LOADED.filter(|_| server < 6));
     assert_eq!(harness.weight(0, 6), 0.0);
 }
 
 #[rstest]
 fn restarted_server_repeats_slow_start() {
     let mut harness = PolicyHarness::with_servers(4, 1);
-    harness.run(Duration::from_secs(12), |server| QUIET.filter(|_| server < 4));
+    harness.run(Duration::from_secs(12), |server| HALF_LOADED.filter(|_| server < 4));
     harness.update_endpoints(false, &[endpoint(1, 0, EndpointState::Ready, Some(ms(500)))]);
     let mut steps = vec![];
     for _ in 0..20 {
         steps.push(harness.weight(0, 1));
-        harness.run(Duration::from_secs(1), |server| QUIET.filter(|_| server < 4));
+        harness.run(Duration::from_secs(1), |server| HALF_LOADED.filter(|_| server < 4));
     }
     steps.dedup();
     assert_eq!(steps, [0.25, 0.5, 0.75, 1.0]);
@@ -57,12 +57,12 @@
     #[case] max: f32,
 ) {
     let mut harness = PolicyHarness::with_servers(4, 1);
-    harness.run(Duration::from_secs(11), |server| QUIET.filter(|_| server < 4));
+    harness.run(Duration::from_secs(11), |server| HALF_LOADED.filter(|_| server < 4));
     harness.update_endpoints(false, &[endpoint(4, 0, EndpointState::Ready, Some(ms(100)))]);
     // After half of the warm-up time, the age allows the second step.
     for _ in 0..9 {
         harness.latency = ms(200);
-        harness.run(ms(500), |server| QUIET.filter(|_| server < 4));
+        harness.run(ms(500), |server| HALF_LOADED.filter(|_| server < 4));
         harness.latency = ms(latency_ms);
         harness.run(ms(1), |server| reported.filter(|_| server == 4));
     }
@@ -75,11 +75,11 @@
 #[case::two_of_five_warming(2, RetryPolicy::Never)]
 fn disables_retries_while_many_servers_warm_up(#[case] warming: usize, #[case] retries: RetryPolicy) {
     let mut harness = PolicyHarness::with_servers(5, 1);
-    harness.run(Duration::from_secs(5), |server| QUIET.filter(|_| server < 5));
+    harness.run(Duration::from_secs(5), |server| HALF_LOADED.filter(|_| server < 5));
     let new: Vec<Endpoint> =
         (0..warming).map(|server| endpoint(server, 0, EndpointState::Ready, Some(ms(500)))).collect();
     harness.update_endpoints(false, &new);
-    harness.run(Duration::from_secs(2), |server| QUIET.filter(|_| server < 5));
+    harness.run(Duration::from_secs(2), |server| HALF_LOADED.filter(|_| server < 5));
     let commands = harness.commands.borrow();
     assert_eq!(commands.admission.get(&2).map(|setting| setting.1), Some(retries));
 }
--- a/tests/policy/subsetting.rs
+++ b/tests/policy/subsetting.rs
@@ -65,9 +65,9 @@
     let update_zone = |harness: &mut PolicyHarness, state, age| {
         let endpoints: Vec<Endpoint> = (0..20).map(|server| endpoint(2 * server, 0, state, age)).collect();
         harness.update_endpoints(false, &endpoints[..3]);
-        harness.run(Duration::from_secs(2), |server| QUIET.filter(|_| server < 40));
+        harness.run(Duration::from_secs(2), |server| HALF_LOADED.filter(|_| server < 40));
         harness.update_endpoints(false, &endpoints);
-        harness.run(Duration::from_secs(30), |server| QUIET.filter(|_| server < 40));
+        harness.run(Duration::from_secs(30), |server| HALF_LOADED.filter(|_| server < 40));
     };
     update_zone(&mut harness, EndpointState::Removed, None);
     let tables: BTreeSet<TableId> = harness.bound_tables();
@@ -85,14 +85,14 @@
 fn warming_server_is_added_to_one_pool_of_its_zone() {
     // Pools that have lost servers must not all add the same new servers.
     let mut harness = PolicyHarness::with_many_proxies(40, 80, CHANNEL, true);
-    harness.run(Duration::from_secs(12), |server| QUIET.filter(|_| server < 40));
+    harness.run(Duration::from_secs(12), |server| HALF_LOADED.filter(|_| server < 40));
     let new: Vec<Endpoint> =
         (40..44).map(|server| endpoint(2 * server, 0, EndpointState::Ready, Some(ms(500)))).collect();
     harness.update_endpoints(false, &new);
     let draining: Vec<Endpoint> =
         (0..15).map(|server| endpoint(2 * server, 0, EndpointState::Draining, None)).collect();
     harness.update_endpoints(false, &draining);
-    harness.run(Duration::from_secs(3), |server| QUIET.filter(|_| server < 40));
+    harness.run(Duration::from_secs(3), |server| HALF_LOADED.filter(|_| server < 40));
     let tables: BTreeSet<TableId> = harness.bound_tables();
     for server in (40..44).map(|server| 2 * server) {
         let holders = tables
@@ -111,12 +111,12 @@
 fn pool_of_new_servers_gets_warm_ones(#[case] every: usize) {
     const OLD: usize = 64;
     let mut harness = PolicyHarness::with_many_proxies(OLD, 400, CHANNEL, true);
-    harness.run(Duration::from_secs(3), |server| QUIET.filter(|_| server < OLD));
+    harness.run(Duration::from_secs(3), |server| HALF_LOADED.filter(|_| server < OLD));
     let new: Vec<Endpoint> = (OLD..2 * OLD)
         .map(|server| endpoint(server, (server % 2) as ZoneId, EndpointState::Ready, Some(ms(1000))))
         .collect();
     harness.update_endpoints(false, &new);
-    harness.run(Duration::from_secs(4), |server| QUIET.filter(|_| server < OLD));
+    harness.run(Duration::from_secs(4), |server| HALF_LOADED.filter(|_| server < OLD));
     let tables: BTreeSet<TableId> = harness.bound_tables();
     let zone = |server: &ServerIndex| server % 2;
     let local_servers = |harness: &PolicyHarness, table: TableId| {
@@ -137,8 +137,9 @@
         .map(|server| endpoint(*server, zone(server) as ZoneId, EndpointState::Draining, None))
         .collect();
     harness.update_endpoints(false, &endpoints);
-    harness
-        .run(Duration::from_secs(2), |server| QUIET.filter(|_| server < OLD && !drained.contains(&server)));
+    harness.run(Duration::from_secs(2), |server| {
+        HALF_LOADED.filter(|_| server < OLD && !drained.contains(&server))
+    });
     for table in losing {
         let local = local_servers(&harness, table);
         let warm = local.iter().filter(|server| **server < OLD && !drained.contains(server)).count();
@@ -152,7 +153,7 @@
 fn pool_of_returning_servers_gets_others() {
     const SERVERS: usize = 64;
     let mut harness = PolicyHarness::with_many_proxies(SERVERS, 400, CHANNEL, true);
-    harness.run(Duration::from_secs(3), |_| QUIET);
+    harness.run(Duration::from_secs(3), |_| HALF_LOADED);
     let table = *harness.commands.borrow().tables_by_proxy[&0].iter().next().unwrap();
     let own: Vec<ServerIndex> =
         harness.servers_in(table).into_iter().filter(|server| server % 2 == 0).collect();
@@ -164,7 +165,7 @@
     let others =
         |harness: &PolicyHarness| local(harness).iter().filter(|server| !own.contains(server)).count();
     harness.run(Duration::from_secs(4), |server| {
-        if own.contains(&server) { Some(observed(10, 10, 0.9, 3.0)) } else { QUIET }
+        if own.contains(&server) { Some(observed(10, 10, 0.9, 3.0)) } else { HALF_LOADED }
     });
     assert!(
         returned(&harness) == 0 && others(&harness) > 0,
@@ -173,12 +174,12 @@
     );
     let replacements = others(&harness);
     for _ in 0..40 {
-        harness.run(ms(500), |server| QUIET.filter(|_| !own.contains(&server)));
+        harness.run(ms(500), |server| HALF_LOADED.filter(|_| !own.contains(&server)));
         if returned(&harness) == own.len() {
             break;
         }
     }
-    harness.run(Duration::from_secs(1), |server| QUIET.filter(|_| !own.contains(&server)));
+    harness.run(Duration::from_secs(1), |server| HALF_LOADED.filter(|_| !own.contains(&server)));
     assert!(
         returned(&harness) == own.len() && 2 * others(&harness) >= replacements,
         "{:?}, own servers {own:?}",
--- a/tests/policy/zone_spill.rs
+++ b/tests/policy/zone_spill.rs
@@ -46,7 +46,7 @@
     for second in 0..40 {
         harness.run(Duration::from_secs(1), |server| match server {
             0 | 2 | 4 | 6 => Some(observed(attempts, failures, 0.9, 3.0)),
-            _ => QUIET.filter(|_| server < 8),
+            _ => HALF_LOADED.filter(|_| server < 8),
         });
         for zone in 0..2 {
             let held = harness.servers_in(table(&harness, zone));
