--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -232,9 +232,9 @@
     /// ejected, is above 0.
     fn limit_steps(&mut self, now: Duration, server: ServerIndex, steps: u32, ejections_left: &mut usize) {
         let state = &mut self.servers[server];
-        // A warming server that answers slowly, or not all attempts, may be overloaded, so its slow start restarts.
-        let restarts_slow_start = state.slow_start.warming && steps < SlowStart::STEPS;
-        let steps = if restarts_slow_start { steps.min(1) } else { steps };
+        // A warming server that answers slowly, or not all attempts, may be too slow for its step.
+        let returns_to_first_step = state.slow_start.warming && steps < SlowStart::STEPS;
+        let steps = if returns_to_first_step { steps.min(1) } else { steps };
         state.outlier.allowed_steps = if *ejections_left == 0 { steps.max(1) } else { steps };
         state.slow_start.step = state.slow_start.step.min(state.outlier.allowed_steps);
         if state.slow_start.step == 0 {
