--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! The file that a planner is started with.
+//! Parsing of the file that a planner is started with (the start file).
 
 use crate::connections::Connections;
 use crate::wire::names::config as names;
@@ -10,93 +10,95 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a start file cannot be used. Operators read the texts at the start.
+/// The reason why a start file cannot be used. Operators read the text when a planner does not start, and the
+/// launcher's tests match parts of the texts.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// It is not JSON.
+    /// The file is not JSON.
     #[error("the file: is not JSON: {0}")]
     NotJson(String),
-    /// A field that holds text is missing.
-    #[error("{0}: is missing or no text")]
+    /// A field that must hold a string is missing or has another type.
+    #[error("{0}: is missing or not a string")]
     NoText(&'static str),
-    /// A field that holds an object is missing.
-    #[error("{0}: is missing or no object")]
+    /// A field that must hold an object is missing or has another type.
+    #[error("{0}: is missing or not an object")]
     NoObject(&'static str),
-    /// A field that holds a list is missing.
-    #[error("{0}: is missing or no list")]
+    /// A field that must hold an array is missing or has another type.
+    #[error("{0}: is missing or not an array")]
     NoList(&'static str),
-    /// A list holds something else than names.
-    #[error("{0}: holds no names")]
+    /// An array has an element without a name.
+    #[error("{0}: expected a name in each element")]
     NoNames(&'static str),
-    /// A list that needs an entry has none.
-    #[error("{0}: is empty")]
+    /// An array that needs at least one element has no element.
+    #[error("{0}: expected at least one element, found an empty array")]
     Empty(&'static str),
-    /// A text is no address with a port.
-    #[error("{field}: {text:?}: {error}")]
+    /// A string is not an IP address with a port.
+    #[error("{field}: expected an IP address with a port, found {text:?}: {error}")]
     Address {
         /// The name of the field.
         field: &'static str,
-        /// What it holds.
+        /// The value of the field.
         text: String,
-        /// What is wrong with it.
+        /// The error of the address parser.
         error: AddrParseError,
     },
     /// The seed is not a hexadecimal number of at most 64 bits.
     #[error("seed: {0}")]
     Seed(ParseIntError),
-    /// A setting is missing or wrong.
+    /// A setting is missing or invalid.
     #[error("settings: {0}")]
     Setting(SettingsError),
-    /// The deployment has slices.
-    #[error("settings.familyInfo.slices: sites with slices are not planned for yet")]
+    /// The deployment has zones with slices.
+    #[error("settings.familyInfo.slices: zones with slices are not supported yet")]
     Slices,
 }
 
-/// What a planner is started with.
+/// The parsed start file of a planner.
 pub struct PlannerConfig {
-    /// The planner's name.
+    /// The name of the planner.
     pub name: String,
     /// The address to listen at.
     pub listen: SocketAddr,
-    /// Discovery's address.
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// The seed of the policy's random draws.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The number of descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// The endpoint list as this planner last had it, as JSON.
+    /// The endpoint list that this planner last knew, as JSON.
     pub known_endpoints: Option<Value>,
-    /// The routes, in the order of `route_names`.
+    /// The routes, in the order of `route_names`. A route's position is its id.
     pub routes: Vec<Route>,
     /// The platform's names of the routes.
     pub route_names: Vec<String>,
-    /// Names of the zones.
+    /// The names of the zones. A zone's position is its id.
     pub zones: Vec<String>,
-    /// What the proxies are able to do, and how many there are.
+    /// The capabilities of the proxies, and their number.
     pub proxy_capabilities: ProxyCapabilities,
-    /// Time limits of the deployment.
+    /// The time limits of the deployment.
     pub timeouts: Timeouts,
-    /// Limits of the channel to the proxies.
+    /// The limits of the channel to the proxies.
     pub channel: ControlChannelLimits,
-    /// What can be observed of the servers.
+    /// The signals that the deployment offers about its servers: load metrics, health checks, endpoint lists.
     pub observability: Observability,
-    /// Names of the load report's metrics, in the order of `observability.metrics`.
+    /// The names of the load report's metrics, in the order of `observability.metrics`.
     pub metric_names: Vec<String>,
 }
 
 impl PlannerConfig {
-    /// How often the list is asked for at least, where the settings do not say. The policy asks again after half of it.
+    /// The longest interval between two requests for the endpoint list if the settings give no interval. The policy
+    /// requests the list again after half of this interval.
     const DEFAULT_LIST_INTERVAL: Duration = Duration::from_secs(10);
-    /// Descriptors that the process may hold where the file does not say.
+    /// The number of descriptors that the process may hold if the file gives no number.
     const DEFAULT_DESCRIPTORS: usize = 256;
-    /// More descriptors than this are never used.
+    /// The largest accepted number of descriptors; a larger number in the file is reduced to this one.
     const MAX_DESCRIPTORS: u64 = 1 << 20;
 
-    /// Parses the file. Unknown fields are ignored.
+    /// Parses the file and ignores unknown fields.
     ///
     /// # Errors
     ///
-    /// Which field cannot be used, and why.
+    /// Returns the first field that cannot be used, and the reason.
     pub fn parse(text: &[u8]) -> Result<Self, ConfigError> {
         let file: Value =
             serde_json::from_slice(text).map_err(|error| ConfigError::NotJson(error.to_string()))?;
@@ -125,8 +127,8 @@
         })
     }
 
-    /// Connections that may be open without a join: what is left of the descriptors after `reserved` ones, the proxies
-    /// and the collectors.
+    /// Returns the number of connections that may be open without having joined: the descriptors that are left after
+    /// `reserved` descriptors and those for the proxies and the collectors.
     pub fn unknown_peer_limit(&self, reserved: usize) -> usize {
         let collectors = self.zones.len() * Connections::COLLECTORS_PER_ZONE;
         self.max_descriptors.saturating_sub(reserved + collectors + self.proxy_capabilities.proxies)
@@ -162,7 +164,7 @@
     value.and_then(Value::as_array).map(Vec::as_slice).ok_or(ConfigError::NoList(field))
 }
 
-/// The names as they are; the flattened settings would not keep every one of them.
+/// Reads the route names from the JSON settings: the flattened settings do not preserve every name.
 fn route_names(routes: &[Value]) -> Result<Vec<String>, ConfigError> {
     let names: Option<Vec<String>> =
         routes.iter().map(|route| text_field(route, names::ROUTE_NAME).map(String::from)).collect();
@@ -182,7 +184,8 @@
     }
 }
 
-/// Where the simulator pushes the list, the platform tells it only to who asks and goes on asking.
+/// Returns the observability of the deployment, always with an interval for requests of the endpoint list: unlike the
+/// simulator, the platform never pushes the list, so the planner has to poll in every registry mode.
 fn observability(deployment: &PlatformSettings) -> Result<Observability, ConfigError> {
     let mut observability = deployment.observability().map_err(ConfigError::Setting)?;
     observability.endpoint_poll_interval.get_or_insert(PlannerConfig::DEFAULT_LIST_INTERVAL);
--- a/crates/platform-protocol/src/connections.rs
+++ b/crates/platform-protocol/src/connections.rs
@@ -1,18 +1,18 @@
-//! Open connections: who is behind each, when one that shows nothing useful is closed, and which one is closed first
-//! where places run out.
+//! Open connections: the peer of each connection, the time limits after which a connection is closed, and the order in
+//! which connections are evicted when too many are open.
 
 use crate::wire::FrameDecoder;
 use grebespool::host::{ProxyId, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// One connection, from its acceptance to its end; ids rise in the order of acceptance and are not used again.
+/// The id of one connection. Invariant: ids rise in the order in which connections are accepted and are never reused.
 pub type ConnectionId = u64;
 
-/// Who is behind a connection.
+/// The peer of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Peer {
-    /// Nobody known: it has neither joined as a proxy nor announced itself as a collector.
+    /// A peer that has neither joined as a proxy nor announced itself as a collector.
     Unknown,
     /// A collector of this zone.
     Collector(ZoneId),
@@ -20,24 +20,24 @@
     Proxy(ProxyId),
 }
 
-/// One open connection.
+/// The state of one open connection.
 pub(crate) struct Connection {
-    /// Who is behind it.
+    /// The peer of the connection.
     pub peer: Peer,
-    /// What was received and not yet parsed.
+    /// The bytes that were received and not yet parsed.
     pub frames: FrameDecoder,
-    /// When the current message began, or the connection where its peer is unknown.
+    /// The time when the current message began; for an unknown peer, the time when the connection began.
     pub waiting_since: Duration,
-    /// When bytes last came.
+    /// The time when the last bytes were received.
     pub last_received_at: Duration,
-    /// Messages in a row that could not be parsed.
+    /// The number of consecutive messages that could not be parsed.
     pub unreadable_messages: u32,
-    /// Ack tokens that were sent on this stream and not returned, oldest first.
+    /// The ack tokens that were sent on this stream and not returned, oldest first.
     pub pending_acks: VecDeque<u16>,
 }
 
 impl Connection {
-    /// Ack tokens that a proxy may leave unacknowledged before the oldest is forgotten.
+    /// The number of ack tokens that a proxy may leave unacknowledged before the oldest is dropped.
     const MAX_PENDING_ACKS: usize = 256;
 
     fn new(now: Duration) -> Self {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The peer has said who it is.
+    /// Records the peer that has joined or announced itself, and raises the limit of its messages.
     pub(crate) fn identify(&mut self, peer: Peer) {
         self.peer = peer;
         self.frames.set_body_limit(Connections::MAX_BODY_AFTER_JOIN);
@@ -61,28 +61,28 @@
     pub(crate) fn receive(&mut self, now: Duration, bytes: &[u8]) {
         self.last_received_at = now;
         if !self.frames.has_partial_frame() {
-            self.message_began(now);
+            self.restart_message_timer(now);
         }
         self.frames.extend(bytes);
     }
 
-    /// A message begins with its first byte, however long nothing came before it. The time limit of an unknown peer runs
-    /// from the start of the connection.
-    pub(crate) fn message_began(&mut self, now: Duration) {
+    /// Starts the time limit of a message. A message begins with its first byte, so silence before it does not count.
+    /// The time limit of an unknown peer runs from the start of its connection and is not restarted.
+    pub(crate) fn restart_message_timer(&mut self, now: Duration) {
         if self.peer != Peer::Unknown {
             self.waiting_since = now;
         }
     }
 
-    /// An ack token was sent.
-    pub(crate) fn ack_requested(&mut self, token: u16) {
+    /// Records an ack token that was sent. Drops the oldest token if too many are pending.
+    pub(crate) fn add_pending_ack(&mut self, token: u16) {
         self.pending_acks.push_back(token);
         if self.pending_acks.len() > Self::MAX_PENDING_ACKS {
             self.pending_acks.pop_front();
         }
     }
 
-    /// Forgets this ack token and all older ones. Whether it was pending.
+    /// Removes this ack token and all older ones. Returns true if the token was pending.
     pub(crate) fn acknowledge(&mut self, token: u32) -> bool {
         let Some(position) = self.pending_acks.iter().position(|sent| u32::from(*sent) == token) else {
             return false;
@@ -91,7 +91,7 @@
         true
     }
 
-    /// When the connection is to be closed unless it makes progress.
+    /// Returns the time at which the connection is closed unless the peer joins or completes its message.
     fn deadline(&self) -> Option<Duration> {
         match self.peer {
             Peer::Unknown => Some(self.waiting_since + Connections::JOIN_TIMEOUT),
@@ -110,55 +110,57 @@
 }
 
 impl Connections {
-    /// Bytes of the longest message of an unknown peer: a join has a few short fields.
+    /// The longest message of an unknown peer, in bytes: a join has a few short fields.
     const MAX_BODY_BEFORE_JOIN: usize = 4 << 10;
-    /// Bytes of the longest message of a known peer: reports are a few names and numbers. It bounds the memory taken by
-    /// streams that send garbage.
+    /// The longest message of a known peer, in bytes: a report has a few names and numbers. This limit bounds the
+    /// memory that streams with garbage take.
     const MAX_BODY_AFTER_JOIN: usize = 64 << 10;
-    /// How long a peer may stay unknown. The platform closes at 3 s; a join that comes in pieces over a slow network
-    /// still fits.
+    /// The time in which a peer has to join. The platform closes such a connection after 3 s; within this time, a join
+    /// that arrives in pieces over a slow network is still accepted.
     const JOIN_TIMEOUT: Duration = Duration::from_millis(1900);
-    /// How long a known peer may take from a message's first byte to its last.
+    /// The time that a known peer may take from a message's first byte to its last.
     const PARTIAL_MESSAGE_TIMEOUT: Duration = Duration::from_secs(15);
-    /// Collectors of one zone. One that was cut off and connects again leaves its old connection open and silent.
+    /// The number of collectors that one zone may have. A collector that was cut off and connects again leaves its old
+    /// connection open and silent.
     pub(crate) const COLLECTORS_PER_ZONE: usize = 4;
-    /// The least number of unknown peers that are let in at a time.
+    /// The smallest limit of concurrent unknown peers.
     const MIN_UNKNOWN: usize = 8;
 
-    /// No connections. At most `unknown_limit` are kept whose peer is unknown.
+    /// Creates an empty set that holds at most `unknown_limit` connections of unknown peers, or
+    /// [`Self::MIN_UNKNOWN`] if that is more.
     pub(crate) fn new(unknown_limit: usize) -> Self {
         Connections { open: BTreeMap::new(), unknown_limit: unknown_limit.max(Self::MIN_UNKNOWN) }
     }
 
-    /// Adds an accepted connection. Gives the one that is to be closed for it, if there are too many.
+    /// Adds an accepted connection. Returns the connection that the caller must close if too many peers are unknown.
     pub(crate) fn open(&mut self, now: Duration, id: ConnectionId) -> Option<ConnectionId> {
         let evicted = self.next_evicted();
         self.open.insert(id, Connection::new(now));
         evicted
     }
 
-    /// The connection, if it is open.
+    /// Returns the connection if it is open.
     pub(crate) fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.open.get_mut(&id)
     }
 
-    /// Who is behind the connection, if it is open.
+    /// Returns the peer of the connection if the connection is open.
     pub(crate) fn peer(&self, id: ConnectionId) -> Option<Peer> {
         self.open.get(&id).map(|connection| connection.peer)
     }
 
-    /// Forgets the connection.
+    /// Removes the connection and returns it if it was open.
     pub(crate) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         self.open.remove(&id)
     }
 
-    /// How many peers are unknown.
+    /// Returns the number of unknown peers.
     pub(crate) fn unknown_count(&self) -> usize {
         self.open.values().filter(|connection| connection.peer == Peer::Unknown).count()
     }
 
-    /// The connection that the next accepted one replaces: the oldest of an unknown peer, where there are as many as may
-    /// be.
+    /// Returns the connection that the next accepted one replaces: the oldest of an unknown peer, if the limit of
+    /// unknown peers is reached.
     pub(crate) fn next_evicted(&self) -> Option<ConnectionId> {
         if self.unknown_count() < self.unknown_limit {
             return None;
@@ -166,12 +168,13 @@
         self.oldest_unknown()
     }
 
-    /// The oldest connection of an unknown peer.
+    /// Returns the oldest connection of an unknown peer.
     pub(crate) fn oldest_unknown(&self) -> Option<ConnectionId> {
         self.open.iter().find(|(_, connection)| connection.peer == Peer::Unknown).map(|(id, _)| *id)
     }
 
-    /// The collector of a zone that was silent for the longest, where the zone has more than it may have.
+    /// Returns the collector of a zone that has been silent for the longest time, if the zone has more than
+    /// [`Self::COLLECTORS_PER_ZONE`].
     pub(crate) fn surplus_collector(&self, zone: ZoneId) -> Option<ConnectionId> {
         let of_zone = || self.open.iter().filter(|(_, connection)| connection.peer == Peer::Collector(zone));
         if of_zone().count() <= Self::COLLECTORS_PER_ZONE {
@@ -180,7 +183,7 @@
         of_zone().min_by_key(|(_, connection)| connection.last_received_at).map(|(id, _)| *id)
     }
 
-    /// Connections whose time limit has passed.
+    /// Returns the connections whose time limit has passed.
     pub(crate) fn overdue(&self, now: Duration) -> Vec<ConnectionId> {
         let is_overdue =
             |connection: &Connection| connection.deadline().is_some_and(|deadline| deadline <= now);
--- a/crates/platform-protocol/src/endpoint_watch.rs
+++ b/crates/platform-protocol/src/endpoint_watch.rs
@@ -1,71 +1,72 @@
-//! What is requested of discovery next: at which address, since which version, and within what time.
+//! The next request to discovery: its address, the version to start from and its time limit.
 
 use crate::wire::endpoint_list_path;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a long poll waits for changes. The platform takes a change for notified 2 s after the wait of the call in
-/// which it came, so a longer wait would leave drains unknown for longer.
+/// The time that a long poll waits for changes. The platform counts a planner as notified of a change 2 s after the
+/// wait of the request in which the change occurred, so a longer wait would leave drains unknown for longer.
 const LONG_POLL_WAIT: Duration = Duration::from_secs(4);
-/// How long the answer may take beyond that wait: the way there and back, and a slow service.
+/// The time that an answer may take beyond the wait of a long poll: the round trip and a slow service.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(700);
-/// The wait of a request that is to be answered at once.
+/// The wait of a request that discovery has to answer at once.
 const NO_WAIT: Duration = Duration::from_millis(1);
-/// The limit for a request that is to be answered at once. Discovery serves one request after another, and gives up by
-/// itself before this.
+/// The time limit of a request that discovery has to answer at once. Discovery serves one request after another, and
+/// ends a request with its own, shorter time limit.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
 
 /// One request for the endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListRequest {
-    /// Where discovery listens.
+    /// The address of discovery.
     pub address: SocketAddr,
-    /// Changes since this version are requested; the full list where it is unset.
+    /// The version since which changes are requested; unset if the full list is requested.
     pub since: Option<u64>,
-    /// Path and query of the HTTP request.
+    /// The path and query of the HTTP request.
     pub path: String,
-    /// Whether it stays unanswered for a while where nothing changes.
+    /// True if discovery delays the answer until the list changes or the wait ends.
     pub long_poll: bool,
-    /// The limit for the whole request, from connecting to the last byte of the answer.
+    /// The time limit of the whole request, from connecting to the last byte of the answer.
     pub timeout: Duration,
 }
 
-/// The state of watching the endpoint list: begun when the policy asks, gone on with until it fails.
+/// The state of watching the endpoint list. A watch begins when the policy requests the list and lasts until a request
+/// fails.
 #[derive(Debug)]
 pub struct EndpointWatch {
     address: SocketAddr,
     requested: bool,
-    /// A full list is needed until one was taken; a request that fails has not brought it.
+    /// True until a full list was received. A failed request does not reset this flag.
     needs_full_list: bool,
     active: bool,
-    /// No request was answered since the watch began or changed its address.
+    /// True if no request was answered since the watch began or changed its address.
     unanswered: bool,
 }
 
 impl EndpointWatch {
-    /// A watch of the list at this address, not begun.
+    /// Creates a watch of the list at this address. The watch has not begun.
     pub fn new(address: SocketAddr) -> Self {
         EndpointWatch { address, requested: false, needs_full_list: false, active: false, unanswered: true }
     }
 
-    /// Where discovery listens.
+    /// Returns the address of discovery.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The policy asks for what has changed, and to be notified of further changes.
+    /// Requests a watch: the policy needs the changes so far and further changes as they occur.
     pub fn request(&mut self) {
         self.requested = true;
     }
 
-    /// The next answer has to be a full list.
+    /// Makes the next requests ask for the full list until one was answered.
     pub fn request_full_list(&mut self) {
         self.needs_full_list = true;
     }
 
-    /// Discovery listens at this address from now on. Whether it is another one.
+    /// Sets the address of discovery. Returns true if the address has changed.
     ///
-    /// Versions of another service need not continue those that are known, so its full list is requested first.
+    /// The versions of another service are independent of the known version, so its full list is requested first.
     pub fn set_address(&mut self, address: SocketAddr) -> bool {
         let changed = std::mem::replace(&mut self.address, address) != address;
         self.needs_full_list |= changed;
@@ -73,7 +74,7 @@
         changed
     }
 
-    /// Begins a watch if one was requested. Whether it was.
+    /// Begins a watch if one was requested. Returns true if the watch has begun.
     pub fn begin(&mut self) -> bool {
         let begins = std::mem::take(&mut self.requested);
         self.active |= begins;
@@ -81,9 +82,10 @@
         begins
     }
 
-    /// The next request, given the version that is known.
+    /// Returns the next request, given the known version of the list.
     ///
-    /// The first one of a watch is answered at once, so that the policy soon learns what it missed.
+    /// Discovery answers the first request of a watch at once, so that the policy soon learns of changes that occurred
+    /// before the watch began.
     pub fn next_request(&self, known_version: Option<u64>) -> ListRequest {
         let since = known_version.filter(|_| !self.needs_full_list);
         let long_poll = since.is_some() && !self.unanswered;
@@ -93,8 +95,8 @@
         ListRequest { address: self.address, since, path, long_poll, timeout }
     }
 
-    /// The answer to a request was taken. One from a former address brought its changes, but is no answer to what was
-    /// requested of the present one.
+    /// Records that the answer to a request was applied. An answer from a former address does not count as an answer of
+    /// the current address.
     pub fn answered(&mut self, request: &ListRequest) {
         if request.address == self.address {
             self.needs_full_list &= request.since.is_some();
@@ -102,13 +104,13 @@
         }
     }
 
-    /// The watch has ended.
+    /// Ends the watch.
     pub fn end(&mut self) {
         self.active = false;
     }
 
-    /// Whether a watch was begun and has not ended. Where the task that carried it out failed, nobody was notified of its
-    /// end.
+    /// Returns true if a watch has begun and [`Self::end`] was not called. If the task that watches the list fails, the
+    /// watch stays active until its restart ends the watch.
     pub fn is_active(&self) -> bool {
         self.active
     }
--- a/crates/platform-protocol/src/event.rs
+++ b/crates/platform-protocol/src/event.rs
@@ -1,28 +1,28 @@
-//! What the session manager reports for the log, as typed events.
+//! The typed events that the session manager reports for the log.
 
 use grebespool::host::{EndpointState, TableId};
 use std::fmt;
 
-/// A bounded list of names: log lines do not grow with the fleet.
+/// A list of names of bounded length, so that log lines do not grow with the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NameList {
-    /// The first names.
+    /// The first names, at most 96.
     pub shown: Vec<String>,
-    /// How many more there are.
+    /// The number of further names.
     pub omitted: usize,
 }
 
 impl NameList {
-    /// Names shown in one list.
+    /// The number of names shown in one list.
     const MAX_SHOWN: usize = 96;
 
-    /// The first of these names, and a count of the rest.
+    /// Creates a list of the first of these names and the number of the others.
     pub fn of<T: fmt::Display>(names: impl ExactSizeIterator<Item = T>) -> Self {
         let omitted = names.len().saturating_sub(Self::MAX_SHOWN);
         NameList { shown: names.take(Self::MAX_SHOWN).map(|name| name.to_string()).collect(), omitted }
     }
 
-    /// How many names there are, shown or not.
+    /// Returns the number of names, both shown and omitted.
     pub fn total(&self) -> usize {
         self.shown.len() + self.omitted
     }
@@ -38,68 +38,68 @@
     }
 }
 
-/// What a warning is about. Warnings of one kind are aggregated.
+/// The subject of a warning. Warnings of one kind are aggregated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WarningKind {
     /// The endpoint list of the start file cannot be used.
     KnownListRejected,
     /// A connection could not be accepted.
     AcceptFailed,
-    /// The connection of a peer that has not joined is closed here.
+    /// The planner closed the connection of a peer that has not joined.
     UnknownPeerClosed,
-    /// A collector's connection is closed here.
+    /// The planner closed a collector's connection.
     CollectorClosed,
-    /// A proxy's stream is closed here.
+    /// The planner closed a proxy's stream.
     StreamClosed,
-    /// A message on a good connection is dropped.
+    /// A message was dropped and its connection kept.
     MessageDropped,
     /// A request for the endpoint list failed.
     ListRequestFailed,
-    /// Part of an endpoint list is not used.
+    /// Part of an endpoint list was ignored.
     ListPartlyRejected,
 }
 
-/// Something is wrong outside of the planner.
+/// A report of a fault outside of the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Warning {
-    /// What it is about.
+    /// The subject of the warning.
     pub kind: WarningKind,
     /// The latest cause of this kind.
     pub cause: String,
-    /// Warnings of this kind that were left out since the last one.
+    /// The number of warnings of this kind that were suppressed since the last reported one.
     pub suppressed: u64,
 }
 
-/// What happened to the streams of proxies.
+/// A change of the streams of proxies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StreamChange {
     /// A proxy joined.
     Joined,
-    /// A full table was written to it.
+    /// A full table was written to the proxy.
     Bound,
-    /// Its stream ended from the other side.
+    /// The proxy ended its stream, or the stream broke.
     Left,
-    /// Its stream was closed here.
+    /// The planner closed the stream.
     Closed,
-    /// Its stream gave way to a newer one of the same proxy.
+    /// A newer stream of the same proxy replaced the stream.
     Replaced,
 }
 
-/// What happened to servers in tables.
+/// A change of servers in tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TableChange {
-    /// A server was removed from some table.
+    /// A server was removed from at least one table.
     Removed,
-    /// A server that was removed is back in every table that changed.
+    /// A removed server is back in every table that changed.
     Restored,
 }
 
-/// Servers of an endpoint list that changed to one state.
+/// The servers of an endpoint list that changed to one state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointGroup {
-    /// The state that they have now.
+    /// The present state of the servers.
     pub state: EndpointState,
-    /// Their ids.
+    /// The ids of the servers.
     pub servers: NameList,
 }
 
@@ -108,7 +108,7 @@
 pub struct LoggedWeight {
     /// The id of the server.
     pub server: String,
-    /// Its weight; 0 where it was removed.
+    /// The weight of the server; 0 if the server was removed.
     pub weight: f32,
 }
 
@@ -120,48 +120,48 @@
 
 /// The weights of a table that changed since they were last reported.
 ///
-/// The load that a server is sent follows from the reports of all planners: the sum over tables of
+/// The load that a server receives can be computed from the reports of all planners: the sum over tables of
 /// proxies x weight / sum of weights.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableWeights {
     /// The number of the table.
     pub table: TableId,
-    /// Proxies that hold it.
+    /// The number of proxies that hold the table.
     pub proxies: usize,
-    /// The sum of all its weights.
+    /// The sum of all weights of the table.
     pub sum: f32,
-    /// Weights that changed.
+    /// The weights that changed.
     pub changed: Vec<LoggedWeight>,
 }
 
-/// Something to be logged.
+/// An entry for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A warning.
     Warning(Warning),
-    /// An answer of discovery changed something.
+    /// An answer of discovery changed endpoints.
     EndpointListChanged {
-        /// The version that is known now.
+        /// The version of the list after the change.
         version: Option<u64>,
-        /// The version whose changes were requested; unset for a full list.
+        /// The version since which changes were requested; unset for a full list.
         since: Option<u64>,
-        /// What changed, by state.
+        /// The changed endpoints by state.
         groups: Vec<EndpointGroup>,
     },
     /// Streams of proxies changed.
     Streams {
-        /// What happened to them.
+        /// The change of the streams.
         change: StreamChange,
         /// The numbers of the proxies.
         proxies: NameList,
     },
-    /// Servers left tables or came back.
+    /// Servers were removed from tables or restored.
     Servers {
-        /// What happened to them.
+        /// The change of the servers.
         change: TableChange,
-        /// Their ids.
+        /// The ids of the servers.
         servers: NameList,
     },
-    /// Weights that were written; only where they are to be logged.
+    /// Weights that were written to proxies; reported only if the log of weights is enabled.
     TableWeights(TableWeights),
 }
--- a/crates/platform-protocol/src/event_log.rs
+++ b/crates/platform-protocol/src/event_log.rs
@@ -1,4 +1,4 @@
-//! What happened to which proxies and servers, gathered into a few events for the log.
+//! Aggregates changes of proxies and servers into a few events for the log.
 
 use crate::event::{EndpointGroup, Event, NameList, StreamChange, TableChange};
 use crate::server_registry::EndpointChange;
@@ -6,11 +6,11 @@
 use grebespool_assignments::ServerWeight;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// States of changed endpoints, in the order in which they are reported.
+/// The states of changed endpoints, in the order in which they are reported.
 const REPORTED_STATES: [EndpointState; 3] =
     [EndpointState::Draining, EndpointState::Removed, EndpointState::Ready];
 
-/// Gathers what happened since it was last drained. The number of events does not grow with what happens.
+/// The changes since the log was last drained. The number of events does not grow with the number of changes.
 #[derive(Default)]
 pub(crate) struct EventLog {
     joined: Vec<ProxyId>,
@@ -18,14 +18,15 @@
     left: Vec<ProxyId>,
     closed: Vec<ProxyId>,
     replaced: Vec<ProxyId>,
-    /// The least weight that was written of each server in any table: a drain or a fault shows in it.
-    least_weights: BTreeMap<ServerIndex, f32>,
-    /// Servers that were reported as removed and not as restored.
+    /// The lowest weight of each server that was written for any table. A drain or a fault of a server gives the server
+    /// weight 0 in at least one table.
+    lowest_weights: BTreeMap<ServerIndex, f32>,
+    /// The servers that were reported as removed and not yet as restored.
     removed: BTreeSet<ServerIndex>,
 }
 
 impl EventLog {
-    /// The stream of a proxy changed.
+    /// Records a change of a proxy's stream.
     pub(crate) fn stream_changed(&mut self, proxy: ProxyId, change: StreamChange) {
         let proxies = match change {
             StreamChange::Joined => &mut self.joined,
@@ -37,15 +38,15 @@
         proxies.push(proxy);
     }
 
-    /// Weights of one table were written.
+    /// Records weights that were written for one table.
     pub(crate) fn weights_written(&mut self, weights: &[ServerWeight]) {
         for ServerWeight { server, weight } in weights {
-            let least = self.least_weights.entry(*server).or_insert(f32::MAX);
-            *least = least.min(*weight);
+            let lowest = self.lowest_weights.entry(*server).or_insert(f32::MAX);
+            *lowest = lowest.min(*weight);
         }
     }
 
-    /// One event for each kind of change that there was.
+    /// Returns one event for each kind of change that occurred, and clears the recorded changes.
     pub(crate) fn drain<'a>(&mut self, id: impl Fn(ServerIndex) -> &'a str) -> Vec<Event> {
         let mut events = self.drain_streams();
         let (removed, restored) = self.drain_servers();
@@ -76,10 +77,10 @@
         events
     }
 
-    /// Servers that were removed from some table, and servers that are back.
+    /// Returns the servers that were removed from at least one table, and the servers that were restored.
     fn drain_servers(&mut self) -> (Vec<ServerIndex>, Vec<ServerIndex>) {
         let (mut removed, mut restored) = (vec![], vec![]);
-        for (server, weight) in std::mem::take(&mut self.least_weights) {
+        for (server, weight) in std::mem::take(&mut self.lowest_weights) {
             if weight <= 0.0 {
                 if self.removed.insert(server) {
                     removed.push(server);
@@ -92,7 +93,7 @@
     }
 }
 
-/// The changed endpoints by state.
+/// Groups the changed endpoints by state.
 pub(crate) fn group_by_state(changes: &[EndpointChange]) -> Vec<EndpointGroup> {
     let group = |state: EndpointState| {
         let ids: Vec<&String> =
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,9 +1,11 @@
-//! The platform's protocol between its bytes and the policy ([`grebespool::policy`]). Free of I/O and clocks: time comes
-//! in as spans since the planner's start, and that of endpoint lists also by the machines' clock.
+//! The platform's protocol: translates between received and sent bytes and the policy ([`grebespool::policy`]).
 //!
-//! [`SessionManager`] is called for each thing that happens and acts through the [`Effects`] of its host.
-//! [`PlannerConfig`] parses the file that a planner is started with, and [`EndpointWatch`] says what to request of
-//! discovery. The platform's own names of messages and fields end in one private module, `wire`.
+//! This crate does no I/O and reads no clock. The host passes the time in as the time since the planner's start; for
+//! endpoint lists it also passes the wall clock of the machine.
+//!
+//! The host calls a method of [`SessionManager`] for each event, and [`SessionManager`] acts through the [`Effects`] of
+//! the host. [`PlannerConfig`] parses the file that a planner is started with, and [`EndpointWatch`] decides what to
+//! request from discovery. Only the private module `wire` uses the platform's own names of messages and fields.
 
 mod config;
 mod connections;
--- a/crates/platform-protocol/src/log_aggregator.rs
+++ b/crates/platform-protocol/src/log_aggregator.rs
@@ -1,11 +1,11 @@
-//! Aggregates warnings, so that a fault that goes on does not flood the log.
+//! Aggregates warnings, so that a persistent fault does not flood the log.
 
 use crate::event::{Warning, WarningKind};
 use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::time::Duration;
 
-/// Characters of a cause that are kept.
+/// The number of characters after which a cause is cut.
 const MAX_CAUSE_LENGTH: usize = 200;
 
 #[derive(Default)]
@@ -14,19 +14,19 @@
     suppressed: u64,
 }
 
-/// Lets through one warning of each kind at once, and then one in each interval.
+/// Limits warnings: the first warning of each kind is reported at once, and further ones at most once in each interval.
 pub(crate) struct LogAggregator {
     interval: Duration,
     aggregates: BTreeMap<WarningKind, Aggregate>,
 }
 
 impl LogAggregator {
-    /// One that lets a warning of each kind through in each interval.
+    /// Creates an aggregator that reports at most one warning of each kind in each interval.
     pub(crate) fn new(interval: Duration) -> Self {
         LogAggregator { interval, aggregates: BTreeMap::new() }
     }
 
-    /// The warning to be reported now, if any.
+    /// Returns the warning if it is to be reported now; otherwise counts it as suppressed.
     pub(crate) fn add(&mut self, now: Duration, kind: WarningKind, cause: &dyn Display) -> Option<Warning> {
         let aggregate = self.aggregates.entry(kind).or_default();
         if aggregate.reported_at.is_some_and(|at| now.saturating_sub(at) < self.interval) {
--- a/crates/platform-protocol/src/server_registry.rs
+++ b/crates/platform-protocol/src/server_registry.rs
@@ -1,4 +1,4 @@
-//! The servers that discovery has listed, by their ids. Addresses only tell where to connect.
+//! The servers that discovery has listed, by id. An address is only used to connect to a server, never to identify it.
 
 use crate::wire::{EndpointEntry, EndpointList, EntryError, Placement};
 use grebespool::host::{EndpointState, ServerKind, ZoneId};
@@ -7,15 +7,16 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why part of a list is not used.
+/// The reason why part of a list is ignored.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub(crate) enum ListFault {
-    /// The changes end before the version that they were requested since: discovery has started anew.
-    #[error("changes up to version {version}, asked since {since:?}")]
+    /// The version of a list of changes is lower than the version since which they were requested, or no such version
+    /// was given: discovery has restarted.
+    #[error("expected a list that follows version {since:?}, found changes up to version {version}")]
     VersionWentBack {
         /// The version of the list.
         version: u64,
-        /// The version that was asked for.
+        /// The version since which changes were requested.
         since: Option<u64>,
     },
     /// An entry cannot be used at all.
@@ -23,18 +24,18 @@
     InvalidEntry {
         /// The id of the server, if the entry has one.
         id: Option<String>,
-        /// What is wrong with it.
+        /// The reason why the entry cannot be used.
         error: EntryError,
     },
-    /// It is not known where a server is.
+    /// The zone or the start of a server cannot be read.
     #[error("server {id:?}: {error}")]
     InvalidPlacement {
         /// The id of the server.
         id: String,
-        /// What is wrong with its placement.
+        /// The reason why the placement cannot be used.
         error: EntryError,
     },
-    /// A server is in a zone that the settings do not have.
+    /// A server is in a zone that is not in the settings.
     #[error("server {id:?}: zone {zone:?} is not in the settings")]
     UnknownZone {
         /// The id of the server.
@@ -42,78 +43,79 @@
         /// The name of the zone.
         zone: String,
     },
-    /// One list names a server twice.
+    /// One list contains a server twice.
     #[error("server {0:?} is listed twice")]
     Duplicate(String),
-    /// A server starts in the future: some clock is wrong.
-    #[error("server {id:?} starts at {started_ms}, far ahead")]
+    /// The start of a server lies in the future: the clock of its machine or of this one is wrong.
+    #[error("server {id:?}: started_ms {started_ms} is more than one hour ahead of the planner's clock")]
     StartsInFuture {
         /// The id of the server.
         id: String,
-        /// Its start in Unix milliseconds.
+        /// The start of the server in Unix milliseconds.
         started_ms: f64,
     },
 }
 
-/// What is believed of one server after a list.
+/// The state of one server after a list was applied.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct EndpointChange {
     /// The id of the server.
     pub id: String,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: ZoneId,
-    /// Its kind; 0 where that is unknown.
+    /// The kind of the server; 0 if the kind is unknown.
     pub kind: ServerKind,
-    /// Its state.
+    /// The state of the server.
     pub state: EndpointState,
-    /// Time since its last start, if that is known.
+    /// The time since the last start of the server, if the start is known.
     pub age: Option<Duration>,
 }
 
-/// What a list changes.
+/// The result of applying a list.
 #[derive(Debug, Default)]
 pub(crate) struct ListUpdate {
-    /// What is believed now of each server that the list names or leaves out.
+    /// The state of each server that the list names, and of each one that a full list leaves out.
     pub changes: Vec<EndpointChange>,
-    /// What was not used.
+    /// The faults of the parts of the list that were ignored.
     pub faults: Vec<ListFault>,
-    /// Only a full list can tell the rest.
+    /// True if the state of some server is uncertain until a full list is received.
     pub needs_full_list: bool,
 }
 
 impl ListUpdate {
-    fn doubt(&mut self, fault: ListFault) {
+    /// Adds a fault that leaves the state of some server uncertain until a full list is received.
+    fn require_full_list(&mut self, fault: ListFault) {
         self.faults.push(fault);
         self.needs_full_list = true;
     }
 }
 
-/// When a list came.
+/// The time at which a list was received, by both clocks.
 #[derive(Debug, Clone, Copy)]
 pub struct ReceivedAt {
-    /// Time since the planner's start.
+    /// The time since the planner's start.
     pub now: Duration,
-    /// The machines' clock, in Unix milliseconds.
+    /// The wall clock of the machine, in Unix milliseconds.
     pub unix_ms: f64,
 }
 
-/// How old a server was at one moment. The same start has the same age on every list, so that setting a clock does not
-/// look like a restart.
+/// The age of a server at one moment, counted on by the planner's clock. The age is computed once per start of the
+/// server, so that setting the wall clock does not look like a restart.
 #[derive(Debug, Clone, Copy)]
 struct Age {
-    at: Duration,
+    recorded_at: Duration,
     age: Option<Duration>,
 }
 
 impl Age {
-    fn of(started_ms: f64, received: ReceivedAt) -> Self {
+    fn from_start(started_ms: f64, received: ReceivedAt) -> Self {
         let milliseconds = (received.unix_ms - started_ms).max(0.0);
         let age = || Duration::try_from_secs_f64(milliseconds / 1000.0).unwrap_or_default();
-        Age { at: received.now, age: (started_ms > 0.0).then(age) }
+        Age { recorded_at: received.now, age: (started_ms > 0.0).then(age) }
     }
 
-    fn now(&self, now: Duration) -> Option<Duration> {
-        self.age.map(|age| age + now.saturating_sub(self.at))
+    fn at(&self, now: Duration) -> Option<Duration> {
+        self.age.map(|age| age + now.saturating_sub(self.recorded_at))
     }
 }
 
@@ -126,7 +128,7 @@
     age: Age,
 }
 
-/// A placement whose zone exists.
+/// A placement whose zone is in the settings.
 #[derive(Clone, Copy)]
 struct ResolvedPlacement {
     address: Option<SocketAddr>,
@@ -137,51 +139,53 @@
 /// All listed servers.
 pub(crate) struct ServerRegistry {
     zones: Vec<String>,
-    /// In the order in which they were first listed.
+    /// The names of the kinds, in the order in which they were first listed. A kind's number is its position plus 1.
     kinds: Vec<String>,
     version: Option<u64>,
     servers: BTreeMap<String, RegisteredServer>,
 }
 
 impl ServerRegistry {
-    /// Kinds that are told apart; all beyond them count as the last one.
+    /// The number of kinds that are distinguished. All further kinds count as the last one.
     const MAX_KINDS: usize = 64;
-    /// A start that lies further ahead than this is reported.
+    /// The time in milliseconds by which a start may lie in the future before a fault is reported. The text of
+    /// [`ListFault::StartsInFuture`] names this time.
     const MAX_START_AHEAD_MS: f64 = 3_600_000.0;
 
-    /// An empty registry for these zones.
+    /// Creates an empty registry for these zones.
     pub(crate) fn new(zones: Vec<String>) -> Self {
         ServerRegistry { zones, kinds: vec![], version: None, servers: BTreeMap::new() }
     }
 
-    /// The version of the last list; unset before the first, which may be number 0.
+    /// Returns the version of the last list. Unset before the first list, whose version may be 0.
     pub(crate) fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// The zone of this name, if the settings have it.
+    /// Returns the zone with this name if the settings contain it.
     pub(crate) fn zone(&self, name: &str) -> Option<ZoneId> {
         self.zones.iter().position(|zone| zone == name).map(|position| position as ZoneId)
     }
 
-    /// Where the server listens, if that is known.
+    /// Returns the address of the server if it is known.
     pub(crate) fn address(&self, id: &str) -> Option<SocketAddr> {
         self.servers.get(id)?.address
     }
 
-    /// How many servers are listed.
+    /// Returns the number of listed servers.
     pub(crate) fn listed_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// How many of them are ready.
+    /// Returns the number of listed servers that are ready.
     pub(crate) fn ready_count(&self) -> usize {
         self.servers.values().filter(|server| server.state == EndpointState::Ready).count()
     }
 
-    /// Takes a list that was requested since the version `since`, or in full.
+    /// Applies a list that was requested with the changes since version `since`, or in full.
     ///
-    /// Each entry counts by itself, and a drain or a removal counts whatever else is wrong with it.
+    /// A fault of one entry does not affect the others. A drain or a removal is applied even if the rest of its entry
+    /// is invalid.
     pub(crate) fn apply(
         &mut self,
         received: ReceivedAt,
@@ -189,10 +193,11 @@
         list: &EndpointList,
     ) -> ListUpdate {
         let mut update = ListUpdate::default();
-        // Changes since something else than what is known: discovery has started anew, or confuses its watchers.
+        // These are not changes since the known version: discovery has restarted or has answered another watcher's
+        // request.
         let went_back = !list.full && since.is_none_or(|since| list.version < since);
         if went_back {
-            update.doubt(ListFault::VersionWentBack { version: list.version, since });
+            update.require_full_list(ListFault::VersionWentBack { version: list.version, since });
         }
         let named = self.apply_entries(received, went_back, list, &mut update);
         if list.full {
@@ -204,7 +209,7 @@
         update
     }
 
-    /// Gives the ids that the list names.
+    /// Applies the entries one by one. Returns the ids that the list names.
     fn apply_entries(
         &mut self,
         received: ReceivedAt,
@@ -217,18 +222,20 @@
             let entry = match entry {
                 Ok(entry) => entry,
                 Err(invalid) => {
-                    // Its server stays as it is until the next full list.
+                    // The id counts as named, so that the server of an invalid entry keeps its state until the next
+                    // full list.
                     named.extend(invalid.id.clone());
                     let (id, error) = (invalid.id.clone(), invalid.error.clone());
-                    update.doubt(ListFault::InvalidEntry { id, error });
+                    update.require_full_list(ListFault::InvalidEntry { id, error });
                     continue;
                 }
             };
             let is_duplicate = !named.insert(entry.id.clone());
             if is_duplicate {
-                update.doubt(ListFault::Duplicate(entry.id.clone()));
+                update.require_full_list(ListFault::Duplicate(entry.id.clone()));
             }
-            // Of two entries, only the one that takes requests away is safe to follow.
+            // If two entries of a server, or of two versions, contradict each other, only a drain or a removal is safe
+            // to apply.
             if entry.state == EndpointState::Ready && (is_duplicate || went_back) {
                 continue;
             }
@@ -270,7 +277,8 @@
         }
         let known = self.servers.get(&entry.id);
         let same_start = known.filter(|server| server.started_ms == placement.started_ms);
-        let age = same_start.map_or_else(|| Age::of(placement.started_ms, received), |server| server.age);
+        let age =
+            same_start.map_or_else(|| Age::from_start(placement.started_ms, received), |server| server.age);
         let address = placement.address.or(known.and_then(|server| server.address));
         let ResolvedPlacement { zone, started_ms, .. } = placement;
         let server = RegisteredServer { address, zone, kind, state: entry.state, started_ms, age };
@@ -280,16 +288,17 @@
             zone,
             kind,
             state: entry.state,
-            age: age.now(received.now),
+            age: age.at(received.now),
         });
     }
 
-    /// Where the entry's server is. A server that drains stays where it was known to be.
+    /// Returns the placement of the entry's server. If the placement of a draining server is invalid, its known
+    /// placement is used.
     fn placement(&self, entry: &EndpointEntry, update: &mut ListUpdate) -> Option<ResolvedPlacement> {
         match self.resolve(entry) {
             Ok(placement) => Some(placement),
             Err(fault) => {
-                update.doubt(fault);
+                update.require_full_list(fault);
                 let known = self.servers.get(&entry.id).filter(|_| entry.state == EndpointState::Draining)?;
                 let RegisteredServer { address, zone, started_ms, .. } = *known;
                 Some(ResolvedPlacement { address, zone, started_ms })
@@ -310,7 +319,7 @@
         }
     }
 
-    /// The number of a kind, from 1.
+    /// Returns the number of a kind, starting at 1. A new kind gets the next number.
     fn kind(&mut self, name: &str) -> ServerKind {
         let known = self.kinds.iter().position(|kind| kind == name);
         let position = known.unwrap_or_else(|| {
--- a/crates/platform-protocol/src/session_manager/endpoints.rs
+++ b/crates/platform-protocol/src/session_manager/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists from discovery, and health checks of the servers that they name.
+//! Applies endpoint lists from discovery and results of health checks.
 
 use super::{Effects, SessionManager};
 use crate::event::{Event, WarningKind};
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 impl<E: Effects> SessionManager<E> {
-    /// Discovery answered a request for the list: for the changes since a version, or for the full list.
+    /// Applies the answer of discovery to a request for the list: the changes since a version, or the full list.
     ///
     /// # Errors
     ///
-    /// The answer is not a list; the request has failed.
+    /// Returns an error if the body is not an endpoint list. The caller then treats the request as failed.
     pub fn endpoint_list_received(
         &mut self,
         received: ReceivedAt,
@@ -36,15 +36,15 @@
         self.log_list_update(received.now, since, &update);
         let endpoints: Vec<Endpoint> =
             update.changes.iter().map(|change| self.endpoint(received.now, change)).collect();
-        // An answer without changes is passed on once after the policy asked, so that it knows of the answer.
+        // The first answer to a request of the policy is passed on even without changes: the policy waits for it.
         let was_requested = std::mem::take(&mut self.list_requested);
         if was_requested || !endpoints.is_empty() {
-            // Servers that a full list leaves out are among the changes, as removed.
+            // Never a full list for the policy: servers that a full list leaves out are among the changes, as removed.
             let is_full = false;
             self.policy.endpoints_updated(received.now, is_full, &endpoints);
             self.flush();
         }
-        // A full list that is wrong in part would be wrong again.
+        // If this list was requested in full, requesting another full list would bring the same faults.
         if update.needs_full_list && since.is_some() {
             self.effects.request_full_list();
         }
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The changed server under its index.
+    /// Converts the change for the policy, and assigns or releases the index of the server.
     fn endpoint(&mut self, now: Duration, change: &EndpointChange) -> Endpoint {
         let assignments = &self.assignments;
         let server = self.server_indices.add(now, &change.id, |server| assignments.contains_server(server));
@@ -71,7 +71,8 @@
         Endpoint { server, zone, kind, state, age }
     }
 
-    /// A request for the endpoint list failed, or its watch ended.
+    /// Handles the failure of a request for the endpoint list, or the end of the watch. The policy requests the list
+    /// again.
     pub fn endpoint_list_failed(&mut self, now: Duration, cause: &str) {
         self.warn(now, WarningKind::ListRequestFailed, &cause);
         self.list_requested = false;
@@ -79,7 +80,7 @@
         self.flush();
     }
 
-    /// A health check finished. The answer of an address that the server no longer has says nothing about it.
+    /// Handles the result of a health check. The result is ignored if the server has another address now.
     pub fn health_check_finished(&mut self, server: &str, address: SocketAddr, result: HealthCheckResult) {
         if self.registry.address(server) != Some(address) {
             return;
--- a/crates/platform-protocol/src/session_manager/messages.rs
+++ b/crates/platform-protocol/src/session_manager/messages.rs
@@ -1,4 +1,4 @@
-//! What each message does, by who sent it.
+//! Handles each message, depending on the peer that sent it.
 
 use super::reasons::{CloseReason, DropReason};
 use super::{Effects, SessionManager};
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The proxy of a number, if the settings have so many.
+    /// Returns the id of the proxy with this number if the number is below the proxy count of the settings.
     fn proxy(&self, number: u32) -> Option<ProxyId> {
         ProxyId::try_from(number).ok().filter(|proxy| usize::from(*proxy) < self.proxy_count)
     }
@@ -50,15 +50,15 @@
         }
     }
 
-    /// The newest stream of a proxy counts; the end of an older one means nothing any more.
+    /// Adds the stream of a proxy. Only the newest stream of a proxy counts; the end of an older one is ignored.
     fn join(&mut self, now: Duration, id: ConnectionId, proxy: ProxyId, zone: ZoneId, request: &JoinRequest) {
         if let Some(other) = self.streams.get(&proxy).copied() {
             if other > id {
-                // Accepted first and read last: the proxy has given it up and connected again.
+                // This stream was accepted first but read last: the proxy has abandoned it and connected again.
                 return self.close(now, id, &CloseReason::NewerStream);
             }
             self.effects.close(other);
-            self.forget(other, StreamChange::Replaced);
+            self.remove_connection(other, StreamChange::Replaced);
         }
         self.identify(id, Peer::Proxy(proxy));
         self.streams.insert(proxy, id);
@@ -93,7 +93,8 @@
         self.flush();
     }
 
-    /// The metrics in the order of the settings, NaN where one is missing; none where all are.
+    /// Returns the metrics in the order of the settings, with NaN for each missing one. Returns an empty list if all
+    /// are missing.
     fn metrics(&self, report: &ServerReport) -> Vec<f32> {
         let metric = |name: &String| {
             report.metrics.iter().find(|(metric, _)| metric == name).map_or(f32::NAN, |(_, value)| *value)
@@ -126,7 +127,7 @@
     }
 }
 
-/// Usage of a proxy comes on its own stream or from any collector.
+/// Returns true if the sender may report the usage of this proxy: the proxy itself or any collector.
 fn may_report_usage(sender: Peer, proxy: ProxyId) -> bool {
     matches!(sender, Peer::Collector(_)) || sender == Peer::Proxy(proxy)
 }
--- a/crates/platform-protocol/src/session_manager/mod.rs
+++ b/crates/platform-protocol/src/session_manager/mod.rs
@@ -1,8 +1,8 @@
-//! Turns what happens on connections and at discovery into calls of the policy, and what the policy orders into
-//! [`Effects`]. No I/O and no clock: the host passes the time in.
+//! Translates events of connections and of discovery into calls of the policy, and the policy's decisions into
+//! [`Effects`]. This module does no I/O and reads no clock: the host passes the time in.
 //!
-//! The host calls one method for each thing that happens, and [`SessionManager::timer_fired`] once the time of
-//! [`SessionManager::next_deadline`] has come; later only delays what is due.
+//! The host calls one method for each event, and [`SessionManager::timer_fired`] when the time of
+//! [`SessionManager::next_deadline`] has come. A later call only delays what is due.
 
 mod endpoints;
 mod messages;
@@ -27,74 +27,77 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the session manager asks of its host.
+/// The actions that the session manager requests from its host.
 pub trait Effects {
-    /// Write these bytes to the connection.
+    /// Writes these bytes to the connection.
     fn write(&mut self, connection: ConnectionId, bytes: &[u8]);
-    /// Close the connection once everything that was written has gone out. No call of
-    /// [`SessionManager::connection_closed`] need follow.
+    /// Closes the connection after all written bytes were sent. The host may omit the call of
+    /// [`SessionManager::connection_closed`] afterwards.
     fn close(&mut self, connection: ConnectionId);
-    /// Start a health check of the server at this address.
+    /// Starts a health check of the server at this address.
     fn start_health_check(&mut self, server: &str, address: SocketAddr);
-    /// Request the changes of the endpoint list and go on watching it.
+    /// Requests the changes of the endpoint list and continues to watch the list.
     fn watch_endpoints(&mut self);
-    /// The next answer of discovery has to be a full list.
+    /// Makes the next request to discovery ask for the full list.
     fn request_full_list(&mut self);
-    /// Write an event to the log.
+    /// Writes an event to the log.
     fn log(&mut self, event: &Event);
 }
 
-/// How much a session manager holds.
+/// The numbers of objects that a session manager holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Status {
-    /// Proxies that have joined.
+    /// The number of proxies that have joined.
     pub joined_proxies: usize,
-    /// Connections whose peer has not said who it is.
+    /// The number of connections whose peer has neither joined nor announced itself.
     pub unknown_peers: usize,
-    /// Servers in the endpoint list.
+    /// The number of servers in the endpoint list.
     pub listed_servers: usize,
-    /// Servers in the list that are ready.
+    /// The number of servers in the list that are ready.
     pub ready_servers: usize,
-    /// Server indices in use or reserved.
+    /// The number of server indices in use or reserved.
     pub server_indices: usize,
     /// The version of the endpoint list.
     pub list_version: Option<u64>,
 }
 
-/// Serves the proxies and collectors of one planner.
+/// The protocol logic of one planner: serves its proxies and collectors, and follows discovery.
 pub struct SessionManager<E> {
     effects: E,
     policy: Policy<Assignments>,
-    /// What the policy orders, which it writes as its host.
+    /// The decisions of the policy. The policy shares this value as its host and writes to it.
     assignments: Assignments,
     server_indices: ServerIndices<String>,
     registry: ServerRegistry,
     connections: Connections,
-    /// The stream of each joined proxy; of several, the newest.
+    /// The newest stream of each joined proxy.
     streams: BTreeMap<ProxyId, ConnectionId>,
-    /// Proxies are numbered from 0 up to this.
+    /// The number of proxies. Their numbers are below this count.
     proxy_count: usize,
     route_names: Vec<String>,
     metric_names: Vec<String>,
     aggregator: LogAggregator,
     event_log: EventLog,
     weight_log: Option<WeightLog>,
-    /// The policy asked for the endpoint list and was not answered.
+    /// True if the policy has requested the endpoint list and has received no answer.
     list_requested: bool,
-    /// When connections are checked for time limits next.
+    /// The time of the next sweep, which closes overdue connections and logs changes.
     next_sweep_at: Duration,
 }
 
 impl<E: Effects> SessionManager<E> {
-    /// How long the index of a removed server is reserved: what is still on its way from it has come by then.
+    /// The time for which the index of a removed server is reserved, so that late messages about this server are not
+    /// attributed to another one.
     const INDEX_RESERVATION: Duration = Duration::from_secs(30);
-    /// How often connections are checked for time limits and the log is written.
+    /// The time between two sweeps, which close overdue connections and log changes.
     const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-    /// At most one warning of a kind in this time.
+    /// The time in which at most one warning of each kind is reported.
     const WARNING_INTERVAL: Duration = Duration::from_secs(10);
 
-    /// Starts the policy. `reserved_descriptors` are kept from peers that have not joined; `unix_ms` is the machines'
-    /// clock at this moment, in Unix milliseconds.
+    /// Creates a session manager and starts the policy.
+    ///
+    /// `reserved_descriptors` is the number of descriptors that peers without a join cannot take, besides those for
+    /// proxies and collectors. `unix_ms` is the wall clock of the machine at this moment, in Unix milliseconds.
     pub fn new(effects: E, config: PlannerConfig, reserved_descriptors: usize, unix_ms: f64) -> Self {
         let unknown_limit = config.unknown_peer_limit(reserved_descriptors);
         let assignments = Assignments::default();
@@ -137,22 +140,22 @@
         }
     }
 
-    /// Reports the weights of all tables from now on. To be called before any proxy has joined.
+    /// Enables [`Event::TableWeights`] for all tables. To be called before any proxy has joined.
     pub fn log_weights(&mut self) {
         self.weight_log = Some(WeightLog::default());
     }
 
-    /// When [`SessionManager::timer_fired`] is to be called next.
+    /// Returns the time at which [`SessionManager::timer_fired`] is to be called next.
     pub fn next_deadline(&self) -> Duration {
         self.assignments.next_timer().map_or(self.next_sweep_at, |timer| timer.min(self.next_sweep_at))
     }
 
-    /// The version of the endpoint list that is known.
+    /// Returns the known version of the endpoint list.
     pub fn endpoint_list_version(&self) -> Option<u64> {
         self.registry.version()
     }
 
-    /// How much is held.
+    /// Returns the numbers of proxies, peers and servers that the session manager holds.
     pub fn status(&self) -> Status {
         Status {
             joined_proxies: self.streams.len(),
@@ -164,7 +167,7 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Runs the sweep and the policy's timers that are due.
     pub fn timer_fired(&mut self, now: Duration) {
         if now >= self.next_sweep_at {
             self.next_sweep_at = now + Self::SWEEP_INTERVAL;
--- a/crates/platform-protocol/src/session_manager/peers.rs
+++ b/crates/platform-protocol/src/session_manager/peers.rs
@@ -1,4 +1,4 @@
-//! Connections: accepted, closed, and what comes on them.
+//! Opens and closes connections, and splits their bytes into messages.
 
 use super::reasons::{CloseReason, DropReason};
 use super::{Effects, SessionManager};
@@ -8,24 +8,25 @@
 use std::time::Duration;
 
 impl<E: Effects> SessionManager<E> {
-    /// Messages in a row that cannot be parsed before a connection is closed. With good ones between, they are dropped.
+    /// The number of consecutive unreadable messages after which a connection is closed. A valid message between them
+    /// resets the count.
     const MAX_UNREADABLE_MESSAGES: u32 = 3;
 
-    /// A connection was accepted.
+    /// Adds an accepted connection, and closes the oldest one of an unknown peer if there are too many of them.
     pub fn connection_opened(&mut self, now: Duration, id: ConnectionId) {
         if let Some(evicted) = self.connections.open(now, id) {
             self.close(now, evicted, &CloseReason::TooManyUnknown);
         }
     }
 
-    /// The connection that the next accepted one replaces. It may have sent its join already, so what it sent is to be
-    /// passed on first.
+    /// Returns the connection that the next accepted one replaces. Its join may be waiting in the socket, so the host
+    /// reads from this connection before it reports the next accepted one.
     pub fn next_evicted(&self) -> Option<ConnectionId> {
         self.connections.next_evicted()
     }
 
-    /// A connection could not be accepted, for want of descriptors say: makes room by closing the oldest connection
-    /// whose peer is unknown.
+    /// Handles a failure to accept a connection, for example because descriptors have run out. Closes the oldest
+    /// connection whose peer is unknown, to free its descriptor.
     pub fn accept_failed(&mut self, now: Duration, cause: &str) {
         match self.connections.oldest_unknown() {
             Some(oldest) => self.close(now, oldest, &CloseReason::OutOfDescriptors),
@@ -33,16 +34,16 @@
         }
     }
 
-    /// The connection was closed from the other side, or broke.
+    /// Handles the end of a connection that the peer has closed or that has broken.
     pub fn connection_closed(&mut self, id: ConnectionId) {
-        self.forget(id, StreamChange::Left);
+        self.remove_connection(id, StreamChange::Left);
     }
 
-    /// Bytes came on the connection.
+    /// Handles bytes that were received on the connection.
     pub fn bytes_received(&mut self, now: Duration, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(id) else { return };
         connection.receive(now, bytes);
-        // A message may close the connection that it came on.
+        // Looked up again for each message: handling a message may close its connection.
         while let Some(connection) = self.connections.get_mut(id) {
             match next_message(now, connection) {
                 Ok(None) => return,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Closes a connection that is of no further use. A peer that has not joined is told why.
+    /// Closes a connection. A peer that has not joined is sent the reason.
     pub(super) fn close(&mut self, now: Duration, id: ConnectionId, reason: &CloseReason) {
         let peer = self.connections.peer(id);
         if peer == Some(Peer::Unknown) {
@@ -90,11 +91,11 @@
         };
         self.warn(now, kind, reason);
         self.effects.close(id);
-        self.forget(id, StreamChange::Closed);
+        self.remove_connection(id, StreamChange::Closed);
     }
 
-    /// The connection has ended. Its proxy has left, unless a newer stream of it has joined.
-    pub(super) fn forget(&mut self, id: ConnectionId, change: StreamChange) {
+    /// Removes an ended connection. If it is the newest stream of a proxy, the proxy has left.
+    pub(super) fn remove_connection(&mut self, id: ConnectionId, change: StreamChange) {
         let Some(connection) = self.connections.remove(id) else { return };
         let Peer::Proxy(proxy) = connection.peer else { return };
         if self.streams.get(&proxy) != Some(&id) {
@@ -111,18 +112,19 @@
     }
 }
 
-/// The next complete message of the connection, if there is one, or why that message cannot be parsed.
+/// Returns the next complete message of the connection if there is one, or the reason why this message cannot be
+/// parsed.
 ///
 /// # Errors
 ///
-/// No further message can be found on this connection.
+/// Returns an error if the bytes are not frames, so that no further message can be found on this connection.
 fn next_message(
     now: Duration,
     connection: &mut Connection,
 ) -> Result<Option<Result<Message, MessageError>>, FrameError> {
     let Some(body) = connection.frames.next_body()? else { return Ok(None) };
     let message = parse_message(body);
-    connection.message_began(now);
+    connection.restart_message_timer(now);
     if message.is_ok() {
         connection.unreadable_messages = 0;
     }
--- a/crates/platform-protocol/src/session_manager/publishing.rs
+++ b/crates/platform-protocol/src/session_manager/publishing.rs
@@ -1,4 +1,5 @@
-//! The end of each turn: what the policy ordered goes out, one message for each proxy concerned.
+//! Sends the policy's decisions after each call of the policy: one message to each proxy whose table or admission
+//! changes.
 
 use super::{Effects, SessionManager};
 use crate::connections::{ConnectionId, Connections};
@@ -11,7 +12,7 @@
 use std::collections::BTreeMap;
 
 impl<E: Effects> SessionManager<E> {
-    /// Carries out what the policy ordered since the last flush.
+    /// Carries out the decisions that the policy has made since the last flush.
     pub(super) fn flush(&mut self) {
         self.write_updates();
         self.start_health_checks();
@@ -47,7 +48,7 @@
     }
 }
 
-/// Writes the updates of one turn. Many proxies share a table, so each update of a table is encoded once.
+/// Writes the updates of one flush. Many proxies share a table, so each update of a table is encoded only once.
 struct UpdateWriter<'a, E, F> {
     effects: &'a mut E,
     connections: &'a mut Connections,
@@ -55,7 +56,7 @@
     event_log: &'a mut EventLog,
     weight_log: Option<&'a mut WeightLog>,
     encoder: UpdateEncoder<'a, F>,
-    /// By table, and whether it is written in full.
+    /// The encoded updates, by table and by whether the table is written in full.
     encoded: BTreeMap<(TableId, bool), Vec<u8>>,
 }
 
@@ -72,7 +73,7 @@
         }
         self.effects.write(id, &self.encoded[&(update.table, is_full)]);
         if let (Some(token), Some(connection)) = (update.ack_token, self.connections.get_mut(id)) {
-            connection.ack_requested(token);
+            connection.add_pending_ack(token);
         }
     }
 
--- a/crates/platform-protocol/src/session_manager/reasons.rs
+++ b/crates/platform-protocol/src/session_manager/reasons.rs
@@ -1,9 +1,9 @@
-//! Why a connection is closed or a message dropped.
+//! The reasons for closing a connection or dropping a message.
 
 use crate::wire::{FrameError, Message, MessageError};
 use thiserror::Error;
 
-/// Why a connection is closed. The text goes to a peer that has not joined. On the wire: do not rename.
+/// The reason for closing a connection. The text is sent to a peer that has not joined. On the wire: do not change.
 #[derive(Debug, Error)]
 pub(super) enum CloseReason {
     #[error("too many have not joined")]
@@ -28,7 +28,7 @@
     NewerStream,
 }
 
-/// Why a message on a good connection is dropped.
+/// The reason for dropping a message without closing its connection. The text is logged.
 #[derive(Debug, Error)]
 pub(super) enum DropReason {
     #[error(transparent)]
--- a/crates/platform-protocol/src/weight_log.rs
+++ b/crates/platform-protocol/src/weight_log.rs
@@ -1,60 +1,60 @@
-//! Reports the weight of each server in each table, and how many proxies hold the table, so that the load that a server
-//! is sent can be worked out for any moment of a day.
+//! Reports the weight of each server in each table, and the number of proxies that hold the table, so that the load
+//! that a server receives can be computed for any moment of a day.
 //!
-//! A table is reported at most once a drain, with its newest weights, and only so many tables at a time; the rest wait
-//! for the next. Memory is bounded by the tables themselves.
+//! Each drain reports a table at most once, with its newest weights, and at most [`TABLES_PER_DRAIN`] tables; the
+//! others wait for the next drain. Memory is bounded by the size of the tables.
 
 use crate::event::{Event, LoggedWeight, TableWeights};
 use grebespool::host::{ProxyId, ServerIndex, TableId};
 use grebespool_assignments::ServerWeight;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tables that are reported at a time.
+/// The number of tables that one drain reports.
 const TABLES_PER_DRAIN: usize = 32;
-/// Servers in one event.
+/// The number of servers in one event.
 const SERVERS_PER_EVENT: usize = 64;
 
 #[derive(Default)]
 struct LoggedTable {
     weights: BTreeMap<ServerIndex, f32>,
-    /// Servers whose weight has changed since it was reported.
+    /// The servers whose weight has changed since it was reported.
     changed: BTreeSet<ServerIndex>,
-    proxies: usize,
-    /// Something about the table has changed since it was reported.
-    due: bool,
+    proxy_count: usize,
+    /// True if the weights or the proxies of the table have changed since the table was reported.
+    needs_report: bool,
 }
 
-/// The weights that proxies were sent.
+/// The weights that were written to proxies.
 #[derive(Default)]
 pub(crate) struct WeightLog {
     tables: BTreeMap<TableId, LoggedTable>,
-    table_of: BTreeMap<ProxyId, TableId>,
-    /// Where the next drain begins, so that tables which change all the time do not keep others out.
-    next: TableId,
+    table_by_proxy: BTreeMap<ProxyId, TableId>,
+    /// The table at which the next drain begins, so that tables which change in every drain do not starve the others.
+    next_table: TableId,
 }
 
 impl WeightLog {
-    /// A proxy holds this table from now on.
+    /// Records that a proxy holds this table and no other.
     pub(crate) fn proxy_bound(&mut self, proxy: ProxyId, table: TableId) {
         self.proxy_left(proxy);
-        self.table_of.insert(proxy, table);
-        self.change_proxies(table, 1);
+        self.table_by_proxy.insert(proxy, table);
+        self.adjust_proxy_count(table, 1);
     }
 
-    /// A proxy holds no table any more.
+    /// Records that a proxy holds no table any more.
     pub(crate) fn proxy_left(&mut self, proxy: ProxyId) {
-        if let Some(table) = self.table_of.remove(&proxy) {
-            self.change_proxies(table, -1);
+        if let Some(table) = self.table_by_proxy.remove(&proxy) {
+            self.adjust_proxy_count(table, -1);
         }
     }
 
-    fn change_proxies(&mut self, table: TableId, difference: isize) {
+    fn adjust_proxy_count(&mut self, table: TableId, difference: isize) {
         let logged = self.tables.entry(table).or_default();
-        logged.proxies = logged.proxies.saturating_add_signed(difference);
-        logged.due = true;
+        logged.proxy_count = logged.proxy_count.saturating_add_signed(difference);
+        logged.needs_report = true;
     }
 
-    /// These weights of a table were written; a weight of zero removes the server.
+    /// Records weights of a table that were written. A weight of zero removes the server.
     pub(crate) fn weights_written(&mut self, table: TableId, weights: &[ServerWeight]) {
         let logged = self.tables.entry(table).or_default();
         for ServerWeight { server, weight } in weights {
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Events of the tables whose turn it is.
+    /// Returns the events of the next tables that need a report.
     pub(crate) fn drain<'a>(&mut self, id: impl Fn(ServerIndex) -> &'a str) -> Vec<Event> {
-        let due = self.due_tables();
-        self.next = due.get(TABLES_PER_DRAIN).copied().unwrap_or_default();
+        let changed = self.changed_tables();
+        self.next_table = changed.get(TABLES_PER_DRAIN).copied().unwrap_or_default();
         let mut events = vec![];
-        for table in due.into_iter().take(TABLES_PER_DRAIN) {
+        for table in changed.into_iter().take(TABLES_PER_DRAIN) {
             if let Some(logged) = self.tables.get_mut(&table) {
                 events.extend(logged.drain(table, &id));
             }
@@ -75,10 +75,10 @@
         events
     }
 
-    /// All tables that are due, from the next one on.
-    fn due_tables(&self) -> Vec<TableId> {
-        let from_next = self.tables.range(self.next..).chain(self.tables.range(..self.next));
-        from_next.filter(|(_, logged)| logged.due).map(|(table, _)| *table).collect()
+    /// Returns all tables that need a report, starting at `next_table` and wrapping around.
+    fn changed_tables(&self) -> Vec<TableId> {
+        let from_next = self.tables.range(self.next_table..).chain(self.tables.range(..self.next_table));
+        from_next.filter(|(_, logged)| logged.needs_report).map(|(table, _)| *table).collect()
     }
 }
 
@@ -88,16 +88,16 @@
             if weight > 0.0 { self.weights.insert(server, weight) } else { self.weights.remove(&server) };
         if previous.unwrap_or(0.0) != weight {
             self.changed.insert(server);
-            self.due = true;
+            self.needs_report = true;
         }
     }
 
     fn drain<'a>(&mut self, table: TableId, id: impl Fn(ServerIndex) -> &'a str) -> Vec<Event> {
-        self.due = false;
+        self.needs_report = false;
         let sum = self.weights.values().sum();
         let event = |changed: &[LoggedWeight]| {
             let changed = changed.to_vec();
-            Event::TableWeights(TableWeights { table, proxies: self.proxies, sum, changed })
+            Event::TableWeights(TableWeights { table, proxies: self.proxy_count, sum, changed })
         };
         let weight = |server: ServerIndex| self.weights.get(&server).copied().unwrap_or(0.0);
         let changed: Vec<LoggedWeight> = std::mem::take(&mut self.changed)
--- a/crates/platform-protocol/src/wire/endpoint_list.rs
+++ b/crates/platform-protocol/src/wire/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Answers of discovery, as typed values. Whether the zones that they name exist is for the registry to check.
+//! Parses answers of discovery into typed values. The server registry checks that the named zones exist.
 
 use super::names::endpoint;
 use super::object::{FieldError, ObjectReader};
@@ -8,43 +8,43 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest id of a server, and the longest name of a kind, in bytes.
+/// The longest id of a server and the longest name of a kind, in bytes.
 const MAX_NAME_LENGTH: usize = 128;
 
-/// Why an answer is not an endpoint list.
+/// The reason why an answer is not an endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EndpointListError {
     /// The body is not JSON.
     #[error("the list is not JSON: {0}")]
     NotJson(String),
     /// The body is JSON, but not an object.
-    #[error("the list is no object")]
+    #[error("the list is not a JSON object")]
     NotAnObject,
     /// The version is missing or not a whole number.
-    #[error("the list has no version that can be read")]
+    #[error("the list: expected a whole number in version")]
     NoVersion,
     /// The entries are missing or not an array.
-    #[error("the list has no servers")]
+    #[error("the list: expected an array in servers")]
     NoEntries,
-    /// It does not tell whether it is full.
+    /// The flag that says whether the list is full is missing or not a boolean.
     #[error(transparent)]
     Field(#[from] FieldError),
 }
 
-/// Why an entry, or its placement, cannot be used.
+/// The reason why an entry or its placement cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum EntryError {
     /// The entry is not an object.
-    #[error("an entry that is no object")]
+    #[error("the entry is not an object")]
     NotAnObject,
     /// The id is empty or too long.
-    #[error("an entry with an id of {length} bytes; 1 to {MAX_NAME_LENGTH} are possible")]
+    #[error("expected an id of 1 to {MAX_NAME_LENGTH} bytes, found {length} bytes")]
     IdLength {
-        /// Bytes of the id.
+        /// The length of the id in bytes.
         length: usize,
     },
-    /// The state is none that an endpoint can have.
-    #[error("unknown state {0:?}")]
+    /// The state is not a state of an endpoint.
+    #[error("expected state SERVING, DRAINING or DELETED, found {0:?}")]
     UnknownState(String),
     /// A field is missing or wrong.
     #[error(transparent)]
@@ -54,18 +54,18 @@
 /// An entry that cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct InvalidEntry {
-    /// Its id, if it has one.
+    /// The id of the entry, if it has one.
     pub id: Option<String>,
-    /// What is wrong with it.
+    /// The reason why the entry cannot be used.
     pub error: EntryError,
 }
 
-/// Where a server is and when it started.
+/// The address, zone and last start of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Placement {
-    /// The address that it listens at, if one can be read.
+    /// The address that the server listens at, if the entry has a valid one.
     pub address: Option<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the server's zone.
     pub zone: String,
     /// The server's last start in Unix milliseconds; 0 means long ago.
     pub started_ms: f64,
@@ -76,22 +76,23 @@
 pub(crate) struct EndpointEntry {
     /// The id of the server.
     pub id: String,
-    /// Its state.
+    /// The state of the server.
     pub state: EndpointState,
-    /// The name of its kind. One that names none, or too long a one, is a server all the same.
+    /// The name of the server's kind. Unset if the name is missing, not a string or too long; the entry is valid even
+    /// so.
     pub kind: Option<String>,
-    /// Where it is. A drain or a removal counts whatever is wrong with it.
+    /// The placement of the server. A drain or a removal is applied even if the placement is invalid.
     pub placement: Result<Placement, EntryError>,
 }
 
-/// A full list, or the entries that changed.
+/// A full list, or a list of the entries that changed.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Whether it names all servers.
+    /// True if the list names all servers; false if it names only changes.
     pub full: bool,
-    /// Its entries, in the order in which they came.
+    /// The entries, in the order in which they were received.
     pub entries: Vec<Result<EndpointEntry, InvalidEntry>>,
 }
 
@@ -100,18 +101,18 @@
     ///
     /// # Errors
     ///
-    /// It is not an endpoint list.
+    /// Returns an error if the body is not an endpoint list.
     pub(crate) fn parse(body: &[u8]) -> Result<Self, EndpointListError> {
         let value: Value =
             serde_json::from_slice(body).map_err(|error| EndpointListError::NotJson(error.to_string()))?;
         Self::from_json(&value)
     }
 
-    /// Reads a list that is part of another document.
+    /// Reads a list that is part of another JSON document.
     ///
     /// # Errors
     ///
-    /// It is not an endpoint list.
+    /// Returns an error if the value is not an endpoint list.
     pub(crate) fn from_json(value: &Value) -> Result<Self, EndpointListError> {
         let Value::Object(fields) = value else { return Err(EndpointListError::NotAnObject) };
         let object = ObjectReader { kind: "the list", fields };
@@ -165,7 +166,8 @@
     Ok(Placement { address, zone, started_ms })
 }
 
-/// Path and query of a request for the list: the full one, or the changes since a version, waiting for some that long.
+/// Returns the path and query of a request for the list: the full list, or the changes since a version with the time
+/// that discovery waits for a change.
 pub(crate) fn endpoint_list_path(changes_since: Option<(u64, Duration)>) -> String {
     match changes_since {
         None => endpoint::PATH.into(),
--- a/crates/platform-protocol/src/wire/frame.rs
+++ b/crates/platform-protocol/src/wire/frame.rs
@@ -1,14 +1,15 @@
-//! Frames: a four-byte length, most significant byte first, and a body of that many bytes.
+//! Frames: a four-byte length, most significant byte first, followed by a body of that length.
 
 use serde_json::Value;
 use thiserror::Error;
 
-/// Bytes of the length before each body.
+/// The size in bytes of the length field before each body.
 const HEADER_LENGTH: usize = 4;
 
-/// Bytes that cannot be frames. The next frame's start cannot be found after them, so the connection is unusable.
+/// The reason why received bytes are not frames. The start of the next frame cannot be found after them, so the
+/// connection is unusable.
 ///
-/// The texts go to the peer in a refusal. On the wire: do not rename.
+/// The texts are sent to the peer in a NACK. On the wire: do not change.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum FrameError {
     /// The announced length exceeds the limit of the connection.
@@ -27,23 +28,23 @@
     NotAnObject(u8),
 }
 
-/// Splits the byte stream of one connection into frames.
+/// A decoder that splits the byte stream of one connection into frames.
 ///
-/// It allocates memory only for bytes that were received, whatever length a frame announces.
+/// The decoder allocates memory only for received bytes, not for the length that a frame announces.
 pub struct FrameDecoder {
     buffer: Vec<u8>,
-    /// Bytes at the start of `buffer` that were handed out already.
+    /// The number of bytes at the start of `buffer` that were already returned.
     consumed: usize,
     body_limit: usize,
 }
 
 impl FrameDecoder {
-    /// A decoder that accepts bodies of up to `body_limit` bytes.
+    /// Creates a decoder that accepts bodies of up to `body_limit` bytes.
     pub fn new(body_limit: usize) -> Self {
         FrameDecoder { buffer: vec![], consumed: 0, body_limit }
     }
 
-    /// Accepts bodies of up to this many bytes from now on.
+    /// Sets the longest accepted body, in bytes, for the following frames.
     pub fn set_body_limit(&mut self, body_limit: usize) {
         self.body_limit = body_limit;
     }
@@ -57,11 +58,11 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The body of the next complete frame, if there is one.
+    /// Returns the body of the next complete frame, if one was received.
     ///
     /// # Errors
     ///
-    /// The bytes cannot be frames; told as early as they show it.
+    /// Returns an error if the bytes are not frames, as soon as the received bytes show this.
     pub fn next_body(&mut self) -> Result<Option<&[u8]>, FrameError> {
         let unread = &self.buffer[self.consumed..];
         let Some(header) = unread.first_chunk::<HEADER_LENGTH>() else {
@@ -79,12 +80,12 @@
         Ok(Some(&self.buffer[start..start + length]))
     }
 
-    /// Whether part of a frame was received without the rest.
+    /// Returns true if part of a frame was received without the rest.
     pub fn has_partial_frame(&self) -> bool {
         self.buffer.len() > self.consumed
     }
 
-    /// The most significant byte of a length may exceed the limit by itself.
+    /// Checks the first byte of an incomplete header: the most significant byte of a length alone can exceed the limit.
     fn check_partial_header(&self) -> Result<(), FrameError> {
         match self.buffer.get(self.consumed) {
             Some(first) => self.check_maximum(usize::from(*first) << 24),
@@ -106,7 +107,7 @@
         Ok(())
     }
 
-    /// Releases the buffer of a connection without unread bytes: hundreds of them may be idle.
+    /// Returns `None`, and releases the buffer if it holds no unread bytes: hundreds of connections may be idle.
     fn incomplete(&mut self) -> Option<&[u8]> {
         if !self.has_partial_frame() {
             (self.buffer, self.consumed) = (vec![], 0);
@@ -115,7 +116,8 @@
     }
 }
 
-/// A plausible length before other bytes would otherwise hold the connection until that many have come.
+/// Checks that a body can begin with this byte. Without this check, bytes that are not frames but start with a
+/// plausible length would keep the connection open until that many bytes were received.
 fn check_first_byte(first: Option<u8>) -> Result<(), FrameError> {
     match first {
         None | Some(b'{' | b' ' | b'\t' | b'\r' | b'\n') => Ok(()),
@@ -123,7 +125,8 @@
     }
 }
 
-/// Encodes one JSON object as a frame.
+/// Encodes one JSON object as a frame. `serde_json` writes the fields in alphabetical order; the recorded fixtures
+/// compare these bytes.
 pub(crate) fn encode_frame(object: &Value) -> Vec<u8> {
     let body = object.to_string();
     [&(body.len() as u32).to_be_bytes()[..], body.as_bytes()].concat()
--- a/crates/platform-protocol/src/wire/message.rs
+++ b/crates/platform-protocol/src/wire/message.rs
@@ -1,27 +1,28 @@
-//! Messages from proxies and collectors, as typed values. Whether the zones, servers, routes and proxies that they name
-//! exist is for the session manager to check.
+//! Parses messages from proxies and collectors into typed values. The session manager checks that the named zones,
+//! servers, routes and proxies exist.
 
 use super::names::{field, kind};
 use super::object::{FieldError, FieldFault, ObjectReader};
 use serde_json::{Map, Value};
 use thiserror::Error;
 
-/// The most requests or attempts that one message may count; a wrong count above it would outweigh all others.
+/// The largest accepted number of requests or attempts in one message. A wrong count above this limit would outweigh
+/// all others.
 const MAX_COUNT: u32 = 1 << 20;
-/// A day in milliseconds: no reported time is longer.
+/// The longest accepted time in milliseconds: one day.
 const MAX_MILLISECONDS: f64 = 86_400_000.0;
-/// The largest metric of a load report, and the largest request rate.
+/// The largest accepted metric of a load report, and the largest accepted request rate per second.
 const MAX_METRIC: f64 = 1e7;
-/// Characters of an unknown kind that go into an error.
+/// The number of characters of an unknown kind that an error contains.
 const MAX_KIND_SHOWN: usize = 20;
 
-/// Why a message cannot be used. The texts go to the peer in a refusal. On the wire: do not rename.
+/// The reason why a message cannot be used. The texts are sent to the peer in a NACK. On the wire: do not change.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum MessageError {
     /// The body is not one JSON object.
     #[error("it is not an object of JSON")]
     NotAnObject,
-    /// The object is none of the messages that a planner receives.
+    /// The kind of the object is not a kind of message that a planner receives.
     #[error("{0:?} is no message that may come")]
     UnknownKind(String),
     /// A field is missing or wrong.
@@ -36,62 +37,62 @@
     pub zone: String,
     /// The id of the server.
     pub server: String,
-    /// All attempts.
+    /// The number of all attempts.
     pub attempts: u32,
-    /// Attempts that failed.
+    /// The number of failed attempts.
     pub failures: u32,
-    /// Mean latency of the others in milliseconds, if there were any.
+    /// The mean latency of the successful attempts in milliseconds, if there were any.
     pub mean_latency_ms: Option<f64>,
-    /// Metrics of the server's last load report, by name.
+    /// The metrics of the server's last load report, by name.
     pub metrics: Vec<(String, f32)>,
 }
 
-/// Requests that came to a proxy during an interval.
+/// Requests that a proxy received during an interval.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UsageReport {
     /// The number of the proxy.
     pub proxy: u32,
     /// The name of the route.
     pub route: String,
-    /// How many requests came.
+    /// The number of requests.
     pub requests: u32,
 }
 
-/// A proxy's request to be served.
+/// The first message of a proxy on its stream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JoinRequest {
     /// The number of the proxy.
     pub proxy: u32,
     /// The zone of the proxy.
     pub zone: String,
-    /// A rough figure of its requests a second.
+    /// The approximate number of requests per second at the proxy.
     pub requests_per_second: f64,
-    /// Whether it holds no table from any planner.
+    /// True if the proxy holds no table of any planner.
     pub without_table: bool,
 }
 
-/// One message from a peer.
+/// One message from a peer. Its Debug form is part of a logged cause.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Asks for a sign of life.
+    /// A peer checks that the planner answers.
     Ping,
     /// A collector announces itself.
     Collector {
-        /// The zone that it collects for.
+        /// The zone whose proxies the collector reports on.
         zone: String,
     },
     /// A proxy joins.
     Join(JoinRequest),
-    /// Attempts at a server.
+    /// A collector reports attempts at a server.
     ServerReport(ServerReport),
-    /// A proxy has applied everything up to an ack token.
+    /// A proxy has applied all messages up to an ack token.
     Ack {
         /// The number of the proxy.
         proxy: u32,
-        /// The token.
+        /// The acknowledged ack token.
         token: u32,
     },
-    /// Requests at a proxy.
+    /// A proxy or a collector reports requests at a proxy.
     Usage(UsageReport),
 }
 
@@ -99,7 +100,7 @@
 ///
 /// # Errors
 ///
-/// Why the message cannot be used.
+/// Returns an error if the body is not a message that a planner receives, or if one of its fields is invalid.
 pub fn parse_message(body: &[u8]) -> Result<Message, MessageError> {
     let Ok(Value::Object(fields)) = serde_json::from_slice(body) else {
         return Err(MessageError::NotAnObject);
@@ -141,7 +142,8 @@
     })
 }
 
-/// Failures may exceed the requests of the interval: some came in the interval before.
+/// Reads a usage report. Failures may exceed the requests of the interval, because some of the failed requests were
+/// received in the interval before.
 fn usage_report(object: ObjectReader) -> Result<UsageReport, FieldError> {
     let counts = counts(object)?;
     Ok(UsageReport {
--- a/crates/platform-protocol/src/wire/mod.rs
+++ b/crates/platform-protocol/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's protocol on the wire: frames, message and field names, parsing and encoding. Nothing outside of this
-//! module knows the platform's own names; [`names`] lists them.
+//! The platform's protocol on the wire: frames, message and field names, parsing and encoding. Only this module uses
+//! the platform's own names; [`names`] lists them.
 
 mod endpoint_list;
 mod frame;
--- a/crates/platform-protocol/src/wire/names.rs
+++ b/crates/platform-protocol/src/wire/names.rs
@@ -1,12 +1,12 @@
-//! The platform's own names of messages and fields, once. On the wire: do not rename.
+//! The platform's own names of messages and fields. On the wire: do not change the values.
 
-/// Values of the field that tells a message's kind.
+/// Values of the field that holds a message's kind.
 pub(crate) mod kind {
-    /// Asks for a sign of life.
+    /// A peer checks that the planner answers.
     pub(crate) const PING: &str = "PING";
-    /// Answers [`PING`].
+    /// The planner answers [`PING`].
     pub(crate) const PONG: &str = "PONG";
-    /// Refuses a connection, with a reason.
+    /// The planner refuses a connection and gives the reason.
     pub(crate) const NACK: &str = "NACK";
     /// A collector announces itself.
     pub(crate) const SOURCE: &str = "SOURCE";
@@ -14,11 +14,11 @@
     pub(crate) const SUBSCRIBE: &str = "SUBSCRIBE";
     /// A proxy acknowledges an ack token.
     pub(crate) const ACK: &str = "ACK";
-    /// Requests that came to a proxy.
+    /// A proxy or a collector reports requests that a proxy received.
     pub(crate) const RATE: &str = "RATE";
-    /// Attempts that a zone's proxies made at a server.
+    /// A collector reports attempts that a zone's proxies made at a server.
     pub(crate) const LOAD: &str = "LOAD";
-    /// Changes a proxy's table.
+    /// The planner changes a proxy's table or admission.
     pub(crate) const CONFIG: &str = "CONFIG";
 }
 
@@ -26,45 +26,45 @@
 pub(crate) mod field {
     /// The kind of a message.
     pub(crate) const KIND: &str = "msg";
-    /// The reason of a refusal.
+    /// The reason for a refusal.
     pub(crate) const REASON: &str = "why";
     /// The zone of a sender.
     pub(crate) const ZONE: &str = "locality";
     /// The number of a proxy.
     pub(crate) const PROXY: &str = "node";
-    /// A rough figure of a proxy's requests a second.
+    /// The approximate number of requests per second at a proxy.
     pub(crate) const REQUESTS_PER_SECOND: &str = "w";
-    /// Whether a joining proxy holds no table.
+    /// True if a joining proxy holds no table.
     pub(crate) const WITHOUT_TABLE: &str = "cold";
-    /// The ack token that is acknowledged.
+    /// The ack token that a proxy acknowledges.
     pub(crate) const ACKNOWLEDGED_TOKEN: &str = "nonce";
-    /// How long the proxy took to apply what came before the ack token, in milliseconds.
+    /// The time that the proxy took to apply the messages up to the ack token, in milliseconds.
     pub(crate) const APPLY_TIME: &str = "latency";
     /// The route of requests.
     pub(crate) const ROUTE: &str = "route";
-    /// How many requests or attempts there were.
+    /// The number of requests or attempts.
     pub(crate) const TOTAL: &str = "total";
-    /// How many of them failed.
+    /// The number of failed requests or attempts.
     pub(crate) const FAILED: &str = "errors";
     /// The time that a report covers, in milliseconds.
     pub(crate) const INTERVAL: &str = "interval";
     /// The id of a server in a report.
     pub(crate) const SERVER: &str = "endpoint";
-    /// Mean latency of successful attempts, in milliseconds.
+    /// The mean latency of successful attempts, in milliseconds.
     pub(crate) const MEAN_LATENCY: &str = "rtt";
-    /// The server's last load report.
+    /// The metrics of the server's last load report.
     pub(crate) const METRICS: &str = "metrics";
-    /// The routes that part of a table's change is for.
+    /// The routes to which a part of a message applies.
     pub(crate) const ROUTES: &str = "classes";
-    /// Servers with weights.
+    /// The servers with their weights.
     pub(crate) const WEIGHTS: &str = "lines";
-    /// The weights are the whole table.
+    /// True if the weights are the full table.
     pub(crate) const FULL_TABLE: &str = "whole";
-    /// The part of requests that is admitted.
+    /// The admission level: the admitted share of requests, from 0 to 1.
     pub(crate) const ADMITTED: &str = "level";
-    /// When failed requests are tried again, as a code.
+    /// The retry policy, as a code.
     pub(crate) const RETRY: &str = "retry";
-    /// A further part of the same message follows.
+    /// True if another part of the same message follows.
     pub(crate) const MORE: &str = "more";
     /// The ack token that the proxy is to return.
     pub(crate) const ACK_TOKEN: &str = "ticket";
@@ -74,43 +74,43 @@
 pub(crate) mod endpoint {
     /// The version of a list.
     pub(crate) const VERSION: &str = "version";
-    /// Whether a list is full or holds changes.
+    /// True if a list is full; false if it holds changes.
     pub(crate) const FULL: &str = "full";
     /// The entries of a list.
     pub(crate) const ENTRIES: &str = "servers";
     /// The id of a server.
     pub(crate) const ID: &str = "id";
-    /// Where the server listens.
+    /// The address that the server listens at.
     pub(crate) const ADDRESS: &str = "addr";
     /// The zone of the server.
     pub(crate) const ZONE: &str = "zone";
-    /// Servers of one kind are built alike.
+    /// The kind of the server. Servers of one kind are built alike and have the same capacity.
     pub(crate) const SERVER_KIND: &str = "kind";
     /// The state of the server.
     pub(crate) const STATE: &str = "state";
     /// The server's last start, in Unix milliseconds; 0 means long ago.
     pub(crate) const STARTED: &str = "started_ms";
-    /// State: takes requests.
+    /// State: the server takes requests.
     pub(crate) const SERVING: &str = "SERVING";
-    /// State: finishes what it has and takes nothing new.
+    /// State: the server finishes its requests and takes no new ones.
     pub(crate) const DRAINING: &str = "DRAINING";
-    /// State: removed from the list.
+    /// State: the server is removed from the list.
     pub(crate) const DELETED: &str = "DELETED";
     /// The path of the list at discovery's address.
     pub(crate) const PATH: &str = "/v1/endpoints";
-    /// Query parameter: the version whose successors are asked for.
+    /// Query parameter: the version since which changes are requested.
     pub(crate) const SINCE: &str = "since";
-    /// Query parameter: how long a watch waits, in milliseconds.
+    /// Query parameter: the time that discovery waits for a change, in milliseconds.
     pub(crate) const TIMEOUT: &str = "timeout_ms";
 }
 
 /// Fields of the file that a planner is started with.
 pub(crate) mod config {
-    /// The planner's name.
+    /// The name of the planner.
     pub(crate) const NAME: &str = "name";
     /// The address to listen at.
     pub(crate) const LISTEN: &str = "listen";
-    /// Discovery's address.
+    /// The address of discovery.
     pub(crate) const DISCOVERY: &str = "discovery";
     /// The seed of the policy's random draws, in hexadecimal.
     pub(crate) const SEED: &str = "seed";
@@ -118,18 +118,18 @@
     pub(crate) const SETTINGS: &str = "settings";
     /// Limits of the process.
     pub(crate) const LIMITS: &str = "limits";
-    /// Within [`LIMITS`]: how many descriptors the process may hold.
+    /// Within [`LIMITS`]: the number of descriptors that the process may hold.
     pub(crate) const DESCRIPTORS: &str = "sockets";
-    /// The endpoint list as the planner last had it.
+    /// The endpoint list that the planner last knew.
     pub(crate) const KNOWN_ENDPOINTS: &str = "known";
     /// Within the settings: the routes.
     pub(crate) const ROUTES: &str = "classes";
-    /// Within a route: its name.
+    /// Within a route: the name of the route.
     pub(crate) const ROUTE_NAME: &str = "name";
     /// Within the settings: the zones.
     pub(crate) const ZONES: &str = "zones";
-    /// Within the settings: what load reports hold.
+    /// Within the settings: the format of load reports.
     pub(crate) const REPORT: &str = "report";
-    /// Within [`REPORT`]: names of the metrics.
+    /// Within [`REPORT`]: the names of the metrics.
     pub(crate) const METRICS: &str = "fields";
 }
--- a/crates/platform-protocol/src/wire/object.rs
+++ b/crates/platform-protocol/src/wire/object.rs
@@ -1,4 +1,4 @@
-//! Typed reads from one JSON object, with errors that name the field.
+//! Typed reads of the fields of one JSON object, with errors that name the field.
 
 use serde_json::{Map, Value};
 use std::fmt;
@@ -8,34 +8,34 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{object}: {field} {fault}")]
 pub struct FieldError {
-    /// What kind of object holds the field, in the sender's words.
+    /// The kind of the object, by its name in the sender's protocol.
     pub object: String,
     /// The name of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// The fault of the field.
     pub fault: FieldFault,
 }
 
-/// What is wrong with a field. The texts go to the peer in a refusal. On the wire: do not rename.
+/// The fault of a field. The texts are sent to the peer in a NACK. On the wire: do not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldFault {
-    /// The object does not have it.
+    /// The object lacks the field.
     Missing,
-    /// It is not a string.
+    /// The field is not a string.
     NotText,
-    /// It is not a boolean.
+    /// The field is not a boolean.
     NotBoolean,
-    /// It is not a number.
+    /// The field is not a number.
     NotNumber,
-    /// It is a number with a fraction.
+    /// The field is a number with a fraction.
     NotWhole,
-    /// It is not an object.
+    /// The field is not an object.
     NotObject,
-    /// It is below zero or above the limit of the field.
+    /// The field is below zero or above its limit.
     OutOfRange,
-    /// It is zero where that has no meaning.
+    /// The field is zero but must be positive.
     Zero,
-    /// More failures are counted than there were attempts.
+    /// The field counts more failures than attempts.
     AboveTotal,
 }
 
@@ -55,49 +55,49 @@
     }
 }
 
-/// Reads the fields of one object.
+/// A reader of the fields of one object.
 #[derive(Clone, Copy)]
 pub(super) struct ObjectReader<'a> {
-    /// What kind of object it is, for errors.
+    /// The kind of the object, for errors.
     pub kind: &'a str,
-    /// The fields.
+    /// The fields of the object.
     pub fields: &'a Map<String, Value>,
 }
 
 impl<'a> ObjectReader<'a> {
-    /// The error for a field of this object.
+    /// Creates the error for a field of this object.
     pub(super) fn error(&self, field: &str, fault: FieldFault) -> FieldError {
         FieldError { object: self.kind.into(), field: field.into(), fault }
     }
 
-    /// The field, unless it is left out or null.
+    /// Returns the field, or `None` if it is missing or null.
     pub(super) fn optional(&self, field: &str) -> Option<&'a Value> {
         self.fields.get(field).filter(|value| !value.is_null())
     }
 
-    /// A string.
+    /// Reads a string.
     ///
     /// # Errors
     ///
-    /// The field is missing or is not a string.
+    /// Returns an error if the field is missing or is not a string.
     pub(super) fn text(&self, field: &str) -> Result<&'a str, FieldError> {
         self.required(field)?.as_str().ok_or_else(|| self.error(field, FieldFault::NotText))
     }
 
-    /// A boolean.
+    /// Reads a boolean.
     ///
     /// # Errors
     ///
-    /// The field is missing or is not a boolean.
+    /// Returns an error if the field is missing or is not a boolean.
     pub(super) fn boolean(&self, field: &str) -> Result<bool, FieldError> {
         self.required(field)?.as_bool().ok_or_else(|| self.error(field, FieldFault::NotBoolean))
     }
 
-    /// A number from 0 to `maximum`.
+    /// Reads a number from 0 to `maximum`.
     ///
     /// # Errors
     ///
-    /// The field is missing, is not a number or is out of range.
+    /// Returns an error if the field is missing, is not a number or is out of range.
     pub(super) fn number(&self, field: &str, maximum: f64) -> Result<f64, FieldError> {
         let number = self.required(field)?.as_f64();
         let number = number.ok_or_else(|| self.error(field, FieldFault::NotNumber))?;
@@ -107,11 +107,11 @@
         Ok(number)
     }
 
-    /// A whole number from 0 to `maximum`.
+    /// Reads a whole number from 0 to `maximum`.
     ///
     /// # Errors
     ///
-    /// The field is missing, is not a whole number or is out of range.
+    /// Returns an error if the field is missing, is not a whole number or is out of range.
     pub(super) fn integer(&self, field: &str, maximum: u32) -> Result<u32, FieldError> {
         let number = self.number(field, f64::from(maximum))?;
         if number.fract() != 0.0 {
--- a/crates/platform-protocol/src/wire/outgoing.rs
+++ b/crates/platform-protocol/src/wire/outgoing.rs
@@ -1,4 +1,4 @@
-//! Messages to peers, encoded as frames.
+//! Encodes messages to peers as frames.
 
 use super::frame::encode_frame;
 use super::names::{field, kind};
@@ -6,32 +6,33 @@
 use grebespool_assignments::{AdmissionRule, ProxyUpdate, ServerWeight};
 use serde_json::{Map, Value, json};
 
-/// The answer to a ping.
+/// Encodes the answer to a ping.
 pub(crate) fn encode_pong() -> Vec<u8> {
     encode_frame(&json!({ field::KIND: kind::PONG }))
 }
 
-/// Tells a peer why its connection is closed.
+/// Encodes a refusal, which gives a peer the reason why its connection is closed.
 pub(crate) fn encode_refusal(reason: &str) -> Vec<u8> {
     encode_frame(&json!({ field::KIND: kind::NACK, field::REASON: reason }))
 }
 
-/// Encodes updates for proxies, in the platform's names of routes and servers.
+/// An encoder of updates for proxies, with the platform's names of routes and servers.
 pub(crate) struct UpdateEncoder<'a, F> {
     route_names: &'a [String],
     server_id: F,
 }
 
 impl<'a, F: Fn(ServerIndex) -> &'a str> UpdateEncoder<'a, F> {
-    /// An encoder that takes the names from here.
+    /// Creates an encoder with these route names and this lookup of server ids.
     pub(crate) fn new(route_names: &'a [String], server_id: F) -> Self {
         UpdateEncoder { route_names, server_id }
     }
 
-    /// One message, as a frame for each of its parts.
+    /// Encodes one message as a frame for each of its parts.
     ///
-    /// The first part holds the weights and the admission of the routes that these are for: a full table makes the proxy
-    /// forget earlier admission, so the others follow. The last part holds the ack token.
+    /// The first part holds the weights, and the admission rule of the same routes if there is one. The rules of other
+    /// routes follow in further parts, after the weights, because a full table resets the admission at the proxy. The
+    /// last part holds the ack token.
     pub(crate) fn encode(&self, update: &ProxyUpdate) -> Vec<u8> {
         let mut rules = self.merge_rules(update.admission).into_iter().peekable();
         let mut first = self.weights_part(update);
@@ -83,7 +84,7 @@
         part.insert(field::ROUTES.into(), names.map(|(_, name)| json!(name)).collect());
     }
 
-    /// Routes with equal rules under one rule, in the order of their sets.
+    /// Merges the rules of routes with the same level and retry policy. Returns them in the order of their route sets.
     fn merge_rules(&self, rules: &[AdmissionRule]) -> Vec<AdmissionRule> {
         let mut merged: Vec<AdmissionRule> = vec![];
         for rule in rules {
@@ -104,7 +105,7 @@
     }
 }
 
-/// On the wire, a part without routes is for all of them.
+/// The set of all routes. On the wire, a part without the field of routes applies to all routes.
 const ALL_ROUTES: RouteSet = 0;
 
 fn insert_rule(part: &mut Map<String, Value>, rule: &AdmissionRule) {
@@ -112,7 +113,7 @@
     part.insert(field::RETRY.into(), json!(retry_code(rule.retry_policy)));
 }
 
-/// On the wire: do not renumber.
+/// Returns the code of a retry policy. On the wire: do not renumber.
 fn retry_code(retries: RetryPolicy) -> u8 {
     match retries {
         RetryPolicy::Never => 0,
@@ -121,7 +122,8 @@
     }
 }
 
-/// The number by its shortest text: widened to 64 bits it would be written with digits that it does not have.
+/// Converts the number through its shortest decimal text. Widened directly to 64 bits, the number would be written with
+/// digits beyond its precision.
 fn shortest_number(number: f32) -> Value {
     number.to_string().parse::<f64>().map_or(Value::Null, |number| json!(number))
 }
