--- a/crates/platform-protocol/src/endpoint_watch.rs
+++ b/crates/platform-protocol/src/endpoint_watch.rs
@@ -97,7 +97,7 @@
 
     /// Records that the answer to a request was applied. An answer from a former address does not count as an answer of
     /// the current address.
-    pub fn answered(&mut self, request: &ListRequest) {
+    pub fn request_answered(&mut self, request: &ListRequest) {
         if request.address == self.address {
             self.needs_full_list &= request.since.is_some();
             self.unanswered = false;
--- a/crates/platform-protocol/tests/endpoint_watch.rs
+++ b/crates/platform-protocol/tests/endpoint_watch.rs
@@ -16,7 +16,7 @@
     watch.request();
     assert!(watch.begin());
     let request = watch.next_request(Some(7));
-    watch.answered(&request);
+    watch.request_answered(&request);
     watch
 }
 
@@ -33,7 +33,7 @@
     assert_eq!(target(&watch.next_request(None)), (1, "/v1/endpoints"));
     let request = watch.next_request(Some(7));
     assert_eq!(target(&request), (1, "/v1/endpoints?since=7&timeout_ms=1"));
-    watch.answered(&request);
+    watch.request_answered(&request);
     let request = watch.next_request(Some(8));
     assert_eq!(target(&request), (1, "/v1/endpoints?since=8&timeout_ms=4000"));
     assert!(request.long_poll && request.timeout.as_millis() > 4000);
@@ -55,7 +55,7 @@
         assert!(watch.begin());
     }
     let request = watch.next_request(Some(7));
-    watch.answered(&request);
+    watch.request_answered(&request);
     assert!(watch.next_request(Some(3)).path.contains("since=3"));
 }
 
@@ -67,7 +67,7 @@
     assert!(watch.begin());
     let full = watch.next_request(None);
     assert!(watch.set_address(at(2)));
-    watch.answered(&full);
+    watch.request_answered(&full);
     assert_eq!(target(&watch.next_request(Some(7))), (2, "/v1/endpoints"));
     assert!(!watch.set_address(at(2)));
 }
--- a/crates/platform-protocol/tests/fixtures.rs
+++ b/crates/platform-protocol/tests/fixtures.rs
@@ -167,7 +167,7 @@
     assert!(watch.begin());
     let paths = |watch: &mut EndpointWatch| {
         let request: ListRequest = watch.next_request(Some(41));
-        watch.answered(&request);
+        watch.request_answered(&request);
         request.path
     };
     assert_eq!(watch.next_request(None).path, "/v1/endpoints");
--- a/crates/platform-server/src/discovery.rs
+++ b/crates/platform-server/src/discovery.rs
@@ -148,6 +148,6 @@
     }
     let received = shared.received_at();
     shared.call(|manager, _| manager.endpoint_list_received(received, request.since, &response.body))?;
-    shared.discovery.watch.borrow_mut().answered(request);
+    shared.discovery.watch.borrow_mut().request_answered(request);
     Ok(client)
 }
