--- a/crates/platform-protocol/src/session_manager/mod.rs
+++ b/crates/platform-protocol/src/session_manager/mod.rs
@@ -141,7 +141,7 @@
     }
 
     /// Enables [`Event::TableWeights`] for all tables. To be called before any proxy has joined.
-    pub fn log_weights(&mut self) {
+    pub fn enable_weight_log(&mut self) {
         self.weight_log = Some(WeightLog::default());
     }
 
--- a/crates/platform-protocol/tests/session_manager.rs
+++ b/crates/platform-protocol/tests/session_manager.rs
@@ -461,7 +461,7 @@
 #[rstest]
 fn logs_every_written_weight_on_request() {
     let mut harness = Harness::new(4);
-    harness.manager.log_weights();
+    harness.manager.enable_weight_log();
     harness.run_until(ms(2500));
     harness.join(1, 5);
     harness.run_until(ms(3000));
--- a/crates/platform-server/src/shared.rs
+++ b/crates/platform-server/src/shared.rs
@@ -72,7 +72,7 @@
         };
         let mut manager = SessionManager::new(effects, config, RESERVED_DESCRIPTORS, unix_ms());
         if tracing::enabled!(Level::DEBUG) {
-            manager.log_weights();
+            manager.enable_weight_log();
         }
         Shared {
             started,
