--- a/crates/platform-server/src/config_file.rs
+++ b/crates/platform-server/src/config_file.rs
@@ -1,11 +1,11 @@
-//! Reading the file that the platform starts a planner with.
+//! Reads the file that the platform starts a planner with (the start file).
 
 use grebespool_platform_protocol::{ConfigError, PlannerConfig};
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the file cannot be used.
+/// The reason why the start file cannot be used.
 #[derive(Debug, Error)]
 pub(crate) enum ConfigFileError {
     #[error("{}: {source}", path.display())]
@@ -14,7 +14,7 @@
     Invalid { path: PathBuf, source: ConfigError },
 }
 
-/// Reads and parses the file.
+/// Reads and parses the start file.
 pub(crate) fn read_config(path: &Path) -> Result<PlannerConfig, ConfigFileError> {
     let text = std::fs::read(path)
         .map_err(|source| ConfigFileError::Unreadable { path: path.to_path_buf(), source })?;
--- a/crates/platform-server/src/connection.rs
+++ b/crates/platform-server/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections at the planner's address: accepted, read and written.
+//! Accepts, reads and writes the connections at the planner's address.
 
 use crate::shared::Shared;
 use grebespool_platform_protocol::ConnectionId;
@@ -13,17 +13,17 @@
 use tokio::time::{sleep, timeout};
 use tracing::{debug, error, warn};
 
-/// A peer whose oldest byte waits for 20 s is cut off: by the platform's rules it has left. 96 KiB are some dozens of
-/// messages; the platform resets a connection at 128 KiB.
+/// The limits of unwritten bytes after which a connection is closed. By the platform's rules, a peer that has not taken
+/// a byte for 20 s has left. 96 KiB hold some dozens of messages; the platform resets a connection at 128 KiB.
 const WRITE_LIMITS: WriteLimits = WriteLimits { max_wait: Duration::from_secs(20), max_bytes: 96 << 10 };
-/// Within this time the runtime has polled its sockets.
+/// A pause in which the runtime polls its sockets.
 const POLL_PAUSE: Duration = Duration::from_millis(1);
-/// How long what is left is written to a peer that sends no more.
+/// The time limit for writing the remaining bytes to a peer that sends no more.
 const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 /// The pause after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Accepts connections, each served by a task of its own, and reports tasks that fail.
+/// Accepts connections, serves each in its own task, and logs tasks that fail.
 pub(crate) async fn accept_connections(shared: Rc<Shared>, listener: TcpListener, tasks: JoinSet<()>) {
     let mut acceptor = Acceptor { shared, tasks, last_accepted: 0, last_read: 0 };
     loop {
@@ -31,10 +31,10 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((socket, _)) => acceptor.serve(socket),
-                Err(failure) => acceptor.make_room(&failure).await,
+                Err(failure) => acceptor.handle_accept_failure(&failure).await,
             },
             Some(ended) = acceptor.tasks.join_next() => if let Err(failure) = ended {
-                error!(%failure, "a task fails");
+                error!(%failure, "cannot continue a failed task; dropping the task");
             },
         }
     }
@@ -45,13 +45,14 @@
     tasks: JoinSet<()>,
     /// The newest connection.
     last_accepted: ConnectionId,
-    /// The newest connection whose first bytes were read if they had come.
+    /// The newest connection whose task has had the chance to read the first bytes.
     last_read: ConnectionId,
 }
 
 impl Acceptor {
-    /// Has whatever came on the connection that goes next read before a newer one replaces it: it may have joined. A
-    /// fixed time is no measure of that; the runtime has to poll its sockets once.
+    /// Lets the task of the connection that is evicted next read its socket before a newer connection replaces it,
+    /// because a join may be waiting there. The length of the pause does not matter: the runtime has to poll its
+    /// sockets once.
     async fn read_before_eviction(&mut self) {
         let evicted = self.shared.manager.borrow().next_evicted();
         if evicted.is_some_and(|evicted| evicted > self.last_read) {
@@ -70,24 +71,25 @@
         self.tasks.spawn_local(serve_connection(self.shared.clone(), socket, id, queue));
     }
 
-    /// Descriptors may have run out: a peer that has not joined makes room, once what it sent was read.
-    async fn make_room(&mut self, failure: &std::io::Error) {
+    /// Handles a failure to accept a connection. Descriptors may have run out, so the session manager closes the
+    /// connection of a peer that has not joined. The delay lets the tasks read waiting joins first.
+    async fn handle_accept_failure(&mut self, failure: &std::io::Error) {
         sleep(ACCEPT_RETRY_DELAY).await;
         self.last_read = self.last_accepted;
         self.shared.call(|manager, now| manager.accept_failed(now, &failure.to_string()));
     }
 }
 
-/// Forgets the connection when it is dropped, whatever ends the connection's task.
-struct OpenConnection {
+/// A guard that removes the connection when it is dropped, whether the connection's task returns or panics.
+struct ConnectionGuard {
     shared: Rc<Shared>,
     id: ConnectionId,
 }
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.shared.write_queues.borrow_mut().remove(&self.id);
-        // Borrowed only where the session manager itself has failed, in a call from this task.
+        // The session manager is still borrowed only if it has panicked in a call from this task.
         if let Ok(mut manager) = self.shared.manager.try_borrow_mut() {
             manager.connection_closed(self.id);
         }
@@ -95,29 +97,29 @@
 }
 
 async fn serve_connection(shared: Rc<Shared>, socket: TcpStream, id: ConnectionId, queue: Rc<WriteQueue>) {
-    let open = OpenConnection { shared: shared.clone(), id };
+    let guard = ConnectionGuard { shared: shared.clone(), id };
     let (reader, writer) = socket.into_split();
     let mut writing = pin!(queue.run(writer, shared.started));
     tokio::select! {
         end = read_all(&shared, id, &reader) => {
-            drop(open);
+            drop(guard);
             if end == ReadEnd::Finished {
-                // The peer may still listen: it is owed the answer to its last message.
+                // The peer may still read, and expects the answer to its last message.
                 queue.close();
                 let _ = timeout(FINAL_WRITE_TIMEOUT, writing).await;
             }
         }
         outcome = &mut writing => {
             if outcome == WriteOutcome::ReaderTooSlow {
-                warn!(connection = id, "closes a connection that does not take its bytes");
+                warn!(connection = id, "closing a connection whose peer reads too slowly");
             }
-            drop(open);
+            drop(guard);
         }
     }
-    debug!(connection = id, "a connection ends");
+    debug!(connection = id, "ending the task of a connection");
 }
 
-/// How reading ended.
+/// The reason for the end of reading.
 #[derive(PartialEq)]
 enum ReadEnd {
     /// The peer sends no more.
--- a/crates/platform-server/src/discovery.rs
+++ b/crates/platform-server/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Following the endpoint list at discovery.
+//! Watches the endpoint list of discovery.
 
 use crate::http::{Client, HttpError, Response, get};
 use crate::shared::Shared;
@@ -11,19 +11,19 @@
 use tokio::time::{Instant, sleep};
 use tracing::info;
 
-/// The least time that a long poll takes, so that a service which answers at once is not asked without pause. A watch
-/// goes on only if the next request comes within 200 ms of the last answer.
+/// The shortest time between two long polls, so that a service that answers at once does not receive requests without a
+/// pause. Discovery continues a watch only if the next request arrives within 200 ms of the last answer.
 const MIN_POLL_INTERVAL: Duration = Duration::from_millis(60);
 const STATUS_OK: u16 = 200;
 
-/// Why a watch ended.
+/// The reason for the end of a watch.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error(transparent)]
     Http(#[from] HttpError),
     #[error(transparent)]
     List(#[from] EndpointListError),
-    #[error("the request for the list was answered with status {0}")]
+    #[error("expected status 200 for the endpoint list, found status {0}")]
     Status(u16),
     #[error("the task that watches the list failed and was restarted")]
     Restarted,
@@ -32,8 +32,8 @@
 /// The outcome of a request, and the client for the next one.
 type Outcome = Result<(Option<Client>, Response), HttpError>;
 
-/// A request to the former address of discovery. What its answer brings counts as notified, whether or not the new
-/// address answers, so it is waited for beside the requests to the new one.
+/// A pending request to the former address of discovery. The platform counts the planner as notified of the changes in
+/// its answer even if the new address does not answer, so the answer is awaited alongside requests to the new address.
 struct FormerRequest(Pin<Box<dyn Future<Output = ()>>>);
 
 impl FormerRequest {
@@ -48,17 +48,22 @@
     ) -> Self {
         FormerRequest(Box::pin(async move {
             let outcome = pending.await;
-            if let Err(error) = take_outcome(&shared, &request, outcome) {
-                info!(address = %request.address, %error, "the former address of discovery gives no list");
+            if let Err(error) = apply_outcome(&shared, &request, outcome) {
+                info!(
+                    address = %request.address,
+                    %error,
+                    "cannot get the endpoint list from the former address of discovery; using only the new address"
+                );
             }
         }))
     }
 }
 
-/// Watches the list whenever that is requested, until it fails; then the policy requests it again.
+/// Watches the list when the policy requests a watch. A watch lasts until a request fails; then the policy requests the
+/// next one.
 pub(crate) async fn follow_endpoints(shared: Rc<Shared>) {
     if shared.discovery.watch.borrow().is_active() {
-        // The policy takes the watch to be active, and would never request it again.
+        // The failed task did not report the end of its watch, so the policy would never request another one.
         end_watch(&shared, &WatchError::Restarted);
     }
     let mut former = FormerRequest::none();
@@ -83,11 +88,11 @@
     shared.call(|manager, now| manager.endpoint_list_failed(now, &error.to_string()));
 }
 
-/// Requests the list again and again.
+/// Requests the list repeatedly until a request fails.
 ///
 /// # Errors
 ///
-/// Why it ended.
+/// Returns the reason for the end of the watch.
 async fn watch(shared: &Rc<Shared>, former: &mut FormerRequest) -> Result<Infallible, WatchError> {
     let mut client = None;
     loop {
@@ -95,14 +100,14 @@
         let request = shared.discovery.watch.borrow().next_request(known_version);
         let sent_at = Instant::now();
         let mut pending = Box::pin(send(request.clone(), client.take()));
-        let Some(outcome) = outcome_or_move(shared, &request, &mut pending, former).await else {
+        let Some(outcome) = outcome_or_new_address(shared, &request, &mut pending, former).await else {
             let address = shared.discovery.watch.borrow().address();
-            info!(%address, "requests the list at another address");
+            info!(%address, "requesting the endpoint list at another address");
             *former = FormerRequest::new(shared.clone(), request, pending);
             continue;
         };
-        client = take_outcome(shared, &request, outcome)?;
-        // This list is newer, and versions of the former address mean something else.
+        client = apply_outcome(shared, &request, outcome)?;
+        // This list is newer, and the versions of the former address are not comparable with its versions.
         *former = FormerRequest::none();
         if request.long_poll && sent_at.elapsed() < MIN_POLL_INTERVAL {
             sleep(MIN_POLL_INTERVAL).await;
@@ -115,8 +120,8 @@
     Ok((client, response))
 }
 
-/// Waits for the outcome of a request. None if discovery got another address first.
-async fn outcome_or_move(
+/// Waits for the outcome of a request. Returns `None` if the address of discovery changes first.
+async fn outcome_or_new_address(
     shared: &Shared,
     request: &ListRequest,
     mut pending: impl Future<Output = Outcome> + Unpin,
@@ -127,7 +132,7 @@
             outcome = &mut pending => return Some(outcome),
             () = &mut former.0 => *former = FormerRequest::none(),
             () = shared.discovery.address_changed.notified() => {
-                // A change from before this request was made is nothing new to it.
+                // The notification may be older than this request, which then uses the new address already.
                 if shared.discovery.watch.borrow().address() != request.address {
                     return None;
                 }
@@ -136,8 +141,8 @@
     }
 }
 
-/// Passes a list on. Gives the client for the next request.
-fn take_outcome(
+/// Passes the received list to the session manager. Returns the client for the next request.
+fn apply_outcome(
     shared: &Shared,
     request: &ListRequest,
     outcome: Outcome,
--- a/crates/platform-server/src/health_check.rs
+++ b/crates/platform-server/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers, over HTTP.
+//! Runs health checks of servers over HTTP.
 
 use crate::http::get;
 use crate::shared::Shared;
@@ -8,18 +8,18 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// No answer within this time is a failure.
+/// The time limit of a health check. A check without an answer within this time has failed.
 const TIMEOUT: Duration = Duration::from_millis(900);
 const HEALTH_PATH: &str = "/health";
 const STATUS_HEALTHY: u16 = 200;
 const STATUS_REJECTED: u16 = 503;
 
-/// Runs health checks as they are requested.
+/// Runs the requested health checks.
 pub(crate) async fn run_health_checks(shared: Rc<Shared>) {
     let mut running = JoinSet::new();
-    shared.health_checks.forget_running();
+    shared.health_checks.remove_running();
     loop {
-        if let Some((server, address)) = shared.health_checks.next(running.len()) {
+        if let Some((server, address)) = shared.health_checks.take_next(running.len()) {
             running.spawn_local(run_health_check(shared.clone(), server, address));
             continue;
         }
--- a/crates/platform-server/src/http.rs
+++ b/crates/platform-server/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 requests, each with one time limit.
+//! Sends HTTP/1.1 requests, each with one time limit for the whole request.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -13,10 +13,10 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// The longest response body in bytes: an endpoint list of some 10,000 servers.
+/// The longest accepted response body in bytes. An endpoint list of some 10,000 servers fits.
 const MAX_BODY_LENGTH: usize = 2 << 20;
 
-/// Why a request failed.
+/// The reason why a request failed.
 #[derive(Debug, Error)]
 pub(crate) enum HttpError {
     #[error(transparent)]
@@ -31,13 +31,14 @@
     TimedOut(Duration),
 }
 
-/// Status and body of a response.
+/// The status and body of a response.
 pub(crate) struct Response {
     pub(crate) status: u16,
     pub(crate) body: Bytes,
 }
 
-/// A connection for one request after another. Its task ends with it.
+/// A client connection that sends one request after another. The task that drives the connection is aborted when the
+/// client is dropped.
 pub(crate) struct Client {
     address: SocketAddr,
     sender: SendRequest<Empty<Bytes>>,
@@ -72,8 +73,9 @@
     }
 }
 
-/// Sends one request, over the client that is left from an earlier one or a new one, and leaves it for the next. The
-/// time limit is for the whole request, so that a response in small pieces does not extend it.
+/// Sends one request, over the idle client of an earlier request if that is usable, or else over a new one. Afterwards
+/// the client is stored in `idle` for the next request. The time limit applies to the whole request, so that a response
+/// in small pieces does not extend it.
 pub(crate) async fn get(
     idle: &mut Option<Client>,
     address: SocketAddr,
@@ -97,7 +99,7 @@
     path: &str,
 ) -> Result<(Client, Response), HttpError> {
     if let Some(mut client) = idle
-        // One that was closed while it was idle tells nothing of the service.
+        // A failure of the idle client is not reported: the service may have closed the connection while it was idle.
         && client.sender.ready().await.is_ok()
         && let Ok(response) = client.get(path).await
     {
--- a/crates/platform-server/src/lib.rs
+++ b/crates/platform-server/src/lib.rs
@@ -1,7 +1,7 @@
-//! The planner on the platform's protocol, as a process: connections, discovery over HTTP, health checks, signals and
-//! the log, around the session manager ([`grebespool_platform_protocol`]). It makes no decision.
+//! The process of a planner on the platform's protocol: connections, discovery over HTTP, health checks, signals and
+//! the log. The session manager ([`grebespool_platform_protocol`]) makes all decisions.
 //!
-//! Everything runs on one thread, as tasks of a `LocalSet`; only the log is written by a thread of its own.
+//! All tasks run on one thread, in a `LocalSet`; only the log is written by a separate thread.
 
 mod config_file;
 mod connection;
--- a/crates/platform-server/src/log.rs
+++ b/crates/platform-server/src/log.rs
@@ -1,5 +1,5 @@
-//! The log, written by a thread of its own. Its reader may stop reading, or be gone; a planner that writes to a full pipe
-//! itself would stand still, and with it the drains of every proxy.
+//! The log, written by a separate thread. The reader of standard error may stop reading or exit. If the planner's own
+//! thread wrote to a full pipe, the planner would block, and no proxy would learn of drains.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -9,22 +9,22 @@
 use std::time::Duration;
 use tracing::Level;
 
-/// Lines that may wait to be written; more are dropped and counted.
+/// The number of lines that may wait to be written. Further lines are dropped and counted.
 const MAX_QUEUED_LINES: usize = 256;
-/// Names the least severe level that is logged, such as `debug`.
+/// The environment variable with the least severe level that is logged, such as `debug`.
 const LEVEL_VARIABLE: &str = "GREBESPOOL_LOG";
-/// The level where that is not set.
+/// The level if the variable is not set or not a level.
 const DEFAULT_LEVEL: Level = Level::INFO;
-/// How long the last lines are waited for at the end.
+/// The time limit for writing the last lines when the process ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 enum Entry {
     Line(Vec<u8>),
-    /// To be answered once all lines before it are written.
+    /// A request for a signal when all lines before this entry are written.
     Flush(SyncSender<()>),
 }
 
-/// Takes the formatted line of one event. The formatter writes each event at once.
+/// A writer that queues the formatted line of one event. The formatter passes each event in a single write.
 struct LineSender {
     entries: SyncSender<Entry>,
     dropped: Arc<AtomicU64>,
@@ -45,13 +45,13 @@
 
 /// The log of this process on standard error.
 pub struct BackgroundLog {
-    /// Unset where another log was set up before.
+    /// The queue of the writing thread; unset if another log was set up before.
     entries: Option<SyncSender<Entry>>,
 }
 
 impl BackgroundLog {
-    /// Sets up the log of the process, unless another was set up before. Where no thread can be started, all lines are
-    /// dropped.
+    /// Sets up the log of the process, unless another log was set up before. If the thread cannot be started, all lines
+    /// are dropped.
     pub fn start() -> Self {
         let (entries, queue) = sync_channel(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
@@ -68,7 +68,8 @@
         BackgroundLog { entries: Some(entries) }
     }
 
-    /// Waits for the last lines to be written, but not for a reader that takes none.
+    /// Waits until the last lines are written, but at most for [`FLUSH_TIMEOUT`], because the reader may have stopped
+    /// reading.
     pub fn finish(self) {
         let (done, written) = sync_channel(1);
         if self.entries.is_some_and(|entries| entries.try_send(Entry::Flush(done)).is_ok()) {
@@ -82,7 +83,8 @@
     name.and_then(|name| name.parse().ok()).unwrap_or(DEFAULT_LEVEL)
 }
 
-/// Errors are ignored: where the reader is gone there is nowhere else to report them.
+/// Writes the queued entries to standard error until all senders are dropped. Write errors are ignored: if the reader
+/// of standard error has exited, they cannot be reported anywhere else.
 fn write_entries(queue: &Receiver<Entry>, dropped: &AtomicU64) {
     let mut output = std::io::stderr();
     for entry in queue {
@@ -92,7 +94,7 @@
         }
         let dropped = dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
-            drop(writeln!(output, "{dropped} lines of the log were dropped: the reader is too slow"));
+            drop(writeln!(output, "dropping {dropped} log lines; the reader of standard error is too slow"));
         }
     }
 }
--- a/crates/platform-server/src/shared.rs
+++ b/crates/platform-server/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one planner share, and the session manager's effects on them.
+//! The state that the tasks of one planner share, and the effects of the session manager on this state.
 
 use crate::health_check_queue::HealthChecks;
 use crate::log_event::log_event;
@@ -16,41 +16,44 @@
 use tokio::time::Instant;
 use tracing::Level;
 
-/// Descriptors that are reserved for the runtime, the log, discovery, and a few to spare, beside the health checks.
+/// The number of descriptors reserved for the runtime, the log and discovery, with a few to spare. Those of the health
+/// checks are counted separately.
 const OTHER_DESCRIPTORS: usize = 24;
-/// Descriptors that peers which have not joined cannot take.
+/// The number of descriptors that peers without a join cannot take.
 const RESERVED_DESCRIPTORS: usize = OTHER_DESCRIPTORS + HealthChecks::MAX_CONCURRENT;
-/// Bytes read from a socket at a time.
+/// The number of bytes that one read takes from a socket.
 const READ_BUFFER_LENGTH: usize = 16 << 10;
-/// A connection with more unwritten bytes than this is cut when it is closed: its reader would not take the rest.
+/// The number of unwritten bytes above which a connection is aborted instead of flushed when it is closed: its reader
+/// has fallen behind and would not take the rest.
 const MAX_UNWRITTEN_AT_CLOSE: usize = 1 << 10;
 
 /// The write queues of all connections.
 type WriteQueues = Rc<RefCell<BTreeMap<ConnectionId, Rc<WriteQueue>>>>;
 
-/// What the tasks of one planner share.
+/// The state that the tasks of one planner share.
 ///
-/// All of it is used on one thread, and no borrow lives over an await. The effects of the session manager borrow the
-/// write queues, the watch and the health checks, so none of these may be borrowed while it is called.
+/// Invariants: all tasks run on one thread, and no borrow is held across an await. The effects of the session manager
+/// borrow the write queues, the watch and the health checks, so none of these may be borrowed during a call of the
+/// session manager.
 pub(crate) struct Shared {
-    /// When the planner started; its clock counts from here.
+    /// The time when the planner started. The planner's clock counts from this time.
     pub(crate) started: Instant,
     pub(crate) manager: RefCell<SessionManager<TaskEffects>>,
     pub(crate) write_queues: WriteQueues,
-    /// The session manager was called, so its next deadline may be earlier.
+    /// Notifies the timer task that the session manager was called and that its next deadline may have changed.
     pub(crate) manager_called: Notify,
     pub(crate) discovery: Rc<DiscoveryState>,
     pub(crate) health_checks: Rc<HealthChecks>,
-    /// One buffer for all reads: hundreds of idle connections hold none of their own.
+    /// The buffer of all reads, shared so that hundreds of idle connections need no buffers.
     pub(crate) read_buffer: RefCell<Vec<u8>>,
 }
 
-/// What the task that follows discovery is to do.
+/// The instructions for the task that watches the endpoint list of discovery.
 pub(crate) struct DiscoveryState {
     pub(crate) watch: RefCell<EndpointWatch>,
-    /// A watch was requested.
+    /// Notifies the task that a watch was requested.
     pub(crate) requested: Notify,
-    /// Discovery has another address.
+    /// Notifies the task that the address of discovery has changed.
     pub(crate) address_changed: Notify,
 }
 
@@ -85,17 +88,17 @@
         }
     }
 
-    /// Time since the planner's start.
+    /// Returns the time since the planner's start.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// This moment by both clocks.
+    /// Returns the present time by the planner's clock and by the wall clock.
     pub(crate) fn received_at(&self) -> ReceivedAt {
         ReceivedAt { now: self.now(), unix_ms: unix_ms() }
     }
 
-    /// Calls the session manager at this moment, and has its timer check the next deadline.
+    /// Calls the session manager with the present time, and makes the timer task check the next deadline.
     pub(crate) fn call<T>(&self, call: impl FnOnce(&mut SessionManager<TaskEffects>, Duration) -> T) -> T {
         let result = call(&mut self.manager.borrow_mut(), self.now());
         self.manager_called.notify_one();
@@ -108,17 +111,17 @@
         address: SocketAddr,
         result: HealthCheckResult,
     ) {
-        self.health_checks.finished(&server, address);
+        self.health_checks.remove_finished(&server, address);
         self.call(|manager, _| manager.health_check_finished(&server, address, result));
     }
 }
 
-/// The machines' clock, in Unix milliseconds.
+/// Returns the wall clock of the machine, in Unix milliseconds.
 fn unix_ms() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |since| since.as_secs_f64() * 1000.0)
 }
 
-/// Hands what the session manager asks for to the tasks.
+/// The effects of the session manager, which pass its requests on to the tasks.
 pub(crate) struct TaskEffects {
     started: Instant,
     write_queues: WriteQueues,
--- a/crates/platform-server/src/startup.rs
+++ b/crates/platform-server/src/startup.rs
@@ -1,4 +1,4 @@
-//! The start of the process, and its end by a signal.
+//! Starts the process and ends it when a signal arrives.
 
 use crate::config_file::{ConfigFileError, read_config};
 use crate::tasks::serve;
@@ -14,17 +14,17 @@
 use tokio::task::LocalSet;
 use tracing::info;
 
-/// Names the file that the platform starts a planner with.
+/// The environment variable with the path of the start file.
 const CONFIG_VARIABLE: &str = "GW_CONFIG";
-/// The exit code of a planner that cannot start as it was told.
+/// The exit code of a planner that cannot start.
 const EXIT_CANNOT_START: u8 = 2;
-/// Connections that may wait to be accepted: all proxies may come at once.
+/// The number of connections that may wait to be accepted: all proxies may connect at once.
 const ACCEPT_BACKLOG: u32 = 1024;
 
-/// Why a planner cannot start.
+/// The reason why a planner cannot start. The launcher's tests match parts of the texts.
 #[derive(Debug, Error)]
 enum StartError {
-    #[error("GW_CONFIG is not set; it names the file that the platform starts a planner with")]
+    #[error("GW_CONFIG is not set: expected the path of the file that the platform starts a planner with")]
     NoConfigFile,
     #[error(transparent)]
     ConfigFile(#[from] ConfigFileError),
@@ -34,7 +34,8 @@
     Listen { address: SocketAddr, source: io::Error },
 }
 
-/// Runs a planner as the platform starts it, until it is told to stop. It exits with code 2 where it cannot start.
+/// Runs a planner as the platform starts it, until SIGTERM or SIGINT arrives. Returns exit code 2 if the planner cannot
+/// start.
 pub fn run() -> ExitCode {
     match start() {
         Ok(()) => ExitCode::SUCCESS,
@@ -53,7 +54,7 @@
 }
 
 async fn serve_until_stopped(config: PlannerConfig, file: PathBuf) -> Result<(), StartError> {
-    // Before anybody is answered: a signal without a handler would end the process.
+    // The handlers are installed before the planner listens: a signal without a handler would kill the process.
     let hangups = signal(SignalKind::hangup())?;
     let mut terminations = signal(SignalKind::terminate())?;
     let mut interrupts = signal(SignalKind::interrupt())?;
--- a/crates/platform-server/src/tasks.rs
+++ b/crates/platform-server/src/tasks.rs
@@ -1,4 +1,5 @@
-//! The tasks of one planner: their start, their restart after a failure, and the small ones themselves.
+//! The tasks of one planner: their start, their restart after a failure, and the tasks for timers, status lines and
+//! reloads.
 
 use crate::config_file::read_config;
 use crate::connection::accept_connections;
@@ -19,12 +20,12 @@
 const RESTART_DELAY: Duration = Duration::from_secs(1);
 /// The time between two status lines.
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
-/// How often a configuration file that cannot be used is read after one signal: it may not be complete yet.
+/// The number of attempts to read the start file after one signal: the file may not be written completely yet.
 const RELOAD_ATTEMPTS: u32 = 20;
-/// The pause between two of these attempts.
+/// The pause after a failed attempt to read the start file.
 const RELOAD_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves until it is dropped.
+/// Runs the tasks of the planner until the returned future is dropped.
 pub(crate) async fn serve(listener: TcpListener, config: PlannerConfig, file: PathBuf, hangups: Signal) {
     let shared = Rc::new(Shared::new(config));
     let mut tasks = JoinSet::new();
@@ -33,7 +34,8 @@
     tasks.spawn_local(restart_on_failure(shared.clone(), "health checks", run_health_checks));
     tasks.spawn_local(reload_on_hangup(shared.clone(), file, hangups));
     tasks.spawn_local(log_status(shared.clone()));
-    // A task like the others, so that they have their turns before it: what is awaited here goes before all of them.
+    // Accepting is spawned as a task, so that the other tasks get their turns first: a future that is awaited here
+    // directly would be polled before all of them.
     let mut accepting = JoinSet::new();
     accepting.spawn_local(accept_connections(shared, listener, tasks));
     if let Some(Err(failure)) = accepting.join_next().await
@@ -43,8 +45,8 @@
     }
 }
 
-/// Runs a task, and again after it has failed, so that a fault in one task does not end the service. One that fails
-/// each time logs a line each second.
+/// Runs a task, and restarts it after each failure, so that a fault in one task does not end the service. A task that
+/// always fails logs one line per second.
 async fn restart_on_failure<F: Future<Output = ()> + 'static>(
     shared: Rc<Shared>,
     name: &'static str,
@@ -54,7 +56,7 @@
         let mut running = JoinSet::new();
         running.spawn_local(task(shared.clone()));
         if let Some(Err(failure)) = running.join_next().await {
-            error!(task = name, %failure, "a task fails and is restarted");
+            error!(task = name, %failure, "cannot continue a failed task; restarting the task");
         }
         sleep(RESTART_DELAY).await;
     }
@@ -92,7 +94,7 @@
     }
 }
 
-/// Reads the file again after each signal. One that cannot be used, or not yet, changes nothing.
+/// Reads the start file again after each signal. A file that cannot be used has no effect.
 async fn reload_on_hangup(shared: Rc<Shared>, file: PathBuf, mut hangups: Signal) {
     while hangups.recv().await.is_some() {
         reload(&shared, &file).await;
@@ -105,7 +107,7 @@
             Ok(config) => return apply_config(shared, &config),
             Err(error) => {
                 if attempt == 1 || attempt == RELOAD_ATTEMPTS {
-                    warn!(%error, attempt, "cannot reload the configuration; keeps the one in force");
+                    warn!(%error, attempt, "cannot reload the configuration; keeping the one in force");
                 }
                 sleep(RELOAD_DELAY).await;
             }
@@ -113,9 +115,9 @@
     }
 }
 
-/// Only discovery's address takes effect without a restart.
+/// Applies a reloaded configuration. Only the address of discovery takes effect without a restart of the planner.
 fn apply_config(shared: &Shared, config: &PlannerConfig) {
-    info!(discovery = %config.discovery, "reloads the configuration");
+    info!(discovery = %config.discovery, "reloading the configuration");
     if shared.discovery.watch.borrow_mut().set_address(config.discovery) {
         shared.discovery.address_changed.notify_one();
     }
