--- a/crates/platform-protocol/tests/endpoint_watch.rs
+++ b/crates/platform-protocol/tests/endpoint_watch.rs
@@ -1,6 +1,6 @@
-//! What is requested of discovery next, through failures, changes of address and ends.
+//! The requests to discovery, across failures, changes of address and ends of the watch.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test fails by a panic")]
 
 use grebespool_platform_protocol::{EndpointWatch, ListRequest};
 use rstest::rstest;
@@ -10,7 +10,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// One that was begun and answered, and long-polls.
+/// A watch whose first request was answered, so that its next request is a long poll.
 fn polling() -> EndpointWatch {
     let mut watch = EndpointWatch::new(at(1));
     watch.request();
@@ -41,13 +41,16 @@
     assert!(!watch.begin() && !watch.is_active());
 }
 
-/// Until it was taken, whatever fails meanwhile.
+/// Guards against losing the request for a full list when a request fails before it was answered.
 #[rstest]
-#[case::requested(|watch: &mut EndpointWatch| watch.request_full_list(), 1)]
-#[case::at_another_address(|watch: &mut EndpointWatch| assert!(watch.set_address(at(2))), 2)]
-fn requests_the_full_list_until_it_was_taken(#[case] needs: fn(&mut EndpointWatch), #[case] port: u16) {
+#[case::after_a_request(|watch: &mut EndpointWatch| watch.request_full_list(), 1)]
+#[case::after_a_change_of_address(|watch: &mut EndpointWatch| assert!(watch.set_address(at(2))), 2)]
+fn requests_the_full_list_until_one_was_answered(
+    #[case] require_full_list: fn(&mut EndpointWatch),
+    #[case] port: u16,
+) {
     let mut watch = polling();
-    needs(&mut watch);
+    require_full_list(&mut watch);
     for _ in 0..3 {
         assert_eq!(target(&watch.next_request(Some(7))), (port, "/v1/endpoints"));
         watch.end();
@@ -59,7 +62,8 @@
     assert!(watch.next_request(Some(3)).path.contains("since=3"));
 }
 
-/// An answer that was on its way from the former address brings its changes, but not what the new one was asked for.
+/// A request is pending when the address changes. Its answer must not cancel the full list that is requested from the
+/// new address.
 #[rstest]
 fn answer_of_former_address_does_not_count_for_the_new_one() {
     let mut watch = EndpointWatch::new(at(1));
@@ -72,9 +76,9 @@
     assert!(!watch.set_address(at(2)));
 }
 
-/// Where its task has failed, nobody was notified of the end, so that is done when the task is restarted.
+/// If the task of the watch fails, it does not report the end. The restarted task sees the active watch and ends it.
 #[rstest]
-fn watch_stays_active_until_its_end_is_told() {
+fn watch_stays_active_until_its_end_is_reported() {
     let watch = polling();
     assert!(watch.is_active());
     let mut watch = polling();
--- a/crates/platform-protocol/tests/fixtures.rs
+++ b/crates/platform-protocol/tests/fixtures.rs
@@ -1,8 +1,8 @@
-//! Messages of every kind on the platform's protocol, as recorded bytes: those that come in are read as expected, and
+//! Recorded bytes of every kind of message on the platform's protocol: received messages are parsed as expected, and
 //! fixed input is answered with the same bytes.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::wildcard_imports, reason = "the helpers of the tests beside them")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test fails by a panic")]
+#![allow(clippy::wildcard_imports, reason = "all helpers are for these tests")]
 
 #[allow(dead_code)]
 mod helpers;
@@ -22,7 +22,8 @@
 const DISCOVERY: &str = include_str!("fixtures/discovery.txt");
 const WRITTEN: &str = include_str!("fixtures/written.txt");
 
-/// The frame that a line of a fixture stands for: eight digits of its length, a space, its body.
+/// Converts a line of a fixture into a frame. A line holds the length as eight hexadecimal digits, a space and the
+/// body.
 fn frame_of(line: &str) -> Vec<u8> {
     let (length, body) = line.split_once(' ').unwrap();
     [&u32::from_str_radix(length, 16).unwrap().to_be_bytes()[..], body.as_bytes()].concat()
@@ -35,15 +36,15 @@
 fn message(name: &str) -> Message {
     let mut frames = FrameDecoder::new(4096);
     frames.extend(&frame_of(lines_of(READ)[name]));
-    let body = frames.next_body().unwrap().expect("a whole frame").to_vec();
-    assert!(!frames.has_partial_frame(), "the length covers the body exactly");
+    let body = frames.next_body().unwrap().expect("a complete frame").to_vec();
+    assert!(!frames.has_partial_frame(), "the length is that of the body");
     parse_message(&body).unwrap()
 }
 
 #[rstest]
 #[case::ping("ping", Message::Ping)]
 #[case::collector("collector", Message::Collector { zone: "north".into() })]
-#[case::sums("sums", Message::ServerReport(ServerReport {
+#[case::server_report("sums", Message::ServerReport(ServerReport {
     zone: "north".into(),
     server: "s-5be2a07c".into(),
     attempts: 212,
@@ -51,7 +52,7 @@
     mean_latency_ms: Some(41.7),
     metrics: vec![("cpu_share".into(), 0.61), ("pending".into(), 7.0)],
 }))]
-#[case::sums_without_a_report("sums_without_a_report", Message::ServerReport(ServerReport {
+#[case::server_report_without_metrics("sums_without_a_report", Message::ServerReport(ServerReport {
     zone: "a".into(),
     server: "s".into(),
     attempts: 2,
@@ -59,12 +60,12 @@
     mean_latency_ms: None,
     metrics: vec![],
 }))]
-#[case::joining("joining", Message::Join(JoinRequest {
+#[case::join("joining", Message::Join(JoinRequest {
     proxy: 17, zone: "a".into(), requests_per_second: 21.5, without_table: true,
 }))]
-#[case::answer_to_a_mark("answer_to_a_mark", Message::Ack { proxy: 17, token: 905 })]
+#[case::ack("answer_to_a_mark", Message::Ack { proxy: 17, token: 905 })]
 #[case::usage("usage", Message::Usage(UsageReport { proxy: 17, route: "look up".into(), requests: 19 }))]
-fn recorded_message_is_read_as_expected(#[case] name: &str, #[case] expected: Message) {
+fn recorded_message_is_parsed_as_expected(#[case] name: &str, #[case] expected: Message) {
     assert_eq!(message(name), expected);
 }
 
@@ -76,7 +77,7 @@
 }
 
 #[rstest]
-fn recorded_start_file_is_read_as_expected() {
+fn recorded_start_file_is_parsed_as_expected() {
     let config = PlannerConfig::parse(START.as_bytes()).unwrap();
     assert_eq!(config.name, "p7");
     assert_eq!(
@@ -122,46 +123,50 @@
     assert_eq!(config.proxy_capabilities.admission_mode, AdmissionMode::Share);
 }
 
-/// Servers in the table of a proxy after an answer of discovery, and the version that is known then.
+/// Each case gives the servers in the table of a new proxy after an answer of discovery, and the known version.
 #[rstest]
 #[case::changes("changes", &["s2", "s3", "s4"], 4)]
-#[case::nothing_new("nothing_new", &["s0", "s1", "s2", "s3"], 4)]
-#[case::whole("whole", &["s2"], 9)]
-fn recorded_answer_of_discovery_is_read_as_expected(
+#[case::no_changes("nothing_new", &["s0", "s1", "s2", "s3"], 4)]
+#[case::full_list("whole", &["s2"], 9)]
+fn recorded_answer_of_discovery_is_applied_as_expected(
     #[case] name: &str,
-    #[case] left: &[&str],
+    #[case] servers: &[&str],
     #[case] version: u64,
 ) {
     let mut harness = Harness::with_config(PlannerConfig::parse(START.as_bytes()).unwrap());
     harness.join(1, 5);
     harness.run_until(ms(2000));
-    let holds = table(&harness.written(1), BTreeMap::new());
-    assert_eq!(holds.into_keys().collect::<Vec<_>>(), ["s0", "s1", "s2", "s3"]);
+    let proxy_table = table(&harness.written(1), BTreeMap::new());
+    assert_eq!(proxy_table.into_keys().collect::<Vec<_>>(), ["s0", "s1", "s2", "s3"]);
     harness.receive_list_at(UNIX, Some(3), lines_of(DISCOVERY)[name].as_bytes()).unwrap();
-    // A new table is bound only to who joins after the change.
+    // Only a proxy that joins after the change is bound to a new table.
     harness.run_until(ms(30_000));
     harness.join(2, 6);
-    let holds = table(&harness.written(2), BTreeMap::new());
-    assert_eq!(holds.into_keys().collect::<Vec<_>>(), left);
+    let proxy_table = table(&harness.written(2), BTreeMap::new());
+    assert_eq!(proxy_table.into_keys().collect::<Vec<_>>(), servers);
     assert_eq!(harness.manager.endpoint_list_version(), Some(version));
     assert!(harness.recorded.borrow().warnings.is_empty(), "{:?}", harness.recorded.borrow().warnings);
 }
 
-/// A server that says when it was started has an age, and a young one a small weight; the others keep theirs.
+/// A server with a recent start in its entry gets a small weight (slow start); a server without a start keeps its
+/// weight.
 #[rstest]
-fn recorded_start_of_a_server_is_read_as_its_age() {
+fn recorded_start_of_a_server_determines_its_age() {
     let mut harness = Harness::with_config(PlannerConfig::parse(START.as_bytes()).unwrap());
     harness.run_until(ms(15_000));
     let restarted = lines_of(DISCOVERY)["restarted"].as_bytes();
     harness.receive_list_at(UNIX + 15_000.0, Some(3), restarted).unwrap();
     harness.run_until(ms(15_100));
     harness.join(1, 5);
-    let holds = table(&harness.written(1), BTreeMap::new());
-    assert!(holds["s3"] >= 0.9 && holds.get("s1").is_none_or(|weight| *weight <= 0.25), "{holds:?}");
+    let proxy_table = table(&harness.written(1), BTreeMap::new());
+    assert!(
+        proxy_table["s3"] >= 0.9 && proxy_table.get("s1").is_none_or(|weight| *weight <= 0.25),
+        "{proxy_table:?}"
+    );
 }
 
 #[rstest]
-fn calls_for_the_list_are_asked_as_recorded() {
+fn requests_for_the_list_have_the_expected_paths() {
     let mut watch = EndpointWatch::new("127.0.0.1:8000".parse().unwrap());
     watch.request();
     assert!(watch.begin());
@@ -177,7 +182,7 @@
 
 const COLLECTOR: u64 = 900;
 
-/// What is said by one who has not joined, and refused with a reason: one for each reason that one connection can get.
+/// Messages of peers that have not joined, one for each reason that a NACK to a single connection can have.
 const REFUSED: [&[u8]; 12] = [
     br#"{"msg":"SOURCE","locality":"west"}"#,
     br#"{"msg":"SUBSCRIBE","node":12,"locality":"north","w":3.5,"cold":true}"#,
@@ -193,10 +198,11 @@
     br#"[]"#,
 ];
 
-/// Bytes that are no frames.
+/// Bytes that are not frames.
 const NO_FRAMES: [&[u8]; 3] = [b"GET / HTTP/1.1\r\n\r\n", &[0, 0, 0, 0], &[0, 0, 0x10, 1, b'{']];
 
-/// Twenty seconds in which proxies come, load rises until calls are let in only in part, and servers drain and leave.
+/// Runs twenty seconds in which proxies join, the load rises until the admission level falls, and servers drain and are
+/// removed.
 fn session() -> Harness {
     let mut harness = Harness::with_config(PlannerConfig::parse(START.as_bytes()).unwrap());
     harness.open(COLLECTOR);
@@ -211,13 +217,13 @@
         harness.open(conn);
         harness.receive(conn, bytes);
     }
-    // The older stream of a proxy whose joining is read last.
-    let joining = framed(subscribe(4, "north").to_string().as_bytes());
+    // Two streams of one proxy; the join of the older stream is read last.
+    let join = framed(subscribe(4, "north").to_string().as_bytes());
     harness.open(301);
-    harness.receive(301, &joining[..joining.len() - 1]);
+    harness.receive(301, &join[..join.len() - 1]);
     harness.open(302);
-    harness.receive(302, &joining);
-    harness.receive(301, &joining[joining.len() - 1..]);
+    harness.receive(302, &join);
+    harness.receive(301, &join[join.len() - 1..]);
     harness.manager.connection_closed(302);
     for step in 1..400u64 {
         harness.run_until(ms(step * 50));
@@ -230,7 +236,7 @@
             _ => report_load(&mut harness, step),
         }
     }
-    // More than may wait without joining, and one that cannot be accepted.
+    // More connections than may be open without a join, and one that cannot be accepted.
     (400..=461).for_each(|conn| harness.open(conn));
     harness.manager.accept_failed(harness.now, "no descriptors");
     harness
@@ -250,7 +256,7 @@
     );
 }
 
-/// The frames of a connection as lines of a fixture.
+/// Converts the frames of a connection into lines of a fixture.
 fn as_lines(conn: u64, bytes: &[u8]) -> Vec<String> {
     let (mut rest, mut lines) = (bytes, vec![]);
     while let Some((head, more)) = rest.split_first_chunk::<4>() {
@@ -259,7 +265,7 @@
         lines.push(format!("{conn} {length:08x} {}", std::str::from_utf8(body).unwrap()));
         rest = more;
     }
-    assert!(rest.is_empty(), "whole frames only");
+    assert!(rest.is_empty(), "expected only complete frames");
     lines
 }
 
@@ -272,37 +278,37 @@
     assert_eq!(written, WRITTEN.lines().collect::<Vec<_>>());
 }
 
-/// A fixture that no longer holds a kind of message, or of a reason, would compare nothing for it.
+/// Guards against a fixture that lacks a kind of message or a reason of a NACK: the comparison above would not notice.
 #[rstest]
 #[case::pong(r#"{"msg":"PONG"}"#)]
-#[case::whole_table(r#""whole":true"#)]
-#[case::changed_lines(r#"{"lines":[["#)]
-#[case::a_line_that_goes(r#"["s0",0.0]"#)]
+#[case::full_table(r#""whole":true"#)]
+#[case::changed_weights(r#"{"lines":[["#)]
+#[case::removed_server(r#"["s0",0.0]"#)]
 #[case::one_part_of_several(r#""more":true"#)]
-#[case::level_of_some_classes(r#"{"classes":["store"],"level":"#)]
-#[case::level_of_all_classes(r#"{"level":"#)]
-#[case::share_that_is_let_in(r#""level":0."#)]
-#[case::never_tried_again(r#""retry":0"#)]
-#[case::tried_again_after_proof(r#""retry":1"#)]
-#[case::tried_again_after_failure(r#""retry":2"#)]
-#[case::mark(r#""ticket":1}"#)]
-#[case::not_in_time("in time\"")]
-#[case::zone_that_is_not_stated("which is not stated\"")]
-#[case::proxy_that_does_not_exist("which does not exist\"")]
-#[case::report_first("a report without a joining\"")]
-#[case::newer_stream("a newer stream of its proxy has joined\"")]
-#[case::too_many("too many have not joined\"")]
-#[case::no_descriptors("descriptors run out\"")]
-#[case::field_missing("locality is missing\"")]
-#[case::field_of_another_type("w is no figure\"")]
-#[case::field_out_of_range("w is out of range\"")]
-#[case::field_in_parts("node is no whole number\"")]
-#[case::interval_of_nought("interval is nought\"")]
-#[case::no_kind("an object: msg is missing\"")]
-#[case::other_kind("is no message that may come\"")]
-#[case::no_object("it is not an object of JSON\"")]
-#[case::too_long("bytes; at most 4096 are possible here\"")]
-#[case::empty("a message of no bytes\"")]
+#[case::admission_level_of_some_routes(r#"{"classes":["store"],"level":"#)]
+#[case::admission_level_of_all_routes(r#"{"level":"#)]
+#[case::admission_level_below_one(r#""level":0."#)]
+#[case::retry_never(r#""retry":0"#)]
+#[case::retry_if_not_executed(r#""retry":1"#)]
+#[case::retry_after_failure(r#""retry":2"#)]
+#[case::ack_token(r#""ticket":1}"#)]
+#[case::nack_timed_out("in time\"")]
+#[case::nack_unknown_zone("which is not stated\"")]
+#[case::nack_unknown_proxy("which does not exist\"")]
+#[case::nack_report_before_join("a report without a joining\"")]
+#[case::nack_newer_stream("a newer stream of its proxy has joined\"")]
+#[case::nack_too_many_unknown_peers("too many have not joined\"")]
+#[case::nack_out_of_descriptors("descriptors run out\"")]
+#[case::nack_missing_field("locality is missing\"")]
+#[case::nack_field_of_another_type("w is no figure\"")]
+#[case::nack_field_out_of_range("w is out of range\"")]
+#[case::nack_field_with_a_fraction("node is no whole number\"")]
+#[case::nack_interval_of_zero("interval is nought\"")]
+#[case::nack_missing_kind("an object: msg is missing\"")]
+#[case::nack_unknown_kind("is no message that may come\"")]
+#[case::nack_not_an_object("it is not an object of JSON\"")]
+#[case::nack_too_long("bytes; at most 4096 are possible here\"")]
+#[case::nack_empty("a message of no bytes\"")]
 fn every_kind_of_written_message_is_recorded(#[case] part: &str) {
     assert!(WRITTEN.contains(part), "{part}");
 }
--- a/crates/platform-protocol/tests/frames.rs
+++ b/crates/platform-protocol/tests/frames.rs
@@ -1,6 +1,6 @@
-//! Bytes to messages: any split, any truncation, and what is invalid.
+//! Parsing of bytes into messages: any split, any truncation, and invalid input.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test fails by a panic")]
 
 use grebespool_platform_protocol::{FrameDecoder, FrameError, Message, MessageError, parse_message};
 use proptest::prelude::*;
@@ -26,12 +26,12 @@
     for first in 0..all.len() {
         for second in first..all.len() {
             let mut frames = FrameDecoder::new(1 << 20);
-            let mut got = vec![];
+            let mut decoded = vec![];
             for part in [&all[..first], &all[first..second], &all[second..]] {
                 frames.extend(part);
-                got.extend(decode_all(&mut frames).unwrap());
+                decoded.extend(decode_all(&mut frames).unwrap());
             }
-            assert_eq!(got, bodies.map(|b| b.as_bytes().to_vec()), "{first} {second}");
+            assert_eq!(decoded, bodies.map(|b| b.as_bytes().to_vec()), "{first} {second}");
             assert!(!frames.has_partial_frame());
         }
     }
@@ -48,17 +48,17 @@
 }
 
 #[rstest]
-#[case::nothing_in_it(&[0, 0, 0, 0], FrameError::Empty)]
+#[case::empty(&[0, 0, 0, 0], FrameError::Empty)]
 #[case::too_long(&[0, 0, 16, 1], FrameError::TooLong { length: 4097, limit: 4096 })]
 #[case::http(b"G", FrameError::TooLong { length: 0x4700_0000, limit: 4096 })]
-#[case::no_object(&[0, 0, 0, 9, b'['], FrameError::NotAnObject(b'['))]
-fn rejects_invalid_frames_by_their_first_bytes(#[case] bytes: &[u8], #[case] why: FrameError) {
+#[case::not_an_object(&[0, 0, 0, 9, b'['], FrameError::NotAnObject(b'['))]
+fn rejects_invalid_frames_by_their_first_bytes(#[case] bytes: &[u8], #[case] expected: FrameError) {
     let mut frames = FrameDecoder::new(4096);
     frames.extend(bytes);
-    assert_eq!(decode_all(&mut frames), Err(why));
+    assert_eq!(decode_all(&mut frames), Err(expected));
 }
 
-fn good(kind: &str) -> serde_json::Value {
+fn valid_message(kind: &str) -> serde_json::Value {
     match kind {
         "LOAD" => {
             json!({"msg": "LOAD", "locality": "a", "endpoint": "s", "total": 4, "errors": 1, "rtt": 20.5,
@@ -71,33 +71,33 @@
 }
 
 #[rstest]
-#[case::sums_left_out("LOAD", "total", json!(null), "is no figure")]
-#[case::more_errors("LOAD", "errors", json!(5), "is above the total")]
-#[case::errors_below_nought("LOAD", "errors", json!(-1), "is out of range")]
-#[case::half_a_try("LOAD", "total", json!(4.5), "is no whole number")]
-#[case::far_too_many("LOAD", "total", json!(1e12), "is out of range")]
-#[case::time_below_nought("LOAD", "rtt", json!(-0.1), "is out of range")]
-#[case::time_without_end("LOAD", "rtt", json!(1e300), "is out of range")]
-#[case::no_interval("LOAD", "interval", json!(0), "is nought")]
-#[case::server_of_another_type("LOAD", "endpoint", json!(["s"]), "is no text")]
-#[case::report_of_another_type("LOAD", "metrics", json!(3), "is no object")]
-#[case::report_below_nought("LOAD", "metrics", json!({"cpu_share": -1}), "is out of range")]
-#[case::report_as_text("LOAD", "metrics", json!({"cpu_share": "0.5"}), "is no figure")]
-#[case::usage_as_text("RATE", "total", json!("4"), "is no figure")]
-#[case::usage_of_a_negative("RATE", "node", json!(-2), "is out of range")]
-#[case::usage_of_no_route("RATE", "route", json!(null), "is no text")]
-#[case::mark_as_text("ACK", "nonce", json!("7"), "is no figure")]
-#[case::mark_in_parts("ACK", "nonce", json!(7.5), "is no whole number")]
-#[case::late_below_nought("ACK", "latency", json!(-5), "is out of range")]
-#[case::cold_as_number("SUBSCRIBE", "cold", json!(1), "is neither true nor false")]
-#[case::rate_as_text("SUBSCRIBE", "w", json!("1"), "is no figure")]
+#[case::null_attempts("LOAD", "total", json!(null), "is no figure")]
+#[case::more_failures_than_attempts("LOAD", "errors", json!(5), "is above the total")]
+#[case::negative_failures("LOAD", "errors", json!(-1), "is out of range")]
+#[case::attempts_with_a_fraction("LOAD", "total", json!(4.5), "is no whole number")]
+#[case::attempts_above_the_limit("LOAD", "total", json!(1e12), "is out of range")]
+#[case::negative_latency("LOAD", "rtt", json!(-0.1), "is out of range")]
+#[case::latency_above_the_limit("LOAD", "rtt", json!(1e300), "is out of range")]
+#[case::zero_interval("LOAD", "interval", json!(0), "is nought")]
+#[case::server_as_array("LOAD", "endpoint", json!(["s"]), "is no text")]
+#[case::metrics_as_number("LOAD", "metrics", json!(3), "is no object")]
+#[case::negative_metric("LOAD", "metrics", json!({"cpu_share": -1}), "is out of range")]
+#[case::metric_as_string("LOAD", "metrics", json!({"cpu_share": "0.5"}), "is no figure")]
+#[case::requests_as_string("RATE", "total", json!("4"), "is no figure")]
+#[case::negative_proxy("RATE", "node", json!(-2), "is out of range")]
+#[case::null_route("RATE", "route", json!(null), "is no text")]
+#[case::ack_token_as_string("ACK", "nonce", json!("7"), "is no figure")]
+#[case::ack_token_with_a_fraction("ACK", "nonce", json!(7.5), "is no whole number")]
+#[case::negative_apply_time("ACK", "latency", json!(-5), "is out of range")]
+#[case::without_table_as_number("SUBSCRIBE", "cold", json!(1), "is neither true nor false")]
+#[case::request_rate_as_string("SUBSCRIBE", "w", json!("1"), "is no figure")]
 fn rejects_message_with_invalid_field(
     #[case] kind: &str,
     #[case] field: &str,
     #[case] value: serde_json::Value,
     #[case] fault: &str,
 ) {
-    let mut message = good(kind);
+    let mut message = valid_message(kind);
     assert!(parse_message(message.to_string().as_bytes()).is_ok());
     message[field] = value;
     let Err(MessageError::Field(error)) = parse_message(message.to_string().as_bytes()) else {
@@ -110,22 +110,26 @@
 }
 
 #[rstest]
-#[case::none_answered(json!({"total": 2, "errors": 2, "rtt": 0.0}), None)]
-#[case::none_answered_and_no_time(json!({"total": 2, "errors": 2, "rtt": null}), None)]
-#[case::answered(json!({"total": 3, "errors": 2, "rtt": 9.5}), Some(9.5))]
-fn accepts_reports_with_and_without_latency(#[case] fields: serde_json::Value, #[case] wait: Option<f64>) {
-    let mut message = good("LOAD");
+#[case::all_failed(json!({"total": 2, "errors": 2, "rtt": 0.0}), None)]
+#[case::all_failed_without_latency(json!({"total": 2, "errors": 2, "rtt": null}), None)]
+#[case::one_succeeded(json!({"total": 3, "errors": 2, "rtt": 9.5}), Some(9.5))]
+fn accepts_reports_with_and_without_latency(
+    #[case] fields: serde_json::Value,
+    #[case] latency_ms: Option<f64>,
+) {
+    let mut message = valid_message("LOAD");
     fields.as_object().unwrap().iter().for_each(|(k, v)| message[k] = v.clone());
     let Ok(Message::ServerReport(report)) = parse_message(message.to_string().as_bytes()) else {
         panic!("{message}")
     };
-    assert_eq!(report.mean_latency_ms, wait);
+    assert_eq!(report.mean_latency_ms, latency_ms);
 }
 
-/// Of requests that came in one interval, some fail in the next: good proxies report so, most of all under faults.
+/// Guards against rejecting valid reports: requests that are received in one interval may fail in the next one, most
+/// often while servers have faults.
 #[rstest]
 fn accepts_usage_with_more_failures_than_requests() {
-    let mut message = good("RATE");
+    let mut message = valid_message("RATE");
     message["errors"] = json!(9);
     let Ok(Message::Usage(usage)) = parse_message(message.to_string().as_bytes()) else {
         panic!("{message}")
@@ -150,7 +154,7 @@
     fn survives_any_field(field in "[a-z]{1,9}", text in "\\PC{0,40}", number in any::<f64>()) {
         for kind in ["LOAD", "RATE", "ACK", "SUBSCRIBE"] {
             for value in [json!(text), json!(number), json!([number]), json!({"a": text})] {
-                let mut message = good(kind);
+                let mut message = valid_message(kind);
                 message[&field] = value;
                 let _ = parse_message(message.to_string().as_bytes());
             }
--- a/crates/platform-protocol/tests/helpers/mod.rs
+++ b/crates/platform-protocol/tests/helpers/mod.rs
@@ -1,4 +1,4 @@
-//! A session manager whose effects are recorded, and a small deployment.
+//! A harness around a session manager that records its effects, and the settings of a small deployment.
 
 use grebespool_platform_protocol::{
     ConnectionId, Effects, EndpointListError, Event, PlannerConfig, ReceivedAt, SessionManager, Warning,
@@ -14,10 +14,10 @@
     Duration::from_millis(ms)
 }
 
-/// The machines' clock at the start, in Unix milliseconds.
+/// The wall clock of the machine at the planner's start, in Unix milliseconds.
 pub const UNIX: f64 = 1_700_000_000_000.0;
 
-/// Descriptors that are kept from peers that have not joined.
+/// The number of descriptors that peers without a join cannot take.
 const RESERVED_DESCRIPTORS: usize = 20;
 
 pub fn settings() -> Value {
@@ -56,9 +56,9 @@
     pub watch_requests: usize,
     pub full_list_requests: usize,
     pub warnings: Vec<Warning>,
-    /// Events that are logged in any case.
+    /// The events that are always logged.
     pub events: Vec<Event>,
-    /// Events that are logged for debugging only.
+    /// The events that are logged only at the level `debug`.
     pub debug_events: Vec<Event>,
 }
 
@@ -144,7 +144,7 @@
         self.receive_list_at(unix_ms, since, list.to_string().as_bytes())
     }
 
-    /// The machines' clock need not go with the planner's.
+    /// Receives a list at this wall clock, which may differ from the planner's clock.
     pub fn receive_list_at(
         &mut self,
         unix_ms: f64,
@@ -162,7 +162,7 @@
         self.now = at;
     }
 
-    /// What was written to the connection since this was last called.
+    /// Returns the messages that were written to the connection since the last call.
     pub fn written(&mut self, connection: ConnectionId) -> Vec<Value> {
         let bytes = self.recorded.borrow_mut().written.remove(&connection).unwrap_or_default();
         let mut rest = &bytes[..];
@@ -180,13 +180,13 @@
     }
 }
 
-/// A proxy's table after so many messages.
+/// Applies the messages to a proxy's table and returns the table.
 pub fn table(messages: &[Value], mut table: BTreeMap<String, f64>) -> BTreeMap<String, f64> {
-    for m in messages.iter().filter(|m| m["msg"] == "CONFIG") {
-        if m["whole"] == true {
+    for message in messages.iter().filter(|message| message["msg"] == "CONFIG") {
+        if message["whole"] == true {
             table.clear();
         }
-        for line in m["lines"].as_array().into_iter().flatten() {
+        for line in message["lines"].as_array().into_iter().flatten() {
             let (id, weight) = (line[0].as_str().unwrap().to_string(), line[1].as_f64().unwrap());
             if weight > 0.0 {
                 table.insert(id, weight)
--- a/crates/platform-protocol/tests/parity/mod.rs
+++ b/crates/platform-protocol/tests/parity/mod.rs
@@ -1,5 +1,5 @@
-//! The same events given to the policy through the simulator's wire and through the platform's protocol: the same updates,
-//! message by message.
+//! The policy receives the same events through the simulator's protocol and through the platform's protocol, and sends
+//! the same updates, message by message.
 
 mod simulator;
 
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What one proxy is sent in a turn: whether the table is full, weights, admission and retries by route, the ack token.
+/// The update that one proxy receives in a step. `admission` holds the admission level and the retry code by route.
 #[derive(Debug, Default, Clone, PartialEq)]
 struct Update {
     full: bool,
@@ -29,10 +29,10 @@
         }
         if let Some(level) = part["level"].as_f64() {
             let routes = part.get("classes").and_then(Value::as_array);
-            let is_meant =
+            let applies =
                 |route: &usize| routes.is_none_or(|names| names.contains(&json!(ROUTE_NAMES[*route])));
             let rule = (level as f32, part["retry"].as_u64().unwrap() as u8);
-            self.admission.extend((0..ROUTE_NAMES.len()).filter(is_meant).map(|route| (route, rule)));
+            self.admission.extend((0..ROUTE_NAMES.len()).filter(applies).map(|route| (route, rule)));
         }
         self.ack_token = self.ack_token.or(part["ticket"].as_u64());
     }
@@ -48,7 +48,7 @@
     failures: u32,
 }
 
-/// Both protocols, side by side.
+/// The planner on both protocols, with the same events.
 struct Parity {
     harness: Harness,
     simulator: Simulator,
@@ -69,7 +69,8 @@
         Parity { harness, simulator, proxies: BTreeSet::new(), load }
     }
 
-    /// What the platform's proxies were sent since this was last called, parts of a message put together.
+    /// Returns the updates that the platform's proxies received since the last call, with the parts of a message
+    /// merged.
     fn platform_updates(&mut self) -> Updates {
         let mut updates = Updates::new();
         for proxy in &self.proxies {
@@ -83,7 +84,7 @@
         updates
     }
 
-    /// Fires the timers of both, and compares.
+    /// Fires the timers on both sides and compares the updates.
     fn fire_timers(&mut self, now: Duration) {
         let expected = self.simulator.fire_timers(now);
         self.harness.now = now;
@@ -91,7 +92,7 @@
         assert_eq!(self.platform_updates(), expected, "timers at {now:?}");
     }
 
-    /// Gives both the event of a step. The updates of the simulator's side.
+    /// Passes the event of a step to both sides. Returns the updates on the simulator's side.
     fn step(&mut self, now: Duration, step: u64) -> Updates {
         match step {
             s if s % 20 == 3 && self.proxies.len() < Self::PROXIES => self.join_proxy(now),
@@ -118,7 +119,7 @@
     fn report_load(&mut self, now: Duration, step: u64) -> Updates {
         let Load { utilization, failures } = self.load;
         let k = step as usize % SERVERS;
-        // A report that stands still would be discounted.
+        // The policy would discount a report that never changes.
         let jitter = 0.001 * (step % 7) as f64;
         let share = if k < 2 && failures == 0 { utilization * 0.4 } else { utilization } - jitter;
         let updates = self.simulator.report_load(now, k, share as f32, failures);
@@ -137,8 +138,8 @@
 }
 
 #[rstest]
-#[case::calm(0.5, 0)]
-#[case::crowded(0.99, 5)]
+#[case::at_normal_load(0.5, 0)]
+#[case::in_overload(0.99, 5)]
 fn updates_are_the_same_on_the_platform_and_in_the_simulator(
     #[case] utilization: f64,
     #[case] failures: u32,
@@ -155,5 +156,5 @@
         assert_eq!(updates, expected, "step {step}");
     }
     assert!(messages > 15, "{messages}");
-    assert_eq!(sheds_load, utilization > 0.9 && failures > 0, "admission is part of what is compared");
+    assert_eq!(sheds_load, utilization > 0.9 && failures > 0, "the compared updates cover admission");
 }
--- a/crates/platform-protocol/tests/parity/simulator.rs
+++ b/crates/platform-protocol/tests/parity/simulator.rs
@@ -1,11 +1,12 @@
-//! The simulator's side: batches of records to the adapter, and tables and bindings as the simulator would keep them.
+//! The simulator's side of the comparison: sends batches of records to the adapter, and keeps tables and bindings as
+//! the simulator does.
 
 use super::{Update, Updates};
 use grebespool_wirehost::Instances;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Servers of the deployment.
+/// The number of servers of the deployment.
 pub const SERVERS: usize = 8;
 /// The simulator's clock at the start, in milliseconds.
 const START_MS: f64 = 5000.0;
@@ -14,7 +15,7 @@
 const REPLY_HEADER_LENGTH: usize = 8;
 const ROUTES: usize = 2;
 
-/// Records of events, by their codes.
+/// The codes of event records.
 mod event {
     pub const INSTANCE_STARTED: u16 = 1000;
     pub const ENDPOINTS_UPDATED: u16 = 1010;
@@ -26,7 +27,7 @@
     pub const INSTANCE: u16 = 1150;
 }
 
-/// Records of replies, by their codes.
+/// The codes of reply records.
 mod reply {
     pub const ACK_REQUEST: u16 = 1010;
     pub const TIMER: u16 = 1030;
@@ -66,7 +67,7 @@
     }
 }
 
-/// What one batch's reply changes.
+/// The changes in the reply to one batch.
 #[derive(Default)]
 struct Changes {
     bound: BTreeSet<u16>,
@@ -79,7 +80,7 @@
 pub struct Simulator {
     instances: Instances,
     tables: BTreeMap<u16, BTreeMap<String, f32>>,
-    /// The table of each proxy.
+    /// The table that each proxy is bound to.
     bindings: BTreeMap<u16, u16>,
     admission: BTreeMap<usize, (f32, u8)>,
     timers: BTreeSet<(Duration, u32)>,
@@ -92,13 +93,13 @@
         self.list(Duration::ZERO, ALL_NEW, &entries);
     }
 
-    /// Changes these servers to these states.
+    /// Sends a list that changes these servers to these states.
     pub fn change_list(&mut self, now: Duration, entries: &[(usize, u8)]) -> Updates {
         const CHANGES: u8 = 0;
         self.list(now, CHANGES, entries)
     }
 
-    /// Fires each timer that is due once, at the first step at or after its time.
+    /// Fires each due timer once, at the first step at or after its time.
     pub fn fire_timers(&mut self, now: Duration) -> Updates {
         let tokens: BTreeSet<u32> =
             self.timers.iter().filter(|timer| timer.0 <= now).map(|timer| timer.1).collect();
@@ -191,7 +192,8 @@
             }
             reply::ACK_REQUEST => changes.ack_token = Some(u64::from(record.u32_at(3))),
             reply::TIMER => {
-                // A time that went through a number of milliseconds is not the same to the nanosecond.
+                // The reply holds the time as a floating-point number of milliseconds, so it is rounded to
+                // microseconds.
                 let due = Duration::from_micros(((record.f64_at(2) - START_MS) * 1000.0).round() as u64);
                 self.timers.insert((due, record.u32_at(10)));
             }
--- a/crates/platform-protocol/tests/session_manager.rs
+++ b/crates/platform-protocol/tests/session_manager.rs
@@ -1,8 +1,8 @@
-//! The session manager through time: who joins, who is closed, what is used of lists and messages, and what proxies hold
-//! after it.
+//! The session manager over time: joins, closed connections, the parts of lists and messages that are applied, and the
+//! resulting tables of the proxies.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::wildcard_imports, reason = "the helpers of the tests beside them")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test fails by a panic")]
+#![allow(clippy::wildcard_imports, reason = "all helpers are for these tests")]
 
 mod helpers;
 mod parity;
@@ -26,13 +26,13 @@
         (&first[0]["whole"], first.iter().filter(|m| m["more"] == true).count() + 1),
         (&json!(true), first.len())
     );
-    let mut holds = table(&first, BTreeMap::new());
-    assert_eq!(holds.len(), 4);
+    let mut proxy_table = table(&first, BTreeMap::new());
+    assert_eq!(proxy_table.len(), 4);
     harness.receive_list(Some(3), &list(4, false, vec![server(2, "DRAINING", 0)])).unwrap();
     let second = harness.written(1);
     assert!(second.iter().all(|m| m.get("whole").is_none()), "{second:?}");
-    holds = table(&second, holds);
-    assert!(!holds.contains_key("s2") && holds.len() == 3, "{holds:?}");
+    proxy_table = table(&second, proxy_table);
+    assert!(!proxy_table.contains_key("s2") && proxy_table.len() == 3, "{proxy_table:?}");
 }
 
 #[rstest]
@@ -53,16 +53,16 @@
 
 #[rstest]
 #[case::http(b"GET / HTTP/1.1\r\n\r\n".to_vec())]
-#[case::no_json(framed(b"{]"))]
-#[case::a_report_first(framed(
+#[case::invalid_json(framed(b"{]"))]
+#[case::report_before_join(framed(
     br#"{"msg":"RATE","node":1,"route":"store","total":1,"errors":0,"interval":1}"#
 ))]
-#[case::orders(framed(br#"{"msg":"CONFIG","lines":[["s1",1]]}"#))]
-#[case::a_proxy_too_many(framed(subscribe(12, "north").to_string().as_bytes()))]
-#[case::a_zone_that_is_not(framed(subscribe(1, "west").to_string().as_bytes()))]
-#[case::a_collector_of_none(framed(br#"{"msg":"SOURCE","locality":"west"}"#))]
-#[case::a_joining_without_its_number(framed(br#"{"msg":"SUBSCRIBE","locality":"north","w":1,"cold":true}"#))]
-#[case::a_length_that_cannot_be(vec![255, 255, 255, 255])]
+#[case::update_from_a_peer(framed(br#"{"msg":"CONFIG","lines":[["s1",1]]}"#))]
+#[case::proxy_number_out_of_range(framed(subscribe(12, "north").to_string().as_bytes()))]
+#[case::proxy_of_an_unknown_zone(framed(subscribe(1, "west").to_string().as_bytes()))]
+#[case::collector_of_an_unknown_zone(framed(br#"{"msg":"SOURCE","locality":"west"}"#))]
+#[case::join_without_a_proxy_number(framed(br#"{"msg":"SUBSCRIBE","locality":"north","w":1,"cold":true}"#))]
+#[case::length_above_the_limit(vec![255, 255, 255, 255])]
 fn refuses_and_closes_peers_that_do_not_join(#[case] bytes: Vec<u8>) {
     for step in [1, 3, bytes.len()] {
         let mut harness = Harness::new(2);
@@ -78,18 +78,18 @@
 
 #[rstest]
 #[case::silent(&[])]
-#[case::half_a_message(&[0, 0, 0, 40, b'{'])]
-#[case::a_sign_of_life(b"\0\0\0\x0e{\"msg\":\"PING\"}")]
-fn closes_peer_that_does_not_join_in_time(#[case] says: &[u8]) {
+#[case::partial_message(&[0, 0, 0, 40, b'{'])]
+#[case::ping(b"\0\0\0\x0e{\"msg\":\"PING\"}")]
+fn closes_peer_that_does_not_join_in_time(#[case] bytes: &[u8]) {
     let mut harness = Harness::new(2);
     harness.run_until(ms(777));
     harness.open(1);
-    harness.receive(1, says);
+    harness.receive(1, bytes);
     harness.run_until(ms(777 + 1000));
     assert!(!harness.is_closed(1));
     harness.run_until(ms(777 + 2500));
     assert!(harness.is_closed(1));
-    if says.len() > 10 {
+    if bytes.len() > 10 {
         assert_eq!(harness.written(1)[0], json!({"msg": "PONG"}));
     }
 }
@@ -97,10 +97,10 @@
 #[rstest]
 fn accepts_slow_join_and_closes_unfinished_one() {
     let mut harness = Harness::new(2);
-    let joining = framed(subscribe(1, "south").to_string().as_bytes());
+    let join = framed(subscribe(1, "south").to_string().as_bytes());
     harness.open(1);
     harness.open(2);
-    for (i, byte) in joining.iter().enumerate() {
+    for (i, byte) in join.iter().enumerate() {
         harness.receive(1, &[*byte]);
         if i < 20 {
             harness.receive(2, &[*byte]);
@@ -113,7 +113,7 @@
 }
 
 #[rstest]
-fn evicts_unknown_peers_and_no_joined_ones() {
+fn evicts_unknown_peers_but_no_joined_ones() {
     let mut harness = Harness::new(2);
     for p in 0..12 {
         harness.join(p, p);
@@ -121,7 +121,7 @@
     for conn in 100..900 {
         harness.open(conn);
     }
-    // 100 descriptors less 20 kept free, 12 proxies and 8 collectors.
+    // 60 unknown peers may be open: 100 descriptors less 20 reserved ones, 12 for proxies and 8 for collectors.
     assert_eq!(peers(&harness), [12, 60]);
     assert!((100..840).all(|c| harness.is_closed(c)) && (840..900).all(|c| !harness.is_closed(c)));
     harness.manager.accept_failed(harness.now, "no descriptors");
@@ -139,12 +139,12 @@
     let mut harness = Harness::new(4);
     harness.join(1, 5);
     harness.run_until(ms(60_000));
-    // The first bytes after a long silence are the beginning of a message, not one that was left half said.
-    let good = framed(br#"{"msg":"RATE","node":5,"route":"store","total":1,"errors":0,"interval":500}"#);
-    harness.receive(1, &good[..9]);
+    // The time limit of a message starts at its first byte, not at the silence before it.
+    let valid = framed(br#"{"msg":"RATE","node":5,"route":"store","total":1,"errors":0,"interval":500}"#);
+    harness.receive(1, &valid[..9]);
     harness.run_until(ms(64_000));
-    harness.receive(1, &good[9..]);
-    for spoilt in [
+    harness.receive(1, &valid[9..]);
+    for invalid in [
         json!({"msg": "RATE", "node": 4, "route": "store", "total": 1, "errors": 0, "interval": 500}),
         json!({"msg": "RATE", "node": 5, "route": "sing", "total": 1, "errors": 0, "interval": 500}),
         json!({"msg": "ACK", "node": 5, "nonce": 61_000, "latency": 1}),
@@ -152,19 +152,19 @@
         json!({}),
         json!({"msg": "WHAT"}),
     ] {
-        harness.receive_message(1, &spoilt);
+        harness.receive_message(1, &invalid);
     }
     harness.receive(1, &framed(b"{\"msg\":\"RATE\",\"node\":NaN}"));
-    harness.receive(1, &good);
+    harness.receive(1, &valid);
     assert!(!harness.is_closed(1));
-    let said = harness.recorded.borrow().warnings.len();
-    assert!((1..=2).contains(&said), "{:?}", harness.recorded.borrow().warnings);
+    let warning_count = harness.recorded.borrow().warnings.len();
+    assert!((1..=2).contains(&warning_count), "{:?}", harness.recorded.borrow().warnings);
 }
 
 #[rstest]
-#[case::no_frames(vec![vec![200; 9]])]
-#[case::no_json(vec![framed(b"{x"); 3])]
-#[case::orders_of_its_own(vec![framed(br#"{"msg":"CONFIG"}"#); 3])]
+#[case::bytes_that_are_not_frames(vec![vec![200; 9]])]
+#[case::invalid_json(vec![framed(b"{x"); 3])]
+#[case::updates_from_a_proxy(vec![framed(br#"{"msg":"CONFIG"}"#); 3])]
 fn closes_stream_that_keeps_sending_unreadable_messages(#[case] parts: Vec<Vec<u8>>) {
     let mut harness = Harness::new(4);
     harness.join(1, 5);
@@ -202,63 +202,70 @@
     entry
 }
 
-/// Of servers s0 to s3, which are listed after an answer, whether all of it was used, and whether the full list is
-/// requested.
+/// Each case gives the digits of the servers (of s0 to s3) that are in the table after an answer, whether the answer
+/// was applied without a warning, and whether a full list is requested.
 #[rstest]
-#[case::a_change(false, 4, vec![server(0, "DELETED", 0)], "123", true, false)]
-#[case::an_empty_answer(false, 3, vec![], "0123", true, false)]
-#[case::a_whole_list_leaves_out(true, 4, vec![server(0, "SERVING", 0), server(1, "SERVING", 0)], "01", true, false)]
-#[case::a_whole_list_of_a_new_service(true, 1, vec![server(2, "SERVING", 0)], "2", true, false)]
-#[case::a_drain_in_a_zone_that_is_not(
+#[case::removal(false, 4, vec![server(0, "DELETED", 0)], "123", true, false)]
+#[case::no_changes(false, 3, vec![], "0123", true, false)]
+#[case::full_list_without_two_servers(true, 4, vec![server(0, "SERVING", 0), server(1, "SERVING", 0)], "01", true, false)]
+#[case::full_list_with_a_lower_version(true, 1, vec![server(2, "SERVING", 0)], "2", true, false)]
+#[case::drain_in_an_unknown_zone(
     false, 4, vec![with(server(0, "DRAINING", 0), "zone", json!("west"))], "123", false, true
 )]
-#[case::a_removal_without_all_else(false, 4, vec![json!({"id": "s1", "state": "DELETED"})], "023", true, false)]
-#[case::a_start_that_is_none(
+#[case::removal_with_id_and_state_only(false, 4, vec![json!({"id": "s1", "state": "DELETED"})], "023", true, false)]
+#[case::start_that_is_not_a_number(
     false, 4, vec![with(server(0, "SERVING", 0), "started_ms", json!("now")), server(1, "DELETED", 0)], "023", false, true
 )]
-#[case::an_entry_that_is_none(false, 4, vec![json!(5), server(1, "DELETED", 0)], "023", false, true)]
-#[case::a_spoilt_entry_of_a_whole_list_is_not_left_out(
+#[case::entry_that_is_not_an_object(false, 4, vec![json!(5), server(1, "DELETED", 0)], "023", false, true)]
+#[case::invalid_entry_of_a_full_list_keeps_its_server(
     true, 4, vec![with(server(0, "SERVING", 0), "zone", json!(9)), server(1, "SERVING", 0)], "01", false, true
 )]
-#[case::versions_that_go_back(false, 2, vec![server(0, "DRAINING", 0), server(7, "SERVING", 0)], "123", false, true)]
-#[case::one_server_twice(false, 4, vec![server(0, "SERVING", 0), server(0, "DELETED", 0)], "123", false, true)]
-#[case::gone_and_back_in_one(false, 4, vec![server(0, "DELETED", 0), server(0, "SERVING", 0)], "123", false, true)]
+#[case::changes_with_a_lower_version(
+    false, 2, vec![server(0, "DRAINING", 0), server(7, "SERVING", 0)], "123", false, true
+)]
+#[case::serving_and_removed_in_one_list(
+    false, 4, vec![server(0, "SERVING", 0), server(0, "DELETED", 0)], "123", false, true
+)]
+#[case::removed_and_serving_in_one_list(
+    false, 4, vec![server(0, "DELETED", 0), server(0, "SERVING", 0)], "123", false, true
+)]
 fn applies_list_entry_by_entry(
     #[case] full: bool,
     #[case] version: u64,
     #[case] entries: Vec<Value>,
-    #[case] left: &str,
-    #[case] all_used: bool,
+    #[case] remaining: &str,
+    #[case] all_applied: bool,
     #[case] needs_full_list: bool,
 ) {
     let mut harness = Harness::new(4);
     harness.join(1, 5);
     harness.run_until(ms(2000));
-    let mut holds = table(&harness.written(1), BTreeMap::new());
+    let mut proxy_table = table(&harness.written(1), BTreeMap::new());
     harness.receive_list(Some(3), &list(version, full, entries)).unwrap();
-    holds = table(&harness.written(1), holds);
-    let expected: Vec<String> = left.chars().map(|k| format!("s{k}")).collect();
-    assert_eq!(holds.into_keys().collect::<Vec<_>>(), expected);
-    assert_eq!(harness.recorded.borrow().warnings.is_empty(), all_used);
+    proxy_table = table(&harness.written(1), proxy_table);
+    let expected: Vec<String> = remaining.chars().map(|k| format!("s{k}")).collect();
+    assert_eq!(proxy_table.into_keys().collect::<Vec<_>>(), expected);
+    assert_eq!(harness.recorded.borrow().warnings.is_empty(), all_applied);
     assert_eq!(harness.recorded.borrow().full_list_requests, usize::from(needs_full_list));
 }
 
 #[rstest]
-#[case::no_json("{")]
+#[case::invalid_json("{")]
 #[case::no_version(r#"{"full":true,"servers":[]}"#)]
 #[case::no_servers(r#"{"version":9,"full":true}"#)]
-#[case::neither_whole_nor_not(r#"{"version":9,"servers":[]}"#)]
-fn rejects_answer_that_is_no_list(#[case] body: &str) {
+#[case::no_full_flag(r#"{"version":9,"servers":[]}"#)]
+fn rejects_answer_that_is_not_an_endpoint_list(#[case] body: &str) {
     let mut harness = Harness::new(4);
     assert!(harness.receive_list_at(UNIX, Some(3), body.as_bytes()).is_err());
     assert_eq!(harness.manager.endpoint_list_version(), Some(3));
 }
 
-/// Whether lists are asked for or pushed is said of the simulator: here they come to who asks and goes on asking.
+/// The registry mode applies to the simulator only. The platform never pushes a list, so the planner requests the list
+/// in every mode.
 #[rstest]
-#[case::asked_for(json!("on_request"))]
-#[case::pushed(json!("pushed"))]
-#[case::left_out(Value::Null)]
+#[case::in_mode_on_request(json!("on_request"))]
+#[case::in_mode_pushed(json!("pushed"))]
+#[case::without_a_mode(Value::Null)]
 fn requests_list_until_answered_and_again_after_failure(#[case] mode: Value) {
     let mut harness = Harness::with_config(config_with(4, with(settings(), "registryMode", mode)));
     harness.run_until(ms(1500));
@@ -271,23 +278,28 @@
     assert_eq!(harness.recorded.borrow().watch_requests, 2);
 }
 
-/// A clock that is set, or a list that is told again, is no restart; a new start is one.
+/// Guards against slow start of a server that has not restarted: a repeated entry and a change of the wall clock are
+/// not a restart, a new start is.
 #[rstest]
-#[case::told_again(0.0, -90_000.0, 1.0)]
-#[case::clock_set_back(-100_000.0, -90_000.0, 1.0)]
-#[case::started_anew(0.0, 14_900.0, 0.25)]
-fn age_of_server_follows_its_start(#[case] set: f64, #[case] started: f64, #[case] part: f64) {
+#[case::repeated_entry(0.0, -90_000.0, 1.0)]
+#[case::wall_clock_set_back(-100_000.0, -90_000.0, 1.0)]
+#[case::restarted(0.0, 14_900.0, 0.25)]
+fn age_of_server_follows_its_start(
+    #[case] clock_change: f64,
+    #[case] started: f64,
+    #[case] weight_limit: f64,
+) {
     let mut harness = Harness::new(2);
     harness.receive_list(Some(3), &list(4, false, vec![server(0, "SERVING", 90_000)])).unwrap();
     harness.run_until(ms(15_000));
-    let again = list(5, false, vec![with(server(0, "SERVING", 0), "started_ms", json!(UNIX + started))]);
-    let unix = UNIX + 15_000.0 + set;
-    harness.receive_list_at(unix, Some(4), again.to_string().as_bytes()).unwrap();
+    let second = list(5, false, vec![with(server(0, "SERVING", 0), "started_ms", json!(UNIX + started))]);
+    let unix = UNIX + 15_000.0 + clock_change;
+    harness.receive_list_at(unix, Some(4), second.to_string().as_bytes()).unwrap();
     harness.run_until(ms(15_100));
     harness.join(1, 0);
-    let holds = table(&harness.written(1), BTreeMap::new());
-    let weight = holds.get("s0").copied().unwrap_or(0.0);
-    assert!(if part == 1.0 { weight >= 0.9 } else { weight <= part }, "{holds:?}");
+    let proxy_table = table(&harness.written(1), BTreeMap::new());
+    let weight = proxy_table.get("s0").copied().unwrap_or(0.0);
+    assert!(if weight_limit == 1.0 { weight >= 0.9 } else { weight <= weight_limit }, "{proxy_table:?}");
 }
 
 #[rstest]
@@ -305,16 +317,17 @@
     assert!(status.server_indices < 60, "{}", status.server_indices);
 }
 
-/// The older stream's joining may be read last: closing the newer one for it would leave the proxy with neither.
+/// Guards against closing the newer stream when the join of the older one is read last: the proxy would be left without
+/// a stream.
 #[rstest]
 fn older_stream_whose_join_is_read_last_is_closed() {
     let mut harness = Harness::new(4);
     harness.run_until(ms(2500));
-    let joining = framed(subscribe(5, "south").to_string().as_bytes());
+    let join = framed(subscribe(5, "south").to_string().as_bytes());
     harness.open(1);
-    harness.receive(1, &joining[..joining.len() - 1]);
+    harness.receive(1, &join[..join.len() - 1]);
     harness.join(2, 5);
-    harness.receive(1, &joining[joining.len() - 1..]);
+    harness.receive(1, &join[join.len() - 1..]);
     assert!(harness.is_closed(1) && !harness.is_closed(2));
     harness.manager.connection_closed(1);
     harness.written(2);
@@ -322,7 +335,7 @@
     assert_eq!((harness.written(2).len(), harness.manager.status().joined_proxies), (1, 1));
 }
 
-/// Hundreds come in one instant, and each has said its joining already: nobody goes before it was read.
+/// Guards against evicting a peer whose join was received but not read yet, when hundreds of peers connect at once.
 #[rstest]
 fn names_next_evicted_peer_before_eviction() {
     let mut harness = Harness::new(2);
@@ -340,36 +353,39 @@
     assert_eq!(peers(&harness), [1, 60]);
 }
 
-/// A server that is gone and back under its id listens elsewhere; what its former address said is not news of it.
+/// A server is removed and listed again under its id with another address. Failed health checks of its former address
+/// must not remove it from tables.
 #[rstest]
-#[case::of_its_former_life("127.0.0.9:7000", true)]
-#[case::of_its_own("127.0.0.9:9000", false)]
-fn ignores_health_check_of_former_address(#[case] answered: &str, #[case] out: bool) {
+#[case::former_address("127.0.0.9:7000", true)]
+#[case::current_address("127.0.0.9:9000", false)]
+fn ignores_health_check_of_former_address(#[case] checked: &str, #[case] stays_in_table: bool) {
     let mut harness = Harness::new(4);
     harness.join(1, 5);
     harness.run_until(ms(2500));
-    let again = with(server(0, "SERVING", 0), "addr", json!("127.0.0.9:9000"));
+    let moved = with(server(0, "SERVING", 0), "addr", json!("127.0.0.9:9000"));
     harness.receive_list(Some(3), &list(4, false, vec![server(0, "DELETED", 0)])).unwrap();
-    harness.receive_list(Some(4), &list(5, false, vec![again])).unwrap();
-    let mut holds = table(&harness.written(1), BTreeMap::new());
+    harness.receive_list(Some(4), &list(5, false, vec![moved])).unwrap();
+    let mut proxy_table = table(&harness.written(1), BTreeMap::new());
     harness.open(9);
     harness.receive_message(9, &json!({"msg": "SOURCE", "locality": "north"}));
-    // It answers no calls and, twice, no probe: then it is out, if it was it that was asked.
+    // No load report names s0, and its health checks fail. After two failed checks of its current address, s0 is
+    // removed.
     for _ in 0..24 {
         harness.run_until(harness.now + ms(500));
-        harness.manager.health_check_finished("s0", answered.parse().unwrap(), HealthCheckResult::Failed);
-        let met = |k: usize| {
+        harness.manager.health_check_finished("s0", checked.parse().unwrap(), HealthCheckResult::Failed);
+        let report = |k: usize| {
             json!({"msg": "LOAD", "locality": "north", "endpoint": format!("s{k}"), "total": 9,
             "errors": 0, "rtt": 20.0, "interval": 500, "metrics": {"cpu_share": 0.5 + 0.001 * harness.now.as_secs_f64()}})
         };
-        let met: Vec<Value> = (1..4).map(met).collect();
-        met.iter().for_each(|m| harness.receive_message(9, m));
-        holds = table(&harness.written(1), holds);
+        let reports: Vec<Value> = (1..4).map(report).collect();
+        reports.iter().for_each(|report| harness.receive_message(9, report));
+        proxy_table = table(&harness.written(1), proxy_table);
     }
-    assert_eq!(holds.contains_key("s0"), out, "{holds:?}");
+    assert_eq!(proxy_table.contains_key("s0"), stays_in_table, "{proxy_table:?}");
 }
 
-/// One proxy, one server and one version of the list can be followed by the log, which does not grow with the fleet.
+/// The log shows each change of a proxy, of a server and of the list's version, but its length does not grow with the
+/// fleet.
 #[rstest]
 fn logs_changes_in_few_events() {
     let mut harness = Harness::new(300);
@@ -386,8 +402,8 @@
         .unwrap();
     harness.run_until(ms(3000));
     let events = take_events(&harness);
-    let gone = |state, server| EndpointGroup { state, servers: names(&[server]) };
-    let groups = vec![gone(EndpointState::Draining, "s0"), gone(EndpointState::Removed, "s1")];
+    let group = |state, server| EndpointGroup { state, servers: names(&[server]) };
+    let groups = vec![group(EndpointState::Draining, "s0"), group(EndpointState::Removed, "s1")];
     let streams = |change, proxies: &[&str]| Event::Streams { change, proxies: names(proxies) };
     assert_eq!(
         events,
@@ -405,7 +421,7 @@
     harness.receive_list(Some(4), &list(5, false, all)).unwrap();
     harness.run_until(ms(3500));
     let events = take_events(&harness);
-    assert!(events.len() <= 3 && events.iter().all(|event| shown(event) < 1000), "{events:?}");
+    assert!(events.len() <= 3 && events.iter().all(|event| text_length(event) < 1000), "{events:?}");
     let Event::EndpointListChanged { version: Some(5), since: Some(4), groups } = &events[0] else {
         panic!("{events:?}")
     };
@@ -424,8 +440,8 @@
     std::mem::take(&mut harness.recorded.borrow_mut().events)
 }
 
-/// Characters of an event's names.
-fn shown(event: &Event) -> usize {
+/// Returns the number of characters of an event's names.
+fn text_length(event: &Event) -> usize {
     match event {
         Event::EndpointListChanged { groups, .. } => {
             groups.iter().map(|group| group.servers.to_string().len()).sum()
@@ -438,7 +454,7 @@
     }
 }
 
-/// Joined proxies, and peers that have not joined.
+/// Returns the number of joined proxies and the number of peers that have not joined.
 fn peers(harness: &Harness) -> [usize; 2] {
     let status = harness.manager.status();
     [status.joined_proxies, status.unknown_peers]
@@ -465,14 +481,14 @@
     harness.run_until(ms(2500));
     harness.join(1, 5);
     harness.run_until(ms(3000));
-    let holds = table(&harness.written(1), BTreeMap::new());
-    let weights: Vec<f64> = holds.values().copied().collect();
-    let named: Vec<String> = holds.iter().map(|(id, weight)| format!(" {id} {weight:.3}")).collect();
+    let proxy_table = table(&harness.written(1), BTreeMap::new());
+    let weights: Vec<f64> = proxy_table.values().copied().collect();
+    let named: Vec<String> = proxy_table.iter().map(|(id, weight)| format!(" {id} {weight:.3}")).collect();
     let expected = format!("1 proxies, sum {:.3}:{}", weights.iter().sum::<f64>(), named.concat());
     let first = take_weights(&harness);
     assert_eq!(first.iter().map(as_text).collect::<Vec<_>>(), [expected]);
     harness.run_until(ms(3400));
-    assert_eq!(take_weights(&harness), [], "nothing has changed");
+    assert_eq!(take_weights(&harness), [], "expected no report without a change");
     harness.receive_list(Some(3), &list(4, false, vec![server(2, "DRAINING", 0)])).unwrap();
     harness.run_until(ms(3700));
     let drained = as_text(&take_weights(&harness)[0]);
