--- a/crates/platform-protocol/src/event.rs
+++ b/crates/platform-protocol/src/event.rs
@@ -6,7 +6,7 @@
 /// A list of names of bounded length, so that log lines do not grow with the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NameList {
-    /// The first names, at most 96.
+    /// The first names, up to the limit of one list.
     pub shown: Vec<String>,
     /// The number of further names.
     pub omitted: usize,
@@ -51,7 +51,7 @@
     CollectorClosed,
     /// The planner closed a proxy's stream.
     StreamClosed,
-    /// A message was dropped and its connection kept.
+    /// A message was dropped; its connection stays open.
     MessageDropped,
     /// A request for the endpoint list failed.
     ListRequestFailed,
--- a/crates/platform-protocol/src/server_registry.rs
+++ b/crates/platform-protocol/src/server_registry.rs
@@ -99,7 +99,7 @@
     pub unix_ms: f64,
 }
 
-/// The age of a server at one moment, counted on by the planner's clock. The age is computed once per start of the
+/// The age of a server at one moment, advanced by the planner's clock. The age is computed once per start of the
 /// server, so that setting the wall clock does not look like a restart.
 #[derive(Debug, Clone, Copy)]
 struct Age {
--- a/crates/platform-protocol/tests/endpoint_watch.rs
+++ b/crates/platform-protocol/tests/endpoint_watch.rs
@@ -6,13 +6,13 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 
-fn at(port: u16) -> SocketAddr {
+fn address(port: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
 /// A watch whose first request was answered, so that its next request is a long poll.
 fn polling() -> EndpointWatch {
-    let mut watch = EndpointWatch::new(at(1));
+    let mut watch = EndpointWatch::new(address(1));
     watch.request();
     assert!(watch.begin());
     let request = watch.next_request(Some(7));
@@ -26,7 +26,7 @@
 
 #[rstest]
 fn requests_missed_changes_at_once_and_then_long_polls() {
-    let mut watch = EndpointWatch::new(at(1));
+    let mut watch = EndpointWatch::new(address(1));
     assert!(!watch.begin() && !watch.is_active());
     watch.request();
     assert!(watch.begin() && watch.is_active());
@@ -44,7 +44,7 @@
 /// Guards against losing the request for a full list when a request fails before it was answered.
 #[rstest]
 #[case::after_a_request(|watch: &mut EndpointWatch| watch.request_full_list(), 1)]
-#[case::after_a_change_of_address(|watch: &mut EndpointWatch| assert!(watch.set_address(at(2))), 2)]
+#[case::after_a_change_of_address(|watch: &mut EndpointWatch| assert!(watch.set_address(address(2))), 2)]
 fn requests_the_full_list_until_one_was_answered(
     #[case] require_full_list: fn(&mut EndpointWatch),
     #[case] port: u16,
@@ -66,14 +66,14 @@
 /// new address.
 #[rstest]
 fn answer_of_former_address_does_not_count_for_the_new_one() {
-    let mut watch = EndpointWatch::new(at(1));
+    let mut watch = EndpointWatch::new(address(1));
     watch.request();
     assert!(watch.begin());
     let full = watch.next_request(None);
-    assert!(watch.set_address(at(2)));
+    assert!(watch.set_address(address(2)));
     watch.request_answered(&full);
     assert_eq!(target(&watch.next_request(Some(7))), (2, "/v1/endpoints"));
-    assert!(!watch.set_address(at(2)));
+    assert!(!watch.set_address(address(2)));
 }
 
 /// If the task of the watch fails, it does not report the end. The restarted task sees the active watch and ends it.
--- a/crates/platform-protocol/tests/fixtures.rs
+++ b/crates/platform-protocol/tests/fixtures.rs
@@ -138,7 +138,7 @@
     harness.run_until(ms(2000));
     let proxy_table = table(&harness.written(1), BTreeMap::new());
     assert_eq!(proxy_table.into_keys().collect::<Vec<_>>(), ["s0", "s1", "s2", "s3"]);
-    harness.receive_list_at(UNIX, Some(3), lines_of(DISCOVERY)[name].as_bytes()).unwrap();
+    harness.receive_list_at(START_UNIX_MS, Some(3), lines_of(DISCOVERY)[name].as_bytes()).unwrap();
     // Only a proxy that joins after the change is bound to a new table.
     harness.run_until(ms(30_000));
     harness.join(2, 6);
@@ -155,7 +155,7 @@
     let mut harness = Harness::with_config(PlannerConfig::parse(START.as_bytes()).unwrap());
     harness.run_until(ms(15_000));
     let restarted = lines_of(DISCOVERY)["restarted"].as_bytes();
-    harness.receive_list_at(UNIX + 15_000.0, Some(3), restarted).unwrap();
+    harness.receive_list_at(START_UNIX_MS + 15_000.0, Some(3), restarted).unwrap();
     harness.run_until(ms(15_100));
     harness.join(1, 5);
     let proxy_table = table(&harness.written(1), BTreeMap::new());
@@ -209,13 +209,13 @@
     harness.receive_message(COLLECTOR, &json!({"msg": "SOURCE", "locality": "north"}));
     harness.open(50);
     harness.receive_message(50, &json!({"msg": "PING"}));
-    for (conn, body) in (100..).zip(REFUSED) {
-        harness.open(conn);
-        harness.receive(conn, &framed(body));
+    for (connection, body) in (100..).zip(REFUSED) {
+        harness.open(connection);
+        harness.receive(connection, &framed(body));
     }
-    for (conn, bytes) in (200..).zip(NO_FRAMES) {
-        harness.open(conn);
-        harness.receive(conn, bytes);
+    for (connection, bytes) in (200..).zip(NO_FRAMES) {
+        harness.open(connection);
+        harness.receive(connection, bytes);
     }
     // Two streams of one proxy; the join of the older stream is read last.
     let join = framed(subscribe(4, "north").to_string().as_bytes());
@@ -230,14 +230,16 @@
         match step {
             20 => harness.join(1, 5),
             60 => harness.join(2, 6),
-            120 => harness.receive_list_at(UNIX, Some(3), lines_of(DISCOVERY)["changes"].as_bytes()).unwrap(),
+            120 => harness
+                .receive_list_at(START_UNIX_MS, Some(3), lines_of(DISCOVERY)["changes"].as_bytes())
+                .unwrap(),
             150 => harness.receive_message(1, &json!({"msg": "ACK", "node": 5, "nonce": 1, "latency": 30.5})),
             380 => harness.join(3, 7),
             _ => report_load(&mut harness, step),
         }
     }
     // More connections than may be open without a join, and one that cannot be accepted.
-    (400..=461).for_each(|conn| harness.open(conn));
+    (400..=461).for_each(|connection| harness.open(connection));
     harness.manager.accept_failed(harness.now, "no descriptors");
     harness
 }
@@ -257,12 +259,12 @@
 }
 
 /// Converts the frames of a connection into lines of a fixture.
-fn as_lines(conn: u64, bytes: &[u8]) -> Vec<String> {
+fn as_lines(connection: u64, bytes: &[u8]) -> Vec<String> {
     let (mut rest, mut lines) = (bytes, vec![]);
     while let Some((head, more)) = rest.split_first_chunk::<4>() {
         let length = u32::from_be_bytes(*head);
         let (body, more) = more.split_at(length as usize);
-        lines.push(format!("{conn} {length:08x} {}", std::str::from_utf8(body).unwrap()));
+        lines.push(format!("{connection} {length:08x} {}", std::str::from_utf8(body).unwrap()));
         rest = more;
     }
     assert!(rest.is_empty(), "expected only complete frames");
@@ -274,7 +276,7 @@
     let harness = session();
     let recorded = harness.recorded.borrow();
     let written: Vec<String> =
-        recorded.written.iter().flat_map(|(conn, bytes)| as_lines(*conn, bytes)).collect();
+        recorded.written.iter().flat_map(|(connection, bytes)| as_lines(*connection, bytes)).collect();
     assert_eq!(written, WRITTEN.lines().collect::<Vec<_>>());
 }
 
--- a/crates/platform-protocol/tests/helpers/mod.rs
+++ b/crates/platform-protocol/tests/helpers/mod.rs
@@ -15,7 +15,7 @@
 }
 
 /// The wall clock of the machine at the planner's start, in Unix milliseconds.
-pub const UNIX: f64 = 1_700_000_000_000.0;
+pub const START_UNIX_MS: f64 = 1_700_000_000_000.0;
 
 /// The number of descriptors that peers without a join cannot take.
 const RESERVED_DESCRIPTORS: usize = 20;
@@ -25,7 +25,7 @@
 }
 
 pub fn server(k: usize, state: &str, age_ms: u64) -> Value {
-    let started = if age_ms == 0 { 0.0 } else { UNIX - age_ms as f64 };
+    let started = if age_ms == 0 { 0.0 } else { START_UNIX_MS - age_ms as f64 };
     let zone = ["north", "south"][k % 2];
     json!({"id": format!("s{k}"), "addr": format!("127.0.0.9:{}", 7000 + k), "zone": zone, "kind": "k", "cell": 1,
            "state": state, "weight": 1.0, "started_ms": started})
@@ -118,7 +118,7 @@
     pub fn with_config(config: PlannerConfig) -> Harness {
         let effects = RecordedEffects::default();
         let recorded = effects.0.clone();
-        let manager = SessionManager::new(effects, config, RESERVED_DESCRIPTORS, UNIX);
+        let manager = SessionManager::new(effects, config, RESERVED_DESCRIPTORS, START_UNIX_MS);
         Harness { manager, recorded, now: Duration::ZERO }
     }
 
@@ -140,7 +140,7 @@
     }
 
     pub fn receive_list(&mut self, since: Option<u64>, list: &Value) -> Result<(), EndpointListError> {
-        let unix_ms = UNIX + self.now.as_secs_f64() * 1000.0;
+        let unix_ms = START_UNIX_MS + self.now.as_secs_f64() * 1000.0;
         self.receive_list_at(unix_ms, since, list.to_string().as_bytes())
     }
 
--- a/crates/platform-protocol/tests/session_manager.rs
+++ b/crates/platform-protocol/tests/session_manager.rs
@@ -118,8 +118,8 @@
     for p in 0..12 {
         harness.join(p, p);
     }
-    for conn in 100..900 {
-        harness.open(conn);
+    for connection in 100..900 {
+        harness.open(connection);
     }
     // 60 unknown peers may be open: 100 descriptors less 20 reserved ones, 12 for proxies and 8 for collectors.
     assert_eq!(peers(&harness), [12, 60]);
@@ -187,9 +187,9 @@
 #[rstest]
 fn keeps_four_collectors_of_a_zone() {
     let mut harness = Harness::new(4);
-    for conn in 0..50 {
-        harness.open(conn);
-        harness.receive_message(conn, &json!({"msg": "SOURCE", "locality": "north"}));
+    for connection in 0..50 {
+        harness.open(connection);
+        harness.receive_message(connection, &json!({"msg": "SOURCE", "locality": "north"}));
         harness.now += ms(10);
     }
     assert_eq!((0..50).filter(|c| !harness.is_closed(*c)).collect::<Vec<_>>(), [46, 47, 48, 49]);
@@ -256,7 +256,7 @@
 #[case::no_full_flag(r#"{"version":9,"servers":[]}"#)]
 fn rejects_answer_that_is_not_an_endpoint_list(#[case] body: &str) {
     let mut harness = Harness::new(4);
-    assert!(harness.receive_list_at(UNIX, Some(3), body.as_bytes()).is_err());
+    assert!(harness.receive_list_at(START_UNIX_MS, Some(3), body.as_bytes()).is_err());
     assert_eq!(harness.manager.endpoint_list_version(), Some(3));
 }
 
@@ -292,8 +292,9 @@
     let mut harness = Harness::new(2);
     harness.receive_list(Some(3), &list(4, false, vec![server(0, "SERVING", 90_000)])).unwrap();
     harness.run_until(ms(15_000));
-    let second = list(5, false, vec![with(server(0, "SERVING", 0), "started_ms", json!(UNIX + started))]);
-    let unix = UNIX + 15_000.0 + clock_change;
+    let second =
+        list(5, false, vec![with(server(0, "SERVING", 0), "started_ms", json!(START_UNIX_MS + started))]);
+    let unix = START_UNIX_MS + 15_000.0 + clock_change;
     harness.receive_list_at(unix, Some(4), second.to_string().as_bytes()).unwrap();
     harness.run_until(ms(15_100));
     harness.join(1, 0);
@@ -340,7 +341,7 @@
 fn names_next_evicted_peer_before_eviction() {
     let mut harness = Harness::new(2);
     harness.run_until(ms(1000));
-    (0..59).for_each(|conn| harness.open(conn));
+    (0..59).for_each(|connection| harness.open(connection));
     assert_eq!(harness.manager.next_evicted(), None);
     harness.open(59);
     assert_eq!(harness.manager.next_evicted(), Some(0));
--- a/crates/platform-server/src/log.rs
+++ b/crates/platform-server/src/log.rs
@@ -68,8 +68,9 @@
         BackgroundLog { entries: Some(entries) }
     }
 
-    /// Waits until the last lines are written, but at most for [`FLUSH_TIMEOUT`], because the reader may have stopped
-    /// reading.
+    /// Waits for a limited time until the last lines are written, because the reader may have stopped reading.
+    ///
+    /// Does nothing if another log was set up before this one.
     pub fn finish(self) {
         let (done, written) = sync_channel(1);
         if self.entries.is_some_and(|entries| entries.try_send(Entry::Flush(done)).is_ok()) {
