--- a/crates/platform-protocol/src/server_registry.rs
+++ b/crates/platform-protocol/src/server_registry.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The reason why part of a list is ignored.
+/// A fault of a list. A part that cannot be used because of its fault is ignored; an entry with
+/// [`ListFault::StartsInFuture`] is applied.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub(crate) enum ListFault {
     /// The version of a list of changes is lower than the version since which they were requested, or no such version
@@ -76,7 +77,7 @@
 pub(crate) struct ListUpdate {
     /// The state of each server that the list names, and of each one that a full list leaves out.
     pub changes: Vec<EndpointChange>,
-    /// The faults of the parts of the list that were ignored.
+    /// The faults that were found in the list.
     pub faults: Vec<ListFault>,
     /// True if the state of some server is uncertain until a full list is received.
     pub needs_full_list: bool,
