--- a/crates/config-consensus/src/active_versions.rs
+++ b/crates/config-consensus/src/active_versions.rs
@@ -1,9 +1,9 @@
-//! Which configuration versions a member applies.
+//! The configuration versions that a member applies.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The versions that a member applies. Displayed for operators, who know a version as an edition.
+/// The versions that a member applies. Operators read the displayed form, in which a version is called an edition.
 // on the wire, and JSON for operators: do not rename
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ActiveVersions {
@@ -13,7 +13,7 @@
     /// The intersection of the committed and the pending version.
     #[serde(rename = "Both")]
     Joint(u64, u64),
-    /// None: the lease has expired. The caller keeps published weights and known drains, and raises or places nothing.
+    /// No version: the lease has expired. The caller keeps published weights and known drains, and raises or places nothing.
     Unleased,
 }
 
--- a/crates/config-consensus/src/configuration/change.rs
+++ b/crates/config-consensus/src/configuration/change.rs
@@ -1,10 +1,10 @@
-//! Changes of the shared configuration.
+//! Changes to the shared configuration.
 
 use super::{Configuration, Limit, Rack, Route, Server, ServerState};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change. Applying it again after other changes has the same effect.
+/// A change to the configuration. Applying a change again after other changes has the same effect.
 // stored, on the wire, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
@@ -25,7 +25,7 @@
 }
 
 impl Change {
-    /// Applies it. Returns whether there was something to change: the state of an unknown server cannot be set.
+    /// Applies the change. Returns false if it sets the state of a server that does not exist.
     pub fn apply(&self, configuration: &mut Configuration) -> bool {
         match self {
             Change::Replace(replacement) => *configuration = Configuration::clone(replacement),
@@ -41,7 +41,7 @@
         true
     }
 
-    /// The server that it takes out of service.
+    /// Returns the server that the change takes out of service, if any.
     pub fn withdrawn_server(&self) -> Option<&String> {
         match self {
             Change::State(name, ServerState::Draining | ServerState::Removed)
--- a/crates/config-consensus/src/configuration/effective.rs
+++ b/crates/config-consensus/src/configuration/effective.rs
@@ -1,33 +1,34 @@
-//! The effective configuration: what a member applies, of one version or of the joint configuration of two.
+//! The effective configuration that a member applies: one version, or the intersection of two.
 
 use super::{Configuration, Limit, Rack, Server, ServerState};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is allowed. While two versions are active it is the stricter of both, field by field (the table in
-/// `docs/design/config-consensus.md`); a field without a stricter side is unset, and what depends on it pauses.
+/// The configuration that a member applies. While two versions are active, each field has the stricter of both values (the
+/// table in `docs/design/config-consensus.md`); a field without a stricter value is unset, and the functions that depend on
+/// it pause.
 // on the wire, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EffectiveConfiguration {
-    /// The share of each route's requests that may be admitted at most.
+    /// Maximum share of each route's requests that may be admitted, 0 to 1.
     #[serde(rename = "most")]
     pub max_shares: BTreeMap<String, f64>,
-    /// Routes in the order in which they are shed. Unset where two versions differ: all are shed alike.
+    /// Routes in the order in which they are shed. `None` if two versions differ: all routes are then shed alike.
     #[serde(rename = "order")]
     pub shed_order: Option<Vec<String>>,
-    /// Limits.
+    /// Limits by name.
     pub limits: BTreeMap<String, Limit>,
-    /// Racks. Unset where two versions place a rack differently: nothing is judged or placed there.
+    /// Racks by name. `None` if two versions place a rack differently: nothing is evaluated or placed there.
     pub racks: BTreeMap<String, Option<Rack>>,
-    /// Servers.
+    /// Servers by name.
     pub servers: BTreeMap<String, Server>,
-    /// Servers that stay ready against one of two versions, since by both no server would be left.
+    /// Servers that stay ready although one of the versions withdraws them, since the intersection has no ready server.
     #[serde(rename = "spared")]
     pub exempt_servers: BTreeSet<String>,
 }
 
 impl EffectiveConfiguration {
-    /// Of one version.
+    /// Returns the effective configuration of one version.
     pub fn single(configuration: &Configuration) -> EffectiveConfiguration {
         let routes = configuration.routes.iter();
         let racks = configuration.racks.iter();
@@ -41,8 +42,8 @@
         }
     }
 
-    /// Of the joint configuration of two versions: what both allow. A server that only one version has is not ready; a bound
-    /// that only one version has stays.
+    /// Returns the intersection of two versions: what both allow. A server that only one version has is not ready; a bound
+    /// that only one version has applies.
     pub fn intersect(old: &Configuration, new: &Configuration) -> EffectiveConfiguration {
         let before = EffectiveConfiguration::single(old);
         let after = EffectiveConfiguration::single(new);
@@ -58,8 +59,8 @@
         joint
     }
 
-    /// Where no server would be ready, those that the newer version has ready stay so: a proxy without a usable server is
-    /// worse than a request to a draining one.
+    /// Keeps the ready servers of the newer version ready if no server is: a proxy without a usable server is worse than a
+    /// request to a draining one.
     fn keep_servers_ready(&mut self, newer: &Configuration) {
         if self.servers.values().all(|server| server.state != ServerState::Ready) {
             for (name, server) in newer.ready_servers() {
@@ -69,14 +70,14 @@
         }
     }
 
-    /// Takes a server out of service, whatever the versions say yet.
+    /// Marks a server as draining, unless its state is stricter already.
     pub fn drain(&mut self, name: &str) {
         if let Some(server) = self.servers.get_mut(name) {
             server.state = server.state.max(ServerState::Draining);
         }
     }
 
-    /// What of it a configuration does not allow, by name; empty where it is within that configuration.
+    /// Describes each field that exceeds `allowed`; empty if all fields are within that configuration.
     pub fn violations(&self, allowed: &Configuration) -> Vec<String> {
         let mut violations = self.route_violations(allowed);
         violations.extend(self.limit_violations(allowed));
@@ -98,19 +99,19 @@
     }
 
     fn limit_violations(&self, allowed: &Configuration) -> Vec<String> {
-        let keeps = |name: &String, limit: &Limit| match (limit, self.limits.get(name)) {
+        let is_within = |name: &String, limit: &Limit| match (limit, self.limits.get(name)) {
             (Limit::AtMost(allowed), Some(Limit::AtMost(own))) => own <= allowed,
             (Limit::AtLeast(allowed), Some(Limit::AtLeast(own))) => own >= allowed,
             _ => false,
         };
-        let broken = allowed.limits.iter().filter(|(name, limit)| !keeps(name, limit));
-        broken.map(|(name, _)| format!("limit {name}: {:?}", self.limits.get(name))).collect()
+        let exceeded = allowed.limits.iter().filter(|(name, limit)| !is_within(name, limit));
+        exceeded.map(|(name, _)| format!("limit {name}: {:?}", self.limits.get(name))).collect()
     }
 
     fn rack_violations(&self, allowed: &Configuration) -> Vec<String> {
         let is_within = |name: &String, rack: &Rack| {
-            let there = allowed.racks.get(name);
-            there.is_some_and(|there| there.is_placed_like(rack) && rack.power_cap <= there.power_cap)
+            let bound = allowed.racks.get(name);
+            bound.is_some_and(|bound| bound.is_placed_like(rack) && rack.power_cap <= bound.power_cap)
         };
         let placed = self.racks.iter().filter_map(|(name, rack)| Some((name, rack.as_ref()?)));
         placed.filter(|(name, rack)| !is_within(name, rack)).map(|(name, _)| format!("rack {name}")).collect()
@@ -118,8 +119,8 @@
 
     fn server_violations(&self, allowed: &Configuration) -> Vec<String> {
         let is_within = |name: &String, server: &Server| {
-            let there = allowed.servers.get(name).filter(|there| there.state == ServerState::Ready);
-            there.is_some_and(|there| there.rack == server.rack && server.capacity <= there.capacity)
+            let bound = allowed.servers.get(name).filter(|bound| bound.state == ServerState::Ready);
+            bound.is_some_and(|bound| bound.rack == server.rack && server.capacity <= bound.capacity)
         };
         let ready = self.servers.iter().filter(|(_, server)| server.state == ServerState::Ready);
         ready
@@ -129,7 +130,7 @@
     }
 }
 
-/// The entries of both maps; `stricter` decides on those that are in both.
+/// Returns the entries of both maps; `stricter` chooses the value of a name that is in both.
 fn merge<T: Copy>(
     old: &BTreeMap<String, T>,
     new: &BTreeMap<String, T>,
@@ -143,7 +144,7 @@
     merged
 }
 
-/// The names of both maps, each with what `join` makes of the entries under it.
+/// Returns the names of both maps, each with the result of `join` for the two entries of that name.
 fn union<T, U>(
     old: &BTreeMap<String, T>,
     new: &BTreeMap<String, T>,
@@ -153,7 +154,7 @@
     names.into_iter().map(|name| (name.clone(), join(old.get(name), new.get(name)))).collect()
 }
 
-/// Of two bounds to different sides, which validation rules out, the old one.
+/// Returns the stricter of two limits. Validation rules out an upper and a lower bound; the old one is returned for those.
 fn stricter_limit(old: &Limit, new: &Limit) -> Limit {
     match (old, new) {
         (Limit::AtMost(old), Limit::AtMost(new)) => Limit::AtMost(old.min(*new)),
@@ -171,7 +172,7 @@
 fn joint_server(old: Option<&Server>, new: Option<&Server>) -> Server {
     match (old, new) {
         (Some(old), Some(new)) => {
-            // A server that moves to another rack has capacity at neither place.
+            // A server that moves to another rack has capacity in neither rack.
             let same_rack = old.rack == new.rack;
             let state = if same_rack { old.state.max(new.state) } else { ServerState::Draining };
             Server { state, capacity: old.capacity.min(new.capacity), ..new.clone() }
@@ -179,6 +180,6 @@
         (Some(only), None) | (None, Some(only)) => {
             Server { state: only.state.max(ServerState::Draining), ..only.clone() }
         }
-        (None, None) => unreachable!("the name is in one of both maps"),
+        (None, None) => unreachable!("the name is in at least one of the maps"),
     }
 }
--- a/crates/config-consensus/src/configuration/mod.rs
+++ b/crates/config-consensus/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! The shared configuration: routes, limits, racks and servers. Names are kept in order, so that all members encode the same
-//! configuration to the same bytes.
+//! The shared configuration: routes, limits, racks and servers. Entries are sorted by name, so that all members encode the
+//! same configuration to the same bytes.
 
 mod change;
 mod effective;
@@ -16,28 +16,28 @@
 // stored, hashed, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Routes with a lower importance are shed first.
+    /// Importance of the route; routes with a lower importance are shed first.
     pub importance: f64,
-    /// The share of its requests that may be admitted at most, 0 to 1.
+    /// Maximum share of the route's requests that may be admitted, 0 to 1.
     #[serde(rename = "most")]
     pub max_share: f64,
 }
 
-/// A bound on something that the program enforces.
+/// A bound on a quantity that the program enforces.
 // stored, hashed, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub enum Limit {
-    /// An upper bound: the lower one is stricter.
+    /// An upper bound; of two, the lower one is stricter.
     #[serde(rename = "most")]
     AtMost(f64),
-    /// A lower bound: the higher one is stricter.
+    /// A lower bound; of two, the higher one is stricter.
     #[serde(rename = "least")]
     AtLeast(f64),
 }
 
 impl Limit {
-    /// The bound.
+    /// Returns the value of the bound.
     pub fn value(self) -> f64 {
         let (Limit::AtMost(value) | Limit::AtLeast(value)) = self;
         value
@@ -48,32 +48,32 @@
 // stored, hashed, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Rack {
-    /// The site where it stands.
+    /// Name of the rack's site.
     pub site: String,
-    /// Its power feed; racks of one feed lose power together.
+    /// Name of the rack's power feed; racks of one feed lose power together.
     pub feed: String,
-    /// Its power limit, in watts.
+    /// Power limit of the rack, in watts.
     #[serde(rename = "cap")]
     pub power_cap: f64,
 }
 
 impl Rack {
-    /// Whether both have the same site and feed.
+    /// Returns true if both racks have the same site and feed.
     fn is_placed_like(&self, other: &Rack) -> bool {
         self.site == other.site && self.feed == other.feed
     }
 }
 
-/// What a server does. A later state is stricter than an earlier one.
+/// The state of a server. A later variant is stricter than an earlier one.
 // stored, hashed, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ServerState {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It completes the requests that it has and takes no new ones.
+    /// The server completes its requests and accepts no new ones.
     Draining,
-    /// It is not there any more.
+    /// The server no longer exists.
     #[serde(rename = "gone")]
     Removed,
 }
@@ -82,15 +82,15 @@
 // stored, hashed, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Name of its rack.
+    /// Name of the server's rack.
     pub rack: String,
-    /// Its capacity, in requests per second.
+    /// Capacity of the server, in requests per second.
     pub capacity: f64,
-    /// What it does.
+    /// State of the server.
     pub state: ServerState,
 }
 
-/// All that a fleet shares, by name.
+/// The configuration that a fleet shares; each map is by name.
 // stored, hashed, and JSON for operators: do not rename keys, do not reorder
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
@@ -105,7 +105,7 @@
 }
 
 impl Configuration {
-    /// Routes in the order in which they are shed: by importance, then by name.
+    /// Returns the routes in the order in which they are shed: by importance, then by name.
     pub fn shed_order(&self) -> Vec<&str> {
         let mut routes: Vec<(&str, f64)> =
             self.routes.iter().map(|(name, route)| (name.as_str(), route.importance)).collect();
@@ -113,12 +113,12 @@
         routes.into_iter().map(|(name, _)| name).collect()
     }
 
-    /// The capacity of the ready servers, in requests per second.
+    /// Returns the capacity of the ready servers, in requests per second.
     pub fn ready_capacity(&self) -> f64 {
         self.ready_servers().map(|(_, server)| server.capacity).sum()
     }
 
-    /// Servers that take requests.
+    /// Returns the servers that accept requests.
     pub fn ready_servers(&self) -> impl Iterator<Item = (&String, &Server)> {
         self.servers.iter().filter(|(_, server)| server.state == ServerState::Ready)
     }
--- a/crates/config-consensus/src/configuration/validation.rs
+++ b/crates/config-consensus/src/configuration/validation.rs
@@ -4,10 +4,10 @@
 use crate::settings::ValidationRules;
 use thiserror::Error;
 
-/// Rounding errors that the withdrawn share may have.
+/// Tolerance for rounding errors in the withdrawn share, as a fraction.
 const SHARE_TOLERANCE: f64 = 1e-9;
 
-/// Why a configuration is not valid: the place, and the cause.
+/// A reason why a configuration is invalid, with the entry that it concerns.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ValidationError {
     /// A value is out of its range.
@@ -17,43 +17,43 @@
         place: &'static str,
         /// Name of the entry.
         name: String,
-        /// What is wrong with it.
+        /// What is wrong with the value.
         why: String,
     },
-    /// An entry refers to another that does not exist.
-    #[error("{place} {name:?} names {wants} {what:?}, which is not there")]
+    /// An entry refers to another entry that does not exist.
+    #[error("{place} {name:?} names {target_kind} {target:?}, which does not exist")]
     UnknownReference {
         /// Kind of the entry.
         place: &'static str,
         /// Name of the entry.
         name: String,
-        /// Kind of what it refers to.
-        wants: &'static str,
-        /// Name of what it refers to.
-        what: String,
+        /// Kind of the entry that is referred to.
+        target_kind: &'static str,
+        /// Name of the entry that is referred to.
+        target: String,
     },
-    /// The limit of this name is not among those that are known, which follow it.
+    /// The limit with the first name is not among the known limits, whose names are the second value.
     #[error("limit {0:?} is none that this program knows; it knows {1}")]
     UnknownLimit(String, String),
-    /// No server of so many is ready.
-    #[error("all {0} servers would be closed or draining: no proxy would have a line")]
+    /// None of the servers is ready; the value is the number of servers.
+    #[error("all {0} servers would be closed or draining: no proxy would have a usable server")]
     NoReadyServer(usize),
     /// More capacity is withdrawn at once than the rules allow.
     #[error(
         "{servers} servers of {withdrawn:.0}% of the capacity would be withdrawn at once, {allowed:.0}% are allowed; \
-         {left:.0} calls a second of {had:.0} would be left: force it, or do it in parts"
+         {remaining:.0} of {before:.0} requests per second would remain: force the change or split it into parts"
     )]
     TooMuchWithdrawn {
-        /// How many servers lose capacity.
+        /// Number of servers that lose capacity.
         servers: usize,
-        /// Share of the capacity that is withdrawn, in per cent.
+        /// Share of the capacity that would be withdrawn, in per cent.
         withdrawn: f64,
-        /// Share that may be withdrawn, in per cent.
+        /// Maximum share that may be withdrawn at once, in per cent.
         allowed: f64,
-        /// Capacity that stays, in requests per second.
-        left: f64,
-        /// Capacity before, in requests per second.
-        had: f64,
+        /// Remaining capacity, in requests per second.
+        remaining: f64,
+        /// Capacity before the change, in requests per second.
+        before: f64,
     },
 }
 
@@ -63,11 +63,11 @@
     }
 }
 
-/// Validates a configuration that would replace `old`. `forced` lifts the bound on withdrawn capacity.
+/// Validates a configuration that would replace `old`. `forced` disables the bound on withdrawn capacity.
 ///
 /// # Errors
 ///
-/// Everything that is wrong with it, in the order of kinds and names.
+/// Returns all errors, in the order of kinds and names, if the new configuration is invalid.
 pub fn validate(
     old: &Configuration,
     new: &Configuration,
@@ -96,11 +96,11 @@
 fn check_routes(new: &Configuration, errors: &mut Vec<ValidationError>) {
     for (name, route) in &new.routes {
         if !is_not_negative(route.importance) {
-            let why = format!("an importance of {}", route.importance);
+            let why = format!("importance {} is not a non-negative number", route.importance);
             errors.push(ValidationError::value("route", name, why));
         }
         if !(0.0..=1.0).contains(&route.max_share) {
-            let why = format!("at most {} of its calls; 0 to 1 can be", route.max_share);
+            let why = format!("maximum share {} is not between 0 and 1", route.max_share);
             errors.push(ValidationError::value("route", name, why));
         }
     }
@@ -117,12 +117,13 @@
             errors.push(ValidationError::UnknownLimit(name.clone(), rules.known_limits.join(", ")));
         }
         if !is_not_negative(limit.value()) {
-            errors.push(ValidationError::value("limit", name, format!("{} is no bound", limit.value())));
+            let why = format!("{} is not a non-negative number", limit.value());
+            errors.push(ValidationError::value("limit", name, why));
         }
-        // While both versions are applied, an upper and a lower bound would have no stricter side.
+        // Of an upper and a lower bound neither is stricter, so the intersection of both versions would be undefined.
         let is_upper = |limit: &Limit| matches!(limit, Limit::AtMost(_));
         if old.limits.get(name).is_some_and(|before| is_upper(before) != is_upper(limit)) {
-            let why = "it was a bound to the other side: take it away first";
+            let why = "an upper and a lower bound cannot replace each other: remove the limit first";
             errors.push(ValidationError::value("limit", name, why));
         }
     }
@@ -131,10 +132,11 @@
 fn check_racks(new: &Configuration, errors: &mut Vec<ValidationError>) {
     for (name, rack) in &new.racks {
         if !is_positive(rack.power_cap) {
-            errors.push(ValidationError::value("rack", name, format!("a cap of {} W", rack.power_cap)));
+            let why = format!("power cap {} W is not a positive number", rack.power_cap);
+            errors.push(ValidationError::value("rack", name, why));
         }
         if rack.site.is_empty() || rack.feed.is_empty() {
-            errors.push(ValidationError::value("rack", name, "no site or no feed"));
+            errors.push(ValidationError::value("rack", name, "the site or the feed is empty"));
         }
     }
 }
@@ -142,11 +144,17 @@
 fn check_servers(new: &Configuration, errors: &mut Vec<ValidationError>) {
     for (name, server) in &new.servers {
         if !is_positive(server.capacity) {
-            errors.push(ValidationError::value("server", name, format!("a capacity of {}", server.capacity)));
+            let why = format!("capacity {} is not a positive number", server.capacity);
+            errors.push(ValidationError::value("server", name, why));
         }
         if !new.racks.contains_key(&server.rack) {
-            let (name, what) = (name.clone(), server.rack.clone());
-            errors.push(ValidationError::UnknownReference { place: "server", name, wants: "rack", what });
+            let (name, target) = (name.clone(), server.rack.clone());
+            errors.push(ValidationError::UnknownReference {
+                place: "server",
+                name,
+                target_kind: "rack",
+                target,
+            });
         }
     }
     if !new.servers.is_empty() && new.ready_servers().next().is_none() {
@@ -154,26 +162,28 @@
     }
 }
 
-/// The capacity that a ready server keeps. Servers that replace it do not count: they are not warm yet.
-fn kept_capacity(new: &Configuration, name: &str, before: &Server) -> f64 {
+/// Returns the capacity that a ready server still has in the new configuration. Servers that replace it do not count: they
+/// are not warm yet.
+fn remaining_capacity(new: &Configuration, name: &str, before: &Server) -> f64 {
     let after = new.servers.get(name).filter(|server| server.state == ServerState::Ready);
     after.map_or(0.0, |server| server.capacity.min(before.capacity))
 }
 
 fn check_withdrawn(old: &Configuration, new: &Configuration, max_share: f64) -> Option<ValidationError> {
-    let had = old.ready_capacity();
-    let left: f64 = old.ready_servers().map(|(name, server)| kept_capacity(new, name, server)).sum();
-    let share = if had > 0.0 { 1.0 - left / had } else { 0.0 };
+    let before = old.ready_capacity();
+    let remaining: f64 =
+        old.ready_servers().map(|(name, server)| remaining_capacity(new, name, server)).sum();
+    let share = if before > 0.0 { 1.0 - remaining / before } else { 0.0 };
     let too_much = share > max_share + SHARE_TOLERANCE;
     if !too_much {
         return None;
     }
-    let loses = |(name, server): &(&String, &Server)| kept_capacity(new, name, server) < server.capacity;
+    let loses = |(name, server): &(&String, &Server)| remaining_capacity(new, name, server) < server.capacity;
     Some(ValidationError::TooMuchWithdrawn {
         servers: old.ready_servers().filter(loses).count(),
         withdrawn: 100.0 * share,
         allowed: 100.0 * max_share,
-        left,
-        had,
+        remaining,
+        before,
     })
 }
--- a/crates/config-consensus/src/context.rs
+++ b/crates/config-consensus/src/context.rs
@@ -6,30 +6,30 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a node sends through, and to whom.
+/// The host and the members that a node sends to.
 pub(crate) struct Outgoing<H> {
     pub host: H,
     pub own: MemberId,
     pub voters: Vec<MemberId>,
-    /// Messages of this node to itself, in their order.
+    /// Messages of this node to itself, in the order in which they were sent.
     pub loopback: VecDeque<Message>,
 }
 
 impl<H: Host> Outgoing<H> {
-    /// For a call at this time.
-    pub(crate) fn at(&mut self, now: Duration) -> Context<'_, H> {
+    /// Returns the context of a call at this time.
+    pub(crate) fn context(&mut self, now: Duration) -> Context<'_, H> {
         Context { outgoing: self, now }
     }
 }
 
-/// One call of a node: the time, the voters, and where messages go.
+/// The context of one call of a node: its time, the host, and the members.
 pub(crate) struct Context<'a, H> {
     outgoing: &'a mut Outgoing<H>,
     pub now: Duration,
 }
 
 impl<H: Host> Context<'_, H> {
-    /// Sends a message to a member, this one included.
+    /// Sends a message to a member, which may be this one.
     pub(crate) fn send(&mut self, to: MemberId, message: Message) {
         if to == self.outgoing.own {
             self.outgoing.loopback.push_back(message);
@@ -45,12 +45,12 @@
         }
     }
 
-    /// The members that take part.
+    /// Returns the members that take part in the agreement.
     pub(crate) fn voters(&self) -> &[MemberId] {
         &self.outgoing.voters
     }
 
-    /// Disk, journal and log.
+    /// Returns the host, for its disk, journal and log.
     pub(crate) fn host(&mut self) -> &mut H {
         &mut self.outgoing.host
     }
--- a/crates/config-consensus/src/coordinator/batch.rs
+++ b/crates/config-consensus/src/coordinator/batch.rs
@@ -1,4 +1,4 @@
-//! The next version: queued proposals are validated one by one and folded into it.
+//! Assembly of the next version: queued proposals are validated one by one and applied to it.
 
 use super::queue::{ProposalKey, QueuedProposal, ReadyProposal};
 use super::{Coordinator, PendingVersion, Phase};
@@ -12,18 +12,18 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a proposal is rejected.
+/// Reasons why a proposal is rejected.
 #[derive(Debug, Clone, PartialEq, Error)]
 enum RejectReason {
-    /// The configuration after it is not valid.
+    /// The configuration with the proposed changes is invalid.
     #[error(transparent)]
     Invalid(#[from] ValidationError),
-    /// It changes the state of something that is not listed.
+    /// The proposal sets the state of a server that does not exist.
     #[error("nothing of that name to change: {0:?}")]
     NothingToChange(Change),
 }
 
-/// Proposals on their way into one version.
+/// Proposals that are combined into one version.
 struct Batch<'a> {
     rules: &'a ValidationRules<'a>,
     committed: &'a ConfigVersion,
@@ -31,11 +31,11 @@
     changes: Vec<Change>,
     decided: BTreeMap<MemberId, DecidedProposals>,
     accepted: Vec<ProposalKey>,
-    /// Proposals that wait for the version after this one.
+    /// Proposals that wait for the next version.
     deferred: Vec<ReadyProposal>,
 }
 
-/// What a batch makes of a proposal.
+/// The result of adding a proposal to a batch.
 enum Verdict {
     Accepted,
     Deferred,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Adds a proposal to the version, if it is valid on top of those before it. One that withdraws too much only together
-    /// with others waits for the next version, and so do those that its proposer made after it.
+    /// Adds a proposal to the version, if it is valid after those that were added before. A proposal that is valid only
+    /// without them (together they withdraw too much) is deferred to the next version, and so are later ones of its proposer.
     fn add(&mut self, proposal: ReadyProposal) -> Verdict {
         let ProposalKey { proposer, id } = proposal.key;
         if self.deferred.iter().any(|deferred| deferred.key.proposer == proposer) {
@@ -92,7 +92,7 @@
         !self.changes.is_empty() && self.apply(self.committed.configuration(), proposal).is_ok()
     }
 
-    /// The configuration after a proposal on top of this one.
+    /// Returns `base` with the changes of a proposal, if the result is valid.
     fn apply(
         &self,
         base: &Configuration,
@@ -110,7 +110,7 @@
 }
 
 impl Coordinator {
-    /// Prepares the next version from the proposals that are here, if none is pending and the journal takes a step.
+    /// Prepares the next version from the proposals that are ready, if no version is pending and the journal accepts a step.
     pub(super) fn prepare_next(&mut self, cx: &mut Context<impl Host>) {
         if !matches!(self.phase, Phase::Idle) || !self.journal_ready || !self.queue.has_ready() {
             return;
@@ -126,8 +126,8 @@
             }
         }
         let Batch { changes, mut decided, accepted, deferred, .. } = batch;
-        self.queue.put_back(deferred.into_iter().map(QueuedProposal::from));
-        // Rejections that their proposer knows of need not go from version to version for ever.
+        self.queue.requeue(deferred.into_iter().map(QueuedProposal::from));
+        // A rejection that the proposer has received need not be part of later versions.
         for (proposer, decided) in &mut decided {
             decided
                 .rejected
--- a/crates/config-consensus/src/coordinator/leases.rs
+++ b/crates/config-consensus/src/coordinator/leases.rs
@@ -11,71 +11,71 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A replica that has not renewed for so many renewal intervals is sent an announcement.
-const SILENT_INTERVALS: u32 = 2;
+/// Number of renewal intervals without a renewal after which the coordinator announces itself to a replica again.
+const OVERDUE_INTERVALS: u32 = 2;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct ReplicaLease {
-    /// When its last renewal was granted.
-    granted: Option<Duration>,
-    /// When its last renewal was received.
-    heard: Option<Duration>,
+    /// Time at which the last renewal was granted.
+    last_grant: Option<Duration>,
+    /// Time at which the last renewal was received.
+    last_renewal: Option<Duration>,
 }
 
-/// When each replica's lease is over by any clock within the drift.
+/// The times at which the replicas' leases have expired by any clock within the drift.
 #[derive(Debug)]
 pub(super) struct ReplicaLeases {
     parameters: LeaseParameters,
     replicas: BTreeMap<MemberId, ReplicaLease>,
-    /// Leases that a former coordinator granted have expired by then.
+    /// Time at which all leases that a former coordinator granted have expired.
     former_expiry: Duration,
 }
 
 impl ReplicaLeases {
-    /// Of a coordinator that starts now.
+    /// Creates the leases of a coordinator that starts at `now`.
     pub(super) fn new(now: Duration, parameters: LeaseParameters) -> ReplicaLeases {
         let former_expiry = now + parameters.expiry_bound();
         ReplicaLeases { parameters, replicas: BTreeMap::new(), former_expiry }
     }
 
-    /// A renewal was received.
-    pub(super) fn heard(&mut self, replica: MemberId, now: Duration) {
-        self.replicas.entry(replica).or_default().heard = Some(now);
+    /// Records that a renewal was received.
+    pub(super) fn record_renewal(&mut self, replica: MemberId, now: Duration) {
+        self.replicas.entry(replica).or_default().last_renewal = Some(now);
     }
 
-    /// A renewal is granted.
+    /// Records that a renewal is granted.
     pub(super) fn grant(&mut self, replica: MemberId, now: Duration) {
-        self.replicas.entry(replica).or_default().granted = Some(now);
+        self.replicas.entry(replica).or_default().last_grant = Some(now);
     }
 
-    /// Whether a replica has not renewed for long.
-    pub(super) fn is_silent(&self, replica: MemberId, now: Duration) -> bool {
-        let heard = self.replicas.get(&replica).and_then(|lease| lease.heard);
-        heard.is_none_or(|at| now >= at + self.parameters.renew_interval * SILENT_INTERVALS)
+    /// Returns true if no renewal of a replica was received for [`OVERDUE_INTERVALS`].
+    pub(super) fn is_renewal_overdue(&self, replica: MemberId, now: Duration) -> bool {
+        let last_renewal = self.replicas.get(&replica).and_then(|lease| lease.last_renewal);
+        last_renewal.is_none_or(|at| now >= at + self.parameters.renew_interval * OVERDUE_INTERVALS)
     }
 
-    /// Whether no lease of a replica runs any more.
+    /// Returns true if all leases of a replica have expired.
     pub(super) fn is_expired(&self, replica: MemberId, now: Duration) -> bool {
-        let granted = self.replicas.get(&replica).and_then(|lease| lease.granted);
-        let expiry = granted.map_or(Duration::ZERO, |at| at + self.parameters.expiry_bound());
+        let last_grant = self.replicas.get(&replica).and_then(|lease| lease.last_grant);
+        let expiry = last_grant.map_or(Duration::ZERO, |at| at + self.parameters.expiry_bound());
         now >= expiry.max(self.former_expiry)
     }
 
-    /// When the last lease has expired.
+    /// Returns the time at which the leases of all replicas have expired.
     pub(super) fn last_expiry(&self) -> Duration {
         let bound = self.parameters.expiry_bound();
-        let granted = self.replicas.values().filter_map(|lease| lease.granted);
-        granted.map(|at| at + bound).fold(self.former_expiry, Duration::max)
+        let last_grants = self.replicas.values().filter_map(|lease| lease.last_grant);
+        last_grants.map(|at| at + bound).fold(self.former_expiry, Duration::max)
     }
 }
 
 impl Coordinator {
-    /// A replica asks to renew its lease, and reports the versions that it has on disk.
+    /// Handles the request of a replica to renew its lease, which contains the versions that the replica has on disk.
     pub(crate) fn renew(&mut self, cx: &mut Context<impl Host>, from: MemberId, renewal: Renewal) {
-        self.leases.heard(from, cx.now);
+        self.leases.record_renewal(from, cx.now);
         match &mut self.phase {
             Phase::Recovering(recovery) => {
-                // A replica committed this version, so it was activated, and its parent may no longer be stored anywhere.
+                // A replica committed this version, so the version was activated and its parent may no longer be stored.
                 if !recovery.activated && renewal.committed == recovery.header.id() {
                     recovery.activated = true;
                     recovery.download = Download::new(recovery.header.hash);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Whether a replica has another version under the committed number; logged once for each hash.
+    /// Returns true if a replica has another version under the committed number; logs that once for each hash.
     fn conflicts_with(
         &mut self,
         cx: &mut Context<impl Host>,
@@ -109,7 +109,7 @@
         conflict
     }
 
-    /// Grants the lease to a replica that has the committed and the pending version, and sends to another what it lacks.
+    /// Grants the lease to a replica that has the committed and the pending version; otherwise sends the missing version.
     fn answer_renewal(&mut self, cx: &mut Context<impl Host>, from: MemberId, renewal: Renewal) {
         let (token, committed) = (self.token, self.committed.id());
         let preparing = if let Phase::Preparing(pending) = &self.phase { Some(pending) } else { None };
--- a/crates/config-consensus/src/coordinator/mod.rs
+++ b/crates/config-consensus/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator: the owner of the journal numbers versions, prepares each on all replicas, and activates it.
+//! The coordinator: the owner of the journal numbers versions, prepares each version on all replicas, and activates it.
 
 mod batch;
 mod leases;
@@ -23,19 +23,19 @@
 struct PendingVersion {
     version: ConfigVersion,
     header: VersionHeader,
-    /// Replicas that have it on disk and apply its intersection with the version before it.
+    /// Replicas that have the version on disk and apply its intersection with the preceding one.
     prepared_by: BTreeSet<MemberId>,
     journal_write_started: bool,
-    /// A quorum has its journal record.
+    /// True if a quorum has stored the version's journal record.
     durable: bool,
-    /// A former coordinator has activated it at some replica already.
+    /// True if a former coordinator has already activated the version on a replica.
     activated_by_predecessor: bool,
-    /// Proposals that are answered once it is active.
+    /// Proposals that are answered once the version is active.
     proposals: Vec<ProposalKey>,
 }
 
 impl PendingVersion {
-    /// A version that this coordinator makes.
+    /// Creates the state of a version that this coordinator assembled.
     fn proposed(
         version: ConfigVersion,
         header: VersionHeader,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A version that was found in the journal.
+    /// Creates the state of a version that was found in the journal.
     fn recovered(version: ConfigVersion, header: VersionHeader) -> PendingVersion {
         let proposed = PendingVersion::proposed(version, header, vec![]);
         PendingVersion { journal_write_started: true, durable: true, ..proposed }
@@ -61,7 +61,7 @@
 
 #[derive(Debug, Clone)]
 enum Phase {
-    /// The version of the journal's last record is not here yet.
+    /// The version of the journal's last record has not been found yet.
     Recovering(Recovery),
     /// No version is being prepared.
     Idle,
@@ -69,7 +69,7 @@
     Preparing(Box<PendingVersion>),
 }
 
-/// One ownership of the journal.
+/// The coordinator of a fleet during one ownership of the journal.
 #[derive(Debug)]
 pub(crate) struct Coordinator {
     token: FencingToken,
@@ -78,17 +78,17 @@
     committed: ConfigVersion,
     leases: ReplicaLeases,
     queue: ProposalQueue,
-    /// The journal takes a new step: the one before is finished.
+    /// True if the journal accepts a new step, because the previous one is finished.
     journal_ready: bool,
-    /// The last step is active, and the journal was not told to finish it yet.
+    /// True if the version of the last step is active, and the journal has not been asked to finish the step yet.
     must_finish_journal_step: bool,
     retransmit_at: Duration,
-    /// Replicas of another history, as far as they are logged.
+    /// Replicas with another history, each with the hash that was logged last.
     conflicting: BTreeMap<MemberId, ContentHash>,
 }
 
 impl Coordinator {
-    /// Starts with what this member stores and the journal's last record.
+    /// Creates a coordinator from the state that this member stores and the journal's last record.
     pub(crate) fn new(
         cx: &mut Context<impl Host>,
         token: FencingToken,
@@ -114,12 +114,12 @@
         coordinator
     }
 
-    /// Its ownership of the journal.
+    /// Returns the token of this ownership of the journal.
     pub(crate) fn token(&self) -> FencingToken {
         self.token
     }
 
-    /// When [`Coordinator::timer_fired`] is to be called next.
+    /// Returns the time at which [`Coordinator::timer_fired`] must be called next.
     pub(crate) fn next_timer(&self) -> Duration {
         let expiry = match &self.phase {
             Phase::Preparing(pending) if pending.durable => self.leases.last_expiry(),
@@ -129,7 +129,7 @@
         self.retransmit_at.min(expiry.max(earliest))
     }
 
-    /// Retransmits when it is time, and continues.
+    /// Retransmits messages if it is time, and takes every step that is possible.
     pub(crate) fn timer_fired(&mut self, cx: &mut Context<impl Host>) {
         if cx.now >= self.retransmit_at {
             self.retransmit_at = cx.now + self.settings.lease.renew_interval;
@@ -138,7 +138,7 @@
         self.proceed(cx);
     }
 
-    /// Sends again what was not answered.
+    /// Retransmits the messages that were not answered.
     fn retransmit(&mut self, cx: &mut Context<impl Host>) {
         let announce = Message::Announce { token: self.token, committed: self.committed.id() };
         match &self.phase {
@@ -146,7 +146,7 @@
                 let request = recovery.download.request();
                 for voter in cx.voters().to_vec() {
                     cx.send(voter, request.clone());
-                    // The replica then renews, and reports the versions that it has: one may be the version that is recovered.
+                    // The replica answers with a renewal that contains its versions; one may be the version to recover.
                     cx.send(voter, announce.clone());
                 }
             }
@@ -160,7 +160,7 @@
             }
             Phase::Idle => {
                 for voter in cx.voters().to_vec() {
-                    if self.leases.is_silent(voter, cx.now) {
+                    if self.leases.is_renewal_overdue(voter, cx.now) {
                         cx.send(voter, announce.clone());
                     }
                 }
@@ -178,8 +178,8 @@
         self.activate(cx);
     }
 
-    /// Writes the pending version's header into the journal, once the version can be found again: the header contains the
-    /// changes, or a quorum has the version on disk.
+    /// Writes the pending version's header into the journal, once a later coordinator can recover the version: the header
+    /// contains the changes, or a quorum has the version on disk.
     fn write_journal(&mut self, cx: &mut Context<impl Host>) {
         let Phase::Preparing(pending) = &mut self.phase else { return };
         let voters = cx.voters();
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Activates the pending version, once it is durable and no replica may apply the version before it alone.
+    /// Activates the pending version, once it is durable and no replica may apply the preceding version alone.
     fn activate(&mut self, cx: &mut Context<impl Host>) {
         let Phase::Preparing(pending) = &self.phase else { return };
         let settled =
@@ -212,7 +212,7 @@
         cx.host().finish_journal_step(self.token);
     }
 
-    /// A quorum has the step of the journal that was started.
+    /// Records that a quorum has stored the started step of the journal.
     pub(crate) fn journal_durable(&mut self, cx: &mut Context<impl Host>) {
         if let Phase::Preparing(pending) = &mut self.phase {
             pending.durable = true;
@@ -220,20 +220,20 @@
         self.proceed(cx);
     }
 
-    /// The step of the journal could not be started: it is retried.
+    /// Records that the step of the journal could not be started, so that it is retried.
     pub(crate) fn journal_write_rejected(&mut self) {
         if let Phase::Preparing(pending) = &mut self.phase {
             pending.journal_write_started = pending.durable;
         }
     }
 
-    /// A quorum knows that the step of the journal is finished.
+    /// Records that a quorum has stored that the step of the journal is finished.
     pub(crate) fn journal_step_finished(&mut self, cx: &mut Context<impl Host>) {
         self.journal_ready = true;
         self.proceed(cx);
     }
 
-    /// A replica has prepared a version.
+    /// Records that a replica has prepared a version.
     pub(crate) fn prepared(&mut self, cx: &mut Context<impl Host>, from: MemberId, version: VersionId) {
         if let Phase::Preparing(pending) = &mut self.phase
             && pending.version.id() == version
@@ -243,7 +243,7 @@
         }
     }
 
-    /// A member sends its undecided proposals.
+    /// Handles the undecided proposals of a member.
     pub(crate) fn propose(
         &mut self,
         cx: &mut Context<impl Host>,
@@ -254,7 +254,7 @@
         if let Phase::Preparing(pending) = &mut self.phase
             && let Some(deciding) = pending.header.decided.get(&from)
         {
-            // Part of the pending version, by this coordinator or one before: answered once that is active.
+            // Proposals that this or a former coordinator made part of the pending version are answered once it is active.
             let is_part =
                 |id: ProposalId| id > decided.last && id <= deciding.last && !deciding.rejected.contains(&id);
             let keys = proposals.iter().map(|proposal| ProposalKey { proposer: from, id: proposal.id });
@@ -267,14 +267,14 @@
         self.proceed(cx);
     }
 
-    /// A chunk of fetched bytes was received from a member.
+    /// Handles a chunk of fetched bytes from a member.
     pub(crate) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: MemberId, chunk: &Chunk) {
         self.chunk_recovered(cx, from, chunk);
         self.queue.chunk_received(cx, from, chunk);
         self.proceed(cx);
     }
 
-    /// The encoded version with this hash, if it is the pending or the committed one.
+    /// Returns the encoded version with this hash, if it is the pending or the committed one.
     pub(crate) fn bytes(&self, hash: ContentHash) -> Option<Vec<u8>> {
         let pending = if let Phase::Preparing(pending) = &self.phase { Some(&pending.version) } else { None };
         let known = pending.into_iter().chain([&self.committed]);
--- a/crates/config-consensus/src/coordinator/queue.rs
+++ b/crates/config-consensus/src/coordinator/queue.rs
@@ -1,4 +1,4 @@
-//! Proposals that wait for a version.
+//! The queue of proposals that wait for a version.
 
 use crate::configuration::Change;
 use crate::context::Context;
@@ -9,12 +9,12 @@
 use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 
-/// Proposals that wait; a member that floods proposes the others again once these are decided.
+/// Maximum number of queued proposals; members retransmit the others until there is space.
 const MAX_QUEUED: usize = 512;
-/// The reason for a rejection by a former coordinator.
-const REJECTED_BEFORE: &str = "refused by the convener before; its reasons are in that member's log";
-/// The reason for bytes that do not decode, or have another hash.
-const UNREADABLE_CHANGES: &str = "its bytes are no changes, or not those that it told of";
+/// The reason that is sent for a rejection by a former coordinator.
+const REJECTED_BEFORE: &str = "rejected by a former convener; the reasons are in that member's log";
+/// The reason that is sent if bytes do not decode or have another hash.
+const UNREADABLE_CHANGES: &str = "the bytes do not encode changes or have another hash than announced";
 
 /// Identifies a proposal among those of all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -23,7 +23,7 @@
     pub id: ProposalId,
 }
 
-/// A proposal whose changes are here.
+/// A proposal whose changes have been received.
 #[derive(Debug, Clone)]
 pub(super) struct ReadyProposal {
     pub key: ProposalKey,
@@ -52,35 +52,35 @@
     }
 }
 
-/// The queue, and the rejections that their proposers may not know of yet.
+/// Queued proposals, and rejections that their proposers may not have received yet.
 #[derive(Debug, Default)]
 pub(super) struct ProposalQueue {
-    /// In the order in which they came, and each member's in its own order.
+    /// Proposals in the order of arrival; those of one member are also in the order of their ids.
     queued: Vec<QueuedProposal>,
-    /// Reasons of rejections, for proposers that lost the answer.
+    /// Reasons of rejections, for proposers to which the answer was lost.
     rejected: BTreeMap<ProposalKey, Vec<String>>,
-    /// Each member's first proposal that it has no answer to, as of its last message.
+    /// The first proposal of each member that the member has not received an answer to, as of its last message.
     first_unanswered: BTreeMap<MemberId, ProposalId>,
 }
 
 impl ProposalQueue {
-    /// Whether a proposal can become part of a version.
+    /// Returns true if a proposal can become part of a version.
     pub(super) fn has_ready(&self) -> bool {
         self.queued.iter().any(|queued| matches!(queued.changes, ProposedChanges::Ready(_)))
     }
 
-    /// Whether the proposer may not know yet what became of a proposal.
+    /// Returns true if the proposer may not have received the outcome of a proposal yet.
     pub(super) fn is_unanswered(&self, key: ProposalKey) -> bool {
         self.first_unanswered.get(&key.proposer).is_none_or(|first| key.id >= *first)
     }
 
-    /// Remembers why a proposal was rejected.
+    /// Stores the reasons for which a proposal was rejected.
     pub(super) fn reject(&mut self, key: ProposalKey, reasons: Vec<String>) {
         self.rejected.insert(key, reasons);
     }
 
-    /// Takes a member's unanswered proposals, in its order. `decided` are its proposals that are part of the committed
-    /// version of this number, or of one before.
+    /// Queues the unanswered proposals of a member, in the member's order, and answers those that are decided. `decided` are
+    /// the member's decided proposals in the committed version, whose number is `committed`.
     pub(super) fn enqueue(
         &mut self,
         cx: &mut Context<impl Host>,
@@ -138,7 +138,7 @@
         self.queued.push(QueuedProposal { key, forced: proposal.forced, changes });
     }
 
-    /// A chunk was received, maybe of a proposal's changes.
+    /// Handles a chunk, which may belong to the changes of a proposal.
     pub(super) fn chunk_received(&mut self, cx: &mut Context<impl Host>, from: MemberId, chunk: &Chunk) {
         let downloading =
             self.queued.iter_mut().enumerate().find_map(|(index, queued)| match &mut queued.changes {
@@ -167,7 +167,7 @@
         self.reject(key, reasons);
     }
 
-    /// Takes all proposals whose changes are here. A member's later proposals wait for its earlier ones.
+    /// Removes and returns all ready proposals. Later proposals of a member wait until its earlier ones are ready.
     pub(super) fn take_ready(&mut self) -> Vec<ReadyProposal> {
         let (mut ready, mut waiting, mut blocked) = (vec![], vec![], vec![]);
         for queued in std::mem::take(&mut self.queued) {
@@ -186,8 +186,8 @@
         ready
     }
 
-    /// Returns proposals to the front of the queue.
-    pub(super) fn put_back(&mut self, proposals: impl Iterator<Item = QueuedProposal>) {
+    /// Puts proposals back at the front of the queue.
+    pub(super) fn requeue(&mut self, proposals: impl Iterator<Item = QueuedProposal>) {
         let queued = std::mem::take(&mut self.queued);
         self.queued = proposals.chain(queued).collect();
     }
--- a/crates/config-consensus/src/coordinator/recovery.rs
+++ b/crates/config-consensus/src/coordinator/recovery.rs
@@ -1,4 +1,4 @@
-//! How a new coordinator finds the version of the journal's last record.
+//! Recovery of the version in the journal's last record, by a new coordinator.
 
 use super::{Coordinator, PendingVersion, Phase};
 use crate::context::Context;
@@ -9,37 +9,37 @@
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::StepRecord;
 
-/// A version that the journal describes and this member does not have.
+/// The search for a version that the journal describes and this member does not have.
 #[derive(Debug, Clone)]
 pub(super) struct Recovery {
-    /// What is asked for: the version, or its parent.
+    /// Transfer of the version, or of its parent.
     pub download: Download,
-    /// The journal's record.
+    /// The header in the journal's last record.
     pub header: VersionHeader,
-    /// Whether the version was activated; its parent is not needed then.
+    /// True if the version was activated, so that its parent is not needed.
     pub activated: bool,
 }
 
-/// The version of a header, and its parent, as far as they are known.
+/// The version of a header and its parent, each if it is known.
 struct Found {
     version: Option<ConfigVersion>,
     parent: Option<ConfigVersion>,
 }
 
 impl Recovery {
-    /// Looks for the version among those that are known, or makes it from its parent.
+    /// Finds the version among the known ones, or derives it from its parent.
     fn find(&self, known: &[&ConfigVersion]) -> Found {
         let with_hash =
             |hash: ContentHash| known.iter().copied().find(|version| version.hash == hash).cloned();
         let parent = with_hash(self.header.parent);
-        let made = || parent.as_ref()?.apply_header(&self.header);
-        let version = with_hash(self.header.hash).or_else(made);
+        let derived = || parent.as_ref()?.apply_header(&self.header);
+        let version = with_hash(self.header.hash).or_else(derived);
         Found { version, parent }
     }
 }
 
 impl Coordinator {
-    /// Continues with the journal's last record.
+    /// Continues with the version in the journal's last record.
     pub(super) fn recover(&mut self, cx: &mut Context<impl Host>, stored: &StoredState, last: &StepRecord) {
         let header: VersionHeader = match postcard::from_bytes(&last.content) {
             Ok(header) => header,
@@ -53,7 +53,7 @@
         self.try_finish_recovery(&known);
     }
 
-    /// Leaves recovery if the version can be found among those that are known, or made from them.
+    /// Ends recovery if the version is among the known ones, or can be derived from them.
     fn try_finish_recovery(&mut self, known: &[&ConfigVersion]) {
         let Phase::Recovering(recovery) = &mut self.phase else { return };
         let known: Vec<&ConfigVersion> = known.iter().copied().chain([&self.committed]).collect();
@@ -68,7 +68,7 @@
                 self.committed = parent;
                 self.phase = Phase::Preparing(Box::new(pending));
             }
-            // The parent is fetched first: the version may be made from it.
+            // The parent is fetched first: the version may be derivable from it.
             Found { parent: None, .. }
                 if !recovery.activated && recovery.download.hash != recovery.header.parent =>
             {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// A chunk was received, maybe of what is recovered.
+    /// Handles a chunk, which may belong to the version that is recovered or to its parent.
     pub(super) fn chunk_recovered(&mut self, cx: &mut Context<impl Host>, from: MemberId, chunk: &Chunk) {
         let Phase::Recovering(recovery) = &mut self.phase else { return };
         if recovery.download.hash != chunk.hash {
@@ -94,7 +94,7 @@
         }
     }
 
-    /// A fetched version is complete. The parent is kept as the committed version until the one after it is here.
+    /// Continues with a fetched version. The parent is the committed version until the version after it is received.
     fn version_recovered(&mut self, cx: &mut Context<impl Host>, version: ConfigVersion) {
         self.try_finish_recovery(&[&version]);
         if let Phase::Recovering(recovery) = &mut self.phase {
--- a/crates/config-consensus/src/host.rs
+++ b/crates/config-consensus/src/host.rs
@@ -7,47 +7,48 @@
 use grebespool_singleton_tasks::FencingToken;
 use std::fmt;
 
-/// Carries out what a node asks for.
+/// Operations that a node calls out to.
 pub trait Host {
-    /// Sends a message to another member. Delivery is not assumed: unanswered messages are retransmitted.
+    /// Sends a message to another member. A message may be lost: the node retransmits those that are not answered.
     fn send(&mut self, to: MemberId, message: Message);
-    /// Starts to write this state to disk; [`crate::ConsensusNode::persisted`] reports its stamp once it is there.
+    /// Starts to write this state to disk; [`crate::ConsensusNode::persisted`] reports `stamp` when the write completed.
     fn persist(&mut self, state: &StoredState, stamp: u64);
-    /// Starts a step of the journal with this content. [`crate::ConsensusNode::journal_durable`] reports that a quorum has it,
-    /// [`crate::ConsensusNode::journal_write_rejected`] that the step could not be started.
+    /// Starts a step of the journal with this content. [`crate::ConsensusNode::journal_durable`] reports that a quorum has
+    /// stored the step, [`crate::ConsensusNode::journal_write_rejected`] that the step could not be started.
     fn write_journal(&mut self, token: FencingToken, content: Vec<u8>);
-    /// Marks the step of the journal as finished; [`crate::ConsensusNode::journal_step_finished`] reports that a quorum knows.
+    /// Marks the journal's step as finished; [`crate::ConsensusNode::journal_step_finished`] reports that a quorum stored
+    /// the mark.
     fn finish_journal_step(&mut self, token: FencingToken);
-    /// The versions that this member applies have changed; they hold while its lease runs.
+    /// Reports the versions that this member applies now, until its lease expires or they change again.
     fn active_versions_changed(&mut self, active: ActiveVersions);
-    /// A proposal of this member is decided.
+    /// Reports the outcome of a proposal of this member.
     fn proposal_decided(&mut self, id: ProposalId, outcome: ProposalOutcome);
     /// Records an event in the log.
     fn log(&mut self, event: &Event);
 }
 
-/// Something for the operators' log.
+/// An event for the operators' log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// This replica has another content under a number than the coordinator has: it gets no lease.
+    /// This replica and the coordinator have different contents under one version number: this replica gets no lease.
     LocalHistoryConflict {
-        /// What this replica stores.
+        /// The version that this replica stores.
         local: VersionId,
-        /// What the coordinator announced.
+        /// The version that the coordinator announced.
         announced: VersionId,
     },
-    /// A replica has another content under a number than this coordinator has: it is granted no lease.
+    /// A replica and this coordinator have different contents under one version number: the replica gets no lease.
     ReplicaHistoryConflict {
         /// The replica.
         replica: MemberId,
-        /// What the replica reported.
+        /// The version that the replica reported.
         reported: VersionId,
-        /// What this coordinator has committed.
+        /// The version that this coordinator has committed.
         committed: VersionId,
     },
     /// The last record of the journal is not a version header.
     UnreadableJournal(postcard::Error),
-    /// Fetched bytes are not the version that was asked for.
+    /// Fetched bytes are not the requested version.
     FetchedVersionRejected(DecodeError),
 }
 
@@ -56,19 +57,19 @@
         match self {
             Event::LocalHistoryConflict { local, announced } => write!(
                 f,
-                "configuration version {} is {} here and {} at the coordinator: two histories; this member gets no lease",
+                "running without a lease: configuration version {} is {} here and {} at the coordinator, two histories",
                 local.number, local.hash, announced.hash
             ),
             Event::ReplicaHistoryConflict { replica, reported, committed } => write!(
                 f,
-                "configuration version {} is {} here and {} at member {replica:016x}: two histories; it is granted no lease",
+                "not granting a lease: configuration version {} is {} here and {} at member {replica:016x}, two histories",
                 committed.number, committed.hash, reported.hash
             ),
             Event::UnreadableJournal(error) => {
                 write!(f, "cannot read the configuration journal's last record: {error}")
             }
             Event::FetchedVersionRejected(error) => {
-                write!(f, "rejects the fetched bytes of a configuration version: {error}")
+                write!(f, "rejecting the fetched bytes of a configuration version: {error}")
             }
         }
     }
--- a/crates/config-consensus/src/lib.rs
+++ b/crates/config-consensus/src/lib.rs
@@ -1,15 +1,15 @@
 //! Agreement of a fleet's members on one shared configuration (`docs/design/config-consensus.md`).
 //!
 //! A [`ConsensusNode`] stores configuration versions as a replica, proposes changes, and coordinates while it owns the
-//! journal. It has no I/O and no clock: its caller reports events with the time of a local monotonic clock, and carries out
-//! what the node asks of its [`Host`].
+//! journal. The node has no I/O and no clock: its caller reports events with the time of a local monotonic clock, and its
+//! [`Host`] does what the node requests.
 //!
-//! Guarantees, whatever clocks do: a version number has one content, and a version that is durable on a quorum is what the
-//! next coordinator continues with. With clocks within the stated drift, no member applies a version alone while another
-//! still applies the version before it alone; in between, members apply the intersection of both
+//! Guarantees that hold whatever clocks do: a version number has one content, and the next coordinator continues with a
+//! version that is durable on a quorum. While clocks stay within the stated drift, no member applies a version alone while
+//! another still applies the preceding version alone; in between, members apply the intersection of both
 //! ([`EffectiveConfiguration::intersect`]).
 //!
-//! It never elects the owner of the journal, and never waits for a member longer than that member's lease.
+//! The node never elects the owner of the journal, and never waits for a member longer than that member's lease.
 
 mod active_versions;
 mod configuration;
--- a/crates/config-consensus/src/message.rs
+++ b/crates/config-consensus/src/message.rs
@@ -5,7 +5,7 @@
 use grebespool_singleton_tasks::FencingToken;
 use serde::{Deserialize, Serialize};
 
-/// Changes of up to so many encoded bytes travel in one message and in the journal's record; larger ones are fetched.
+/// Maximum encoded size of changes, in bytes, that are part of a message or a journal record; larger ones are fetched.
 pub(crate) const MAX_INLINE_BYTES: usize = 96 << 10;
 
 /// The changes of a proposal.
@@ -14,7 +14,7 @@
 pub enum ProposalBody {
     /// The changes themselves.
     Inline(Vec<Change>),
-    /// Hash of the encoded changes, which are fetched from the proposer.
+    /// Hash of the encoded changes, which the coordinator fetches from the proposer.
     ByHash(ContentHash),
 }
 
@@ -22,37 +22,37 @@
 // on the wire: the order of fields is the format
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// Its id.
+    /// Id of the proposal, unique for its proposer.
     pub id: ProposalId,
     /// The changes.
     pub body: ProposalBody,
-    /// Whether it may withdraw more capacity at once than the rules allow.
+    /// True if the proposal may withdraw more capacity at once than the rules allow.
     pub forced: bool,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 // on the wire: the order of variants is the format
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is part of the version of this number, which is active.
+    /// The proposal is part of the active version, which has this number.
     Activated(u64),
-    /// It was rejected, for these reasons.
+    /// The proposal was rejected for these reasons.
     Rejected(Vec<String>),
 }
 
-/// A lease renewal: its count, and the versions that it covers.
+/// A lease renewal: its number, and the versions that it covers.
 // on the wire: the order of fields is the format
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// Counts the renewals of the replica.
+    /// Number of this renewal among those of the replica.
     pub count: u64,
     /// The committed version.
     pub committed: VersionId,
-    /// The version that is prepared beside it.
+    /// The version that is prepared beside the committed one.
     pub pending: Option<VersionId>,
 }
 
-/// A part of fetched bytes.
+/// A chunk of fetched bytes.
 // on the wire: the order of fields is the format
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
@@ -60,7 +60,7 @@
     pub hash: ContentHash,
     /// Index of this chunk, from zero.
     pub index: u32,
-    /// How many chunks there are.
+    /// Number of chunks.
     pub count: u32,
     /// The bytes of this chunk.
     pub bytes: Vec<u8>,
@@ -77,51 +77,51 @@
         /// The committed version.
         committed: VersionId,
     },
-    /// From the coordinator: store this version beside the committed one, and apply the intersection of both from now on.
+    /// From the coordinator: asks to store this version beside the committed one, and to apply the intersection of both.
     Prepare {
         /// The coordinator's ownership of the journal.
         token: FencingToken,
         /// The version.
         header: VersionHeader,
     },
-    /// From a replica: the version is on its disk and part of what it applies.
+    /// From a replica: the version is on the replica's disk, and the replica applies the intersection with it.
     Prepared {
-        /// The coordinator that prepared it.
+        /// Token of the coordinator that prepared the version.
         token: FencingToken,
         /// The version.
         pending: VersionId,
     },
-    /// From the coordinator: apply this version alone from now on.
+    /// From the coordinator: asks to apply this version alone from now on.
     Activate {
         /// The coordinator's ownership of the journal.
         token: FencingToken,
         /// The version.
         committed: VersionId,
     },
-    /// From a replica: asks to renew its lease, with the versions as they are on its disk.
+    /// From a replica: asks to renew the lease on the versions that are on the replica's disk.
     Renew {
-        /// The coordinator that it asks.
+        /// Token of the coordinator that is asked.
         token: FencingToken,
         /// The renewal.
         renewal: Renewal,
     },
-    /// From the coordinator: the lease on exactly these versions runs from when that renewal was sent.
+    /// From the coordinator: the lease on exactly these versions runs from when the renewal with this count was sent.
     Renewed {
         /// The coordinator's ownership of the journal.
         token: FencingToken,
         /// The renewal that is answered.
         renewal: Renewal,
     },
-    /// Asks for a chunk of the bytes with this hash.
+    /// Requests a chunk of the bytes with this hash.
     FetchChunk {
         /// Hash of the whole bytes.
         hash: ContentHash,
         /// Index of the chunk, from zero.
         index: u32,
     },
-    /// The chunk that was asked for.
+    /// The requested chunk.
     Chunk(Chunk),
-    /// From a proposer: all its undecided proposals in their order, retransmitted until they are decided.
+    /// From a proposer: its undecided proposals by id, as many as one message holds, retransmitted until decided.
     Propose {
         /// The proposals.
         proposals: Vec<Proposal>,
@@ -130,7 +130,7 @@
     ProposalDecided {
         /// The proposal.
         id: ProposalId,
-        /// What became of it.
+        /// Outcome of the proposal.
         outcome: ProposalOutcome,
     },
 }
--- a/crates/config-consensus/src/node.rs
+++ b/crates/config-consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One member: replica, proposer, and coordinator while it owns the journal.
+//! One member: a replica, a proposer, and a coordinator while the member owns the journal.
 
 use crate::active_versions::ActiveVersions;
 use crate::configuration::{Change, EffectiveConfiguration};
@@ -16,39 +16,39 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A member's state, for operators.
+/// The state of a member, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// The versions that it applies.
+    /// The versions that the member applies.
     pub active: ActiveVersions,
     /// The committed version.
     pub committed: VersionId,
-    /// The version that is prepared beside it.
+    /// The version that is prepared beside the committed one.
     pub pending: Option<VersionId>,
-    /// The coordinator that it renews its lease with.
+    /// The coordinator that renews the member's lease.
     pub coordinator: Option<CoordinatorRef>,
-    /// Whether this member coordinates.
+    /// True if this member coordinates.
     pub coordinates: bool,
-    /// Proposals of this member that are undecided.
+    /// Number of undecided proposals of this member.
     pub undecided_proposals: usize,
 }
 
 /// A member of a fleet that agrees on a configuration.
 ///
-/// Every call takes the time of the same local monotonic clock. [`ConsensusNode::set_journal_token`] comes before each of
-/// them.
+/// Every call that takes the time takes that of the same local monotonic clock, and follows a call of
+/// [`ConsensusNode::set_journal_token`].
 pub struct ConsensusNode<H> {
     settings: ConsensusSettings,
     outgoing: Outgoing<H>,
     replica: Replica,
     proposer: Proposer,
     coordinator: Option<Coordinator>,
-    /// The token by which this member owns the journal at the time of this call.
+    /// The token under which this member owns the journal at the time of the current call.
     journal_token: Option<FencingToken>,
 }
 
 impl<H: Host> ConsensusNode<H> {
-    /// Starts with the state that was stored. `start_count` rises with each start, whatever else is lost.
+    /// Creates a node with the stored state. `start_count` must rise with each start, even if other state is lost.
     pub fn new(
         host: H,
         own: MemberId,
@@ -66,12 +66,12 @@
         }
     }
 
-    /// The host that it was started with.
+    /// Returns the host that the node was created with.
     pub fn host(&mut self) -> &mut H {
         &mut self.outgoing.host
     }
 
-    /// When [`ConsensusNode::timer_fired`] is to be called next.
+    /// Returns the time at which [`ConsensusNode::timer_fired`] must be called next.
     pub fn next_timer(&self) -> Duration {
         let owned =
             self.coordinator.as_ref().filter(|coordinator| Some(coordinator.token()) == self.journal_token);
@@ -79,26 +79,26 @@
         self.replica.next_timer().min(self.proposer.next_timer()).min(coordinator)
     }
 
-    /// The versions that it may apply at this time. Ask with a clock that was just read.
+    /// Returns the versions that the member may apply at this time. `now` must have just been read from the clock.
     pub fn active_versions(&self, now: Duration) -> ActiveVersions {
         self.replica.active_versions(now)
     }
 
-    /// The configuration that this member has to enforce: the committed version, or the intersection with the pending one.
-    /// Operators are shown it; the load-balancing policy does not read it yet. Without a lease it is the last stored one, and the
-    /// caller must not raise or place anything by it.
+    /// Returns the configuration that this member has to enforce: the committed version, or its intersection with the
+    /// pending one. Operators see this configuration; the load-balancing policy does not read it yet. Without a lease, the
+    /// last stored one is returned, and the caller must not raise or place anything by it.
     pub fn effective_configuration(&self) -> EffectiveConfiguration {
         let mut effective = self.replica.effective_configuration();
         self.proposer.drain_withdrawn(&mut effective);
         effective
     }
 
-    /// The versions that it stores.
+    /// Returns the stored versions.
     pub fn state(&self) -> &StoredState {
         self.replica.state()
     }
 
-    /// Its state at this time, for operators.
+    /// Returns the state at this time, for operators.
     pub fn status(&self, now: Duration) -> NodeStatus {
         let state = self.replica.state();
         NodeStatus {
@@ -107,27 +107,28 @@
             pending: state.pending_id(),
             coordinator: self.replica.coordinator(),
             coordinates: self.coordinator.is_some(),
-            undecided_proposals: self.proposer.undecided(),
+            undecided_proposals: self.proposer.undecided_count(),
         }
     }
 
-    /// Sets whether this member owns the journal at the time of the next call, by a clock that was just read. A process that
-    /// was suspended would otherwise grant leases after the next coordinator has waited them out.
+    /// Sets the token under which this member owns the journal at the time of the next call, by a clock that was just read.
+    /// Otherwise, a process that was suspended would grant leases after the next coordinator has waited for them to expire.
     pub fn set_journal_token(&mut self, token: Option<FencingToken>) {
         self.journal_token = token;
     }
 
-    /// Sets the members that take part.
+    /// Sets the members that take part in the agreement.
     pub fn set_voters(&mut self, now: Duration, voters: Vec<MemberId>) {
         self.outgoing.voters = voters;
         self.deliver_loopback(now);
     }
 
-    /// Proposes changes to the configuration that is committed by then. [`Host::proposal_decided`] tells the outcome.
+    /// Proposes changes to the configuration that is committed when the proposal is decided. [`Host::proposal_decided`]
+    /// reports the outcome.
     ///
     /// # Errors
     ///
-    /// Too many proposals are undecided, or the changes are too large.
+    /// Returns an error if too many proposals are undecided, or if the changes are too large or cannot be encoded.
     pub fn propose(
         &mut self,
         now: Duration,
@@ -142,12 +143,12 @@
 
     fn send_proposals(&mut self, now: Duration) {
         let coordinator = self.replica.coordinator().map(|coordinator| coordinator.member);
-        self.proposer.send(&mut self.outgoing.at(now), coordinator, self.settings.lease.renew_interval);
+        self.proposer.send(&mut self.outgoing.context(now), coordinator, self.settings.lease.renew_interval);
     }
 
-    /// The time of [`ConsensusNode::next_timer`] has come.
+    /// Handles the timer that [`ConsensusNode::next_timer`] announced.
     pub fn timer_fired(&mut self, now: Duration) {
-        self.replica.timer_fired(&mut self.outgoing.at(now));
+        self.replica.timer_fired(&mut self.outgoing.context(now));
         if self.proposer.is_due(now) {
             self.send_proposals(now);
         }
@@ -157,51 +158,51 @@
         self.deliver_loopback(now);
     }
 
-    /// All states up to this stamp are on disk.
+    /// Records that all states up to this stamp are on disk.
     pub fn persisted(&mut self, now: Duration, stamp: u64) {
-        self.replica.persisted(&mut self.outgoing.at(now), stamp);
+        self.replica.persisted(&mut self.outgoing.context(now), stamp);
         self.deliver_loopback(now);
     }
 
-    /// This member owns the journal under this token; `last` is the journal's last record.
+    /// Starts to coordinate: this member owns the journal under `token`, and `last` is the journal's last record.
     pub fn start_coordinating(&mut self, now: Duration, token: FencingToken, last: Option<&StepRecord>) {
         self.journal_token = Some(token);
         let stored = self.replica.state();
         let coordinator =
-            Coordinator::new(&mut self.outgoing.at(now), token, self.settings.clone(), stored, last);
+            Coordinator::new(&mut self.outgoing.context(now), token, self.settings.clone(), stored, last);
         self.coordinator = Some(coordinator);
         self.timer_fired(now);
     }
 
-    /// This member owns the journal no longer.
+    /// Stops coordinating: this member no longer owns the journal.
     pub fn stop_coordinating(&mut self, now: Duration) {
         if let Some(stopped) = self.coordinator.take()
             && self.replica.coordinator().is_some_and(|coordinator| coordinator.token == stopped.token())
         {
-            self.replica.forget_coordinator();
+            self.replica.clear_coordinator();
         }
         self.deliver_loopback(now);
     }
 
-    /// A quorum has the step of the journal that was started.
+    /// Records that a quorum has stored the started step of the journal.
     pub fn journal_durable(&mut self, now: Duration, token: FencingToken) {
         self.with_coordinator(now, token, |coordinator, cx| coordinator.journal_durable(cx));
         self.deliver_loopback(now);
     }
 
-    /// The step of the journal could not be started; it is retried.
+    /// Records that the step of the journal could not be started, so that it is retried.
     pub fn journal_write_rejected(&mut self, now: Duration, token: FencingToken) {
         self.with_coordinator(now, token, |coordinator, _| coordinator.journal_write_rejected());
         self.deliver_loopback(now);
     }
 
-    /// A quorum knows that the step of the journal is finished.
+    /// Records that a quorum has stored that the step of the journal is finished.
     pub fn journal_step_finished(&mut self, now: Duration, token: FencingToken) {
         self.with_coordinator(now, token, |coordinator, cx| coordinator.journal_step_finished(cx));
         self.deliver_loopback(now);
     }
 
-    /// Calls the coordinator, if this member coordinates under this token and owns the journal by it now.
+    /// Calls the coordinator, if this member coordinates under this token and owns the journal under it now.
     fn with_coordinator(
         &mut self,
         now: Duration,
@@ -210,7 +211,7 @@
     ) {
         let owned = self.journal_token == Some(token);
         if let Some(coordinator) = self.coordinator.as_mut().filter(|c| owned && c.token() == token) {
-            call(coordinator, &mut self.outgoing.at(now));
+            call(coordinator, &mut self.outgoing.context(now));
         }
     }
 
@@ -226,7 +227,7 @@
         }
     }
 
-    /// A message was received from a member.
+    /// Handles a message from a member.
     pub fn message_received(&mut self, now: Duration, from: MemberId, message: Message) {
         self.handle(now, from, message);
         self.deliver_loopback(now);
@@ -236,16 +237,16 @@
         let sender = |token| CoordinatorRef { token, member: from };
         match message {
             Message::Announce { token, committed } => {
-                self.replica.coordinator_announced(&mut self.outgoing.at(now), sender(token), committed);
+                self.replica.coordinator_announced(&mut self.outgoing.context(now), sender(token), committed);
             }
             Message::Prepare { token, header } => {
-                self.replica.prepare(&mut self.outgoing.at(now), sender(token), header);
+                self.replica.prepare(&mut self.outgoing.context(now), sender(token), header);
             }
             Message::Activate { token, committed } => {
-                self.replica.activate(&mut self.outgoing.at(now), sender(token), committed);
+                self.replica.activate(&mut self.outgoing.context(now), sender(token), committed);
             }
             Message::Renewed { token, renewal } => {
-                self.replica.renewed(&mut self.outgoing.at(now), sender(token), renewal);
+                self.replica.renewed(&mut self.outgoing.context(now), sender(token), renewal);
             }
             Message::Prepared { token, pending } if self.journal_token == Some(token) => {
                 self.with_coordinator_of_voter(now, from, |c, cx| c.prepared(cx, from, pending));
@@ -267,7 +268,7 @@
                 if let Some(token) = self.journal_token {
                     self.with_coordinator(now, token, |c, cx| c.chunk_received(cx, from, &chunk));
                 }
-                self.replica.chunk_received(&mut self.outgoing.at(now), &chunk);
+                self.replica.chunk_received(&mut self.outgoing.context(now), &chunk);
             }
         }
     }
@@ -275,11 +276,11 @@
     fn send_chunk(&mut self, now: Duration, to: MemberId, hash: ContentHash, index: u32) {
         let chunk = self.bytes(hash).and_then(|bytes| chunk_of(hash, &bytes, index));
         if let Some(message) = chunk {
-            self.outgoing.at(now).send(to, message);
+            self.outgoing.context(now).send(to, message);
         }
     }
 
-    /// The bytes with this hash: of a stored version, of one that is coordinated, or of a proposal.
+    /// Returns the bytes with this hash: of a stored version, of a version that is coordinated, or of a proposal.
     fn bytes(&self, hash: ContentHash) -> Option<Vec<u8>> {
         let stored = self.replica.state().find(hash).map(|version| version.body.encode());
         let coordinated = || self.coordinator.as_ref()?.bytes(hash);
--- a/crates/config-consensus/src/proposer.rs
+++ b/crates/config-consensus/src/proposer.rs
@@ -10,24 +10,24 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Undecided proposals of one member.
+/// Maximum number of undecided proposals of one member.
 const MAX_UNDECIDED: usize = 1024;
-/// The upper half of a proposal id is the member's start count.
+/// Position of the member's start count in a proposal id, in bits; the lower bits count proposals.
 const START_COUNT_SHIFT: u32 = 32;
 
-/// Why changes are not proposed.
+/// Reasons why changes are not proposed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProposeError {
-    /// This member has as many undecided proposals as it may.
-    #[error("{undecided} proposals wait already")]
+    /// This member already has the maximum number of undecided proposals.
+    #[error("{undecided} proposals are undecided, the maximum is {MAX_UNDECIDED}")]
     TooMany {
-        /// How many there are.
+        /// Number of undecided proposals.
         undecided: usize,
     },
-    /// The changes are larger than a version may be.
-    #[error("{bytes} bytes of changes; {MAX_VERSION_BYTES} can be")]
+    /// The changes are larger than the maximum size of a version.
+    #[error("the changes have {bytes} bytes, the maximum is {MAX_VERSION_BYTES}")]
     TooLarge {
-        /// Their encoded size.
+        /// Encoded size of the changes, in bytes.
         bytes: usize,
     },
     /// The changes cannot be encoded.
@@ -37,14 +37,14 @@
 
 struct Undecided {
     proposal: Proposal,
-    /// The encoded changes, where they are too large for a message.
+    /// The encoded changes if they are too large for a message, otherwise empty.
     bytes: Vec<u8>,
-    /// Servers that it takes out of service. They drain at once, since that is the stricter side, until the proposal is
-    /// rejected.
+    /// Servers that the proposal takes out of service. This member treats them as draining until the proposal is decided,
+    /// since draining is the stricter state.
     withdrawn: Vec<String>,
 }
 
-/// Submits this member's proposals, and retransmits them until they are decided.
+/// The proposals of this member, which are retransmitted until they are decided.
 pub(crate) struct Proposer {
     undecided: BTreeMap<ProposalId, Undecided>,
     last_id: ProposalId,
@@ -52,7 +52,7 @@
 }
 
 impl Proposer {
-    /// Of a member that was started so often.
+    /// Creates the proposer of a member; `start_count` is the number of its starts.
     pub(crate) fn new(start_count: u32) -> Proposer {
         Proposer {
             undecided: BTreeMap::new(),
@@ -61,22 +61,22 @@
         }
     }
 
-    /// How many proposals are undecided.
-    pub(crate) fn undecided(&self) -> usize {
+    /// Returns the number of undecided proposals.
+    pub(crate) fn undecided_count(&self) -> usize {
         self.undecided.len()
     }
 
-    /// When proposals are sent next.
+    /// Returns the time at which proposals are sent next.
     pub(crate) fn next_timer(&self) -> Duration {
         if self.undecided.is_empty() { Duration::MAX } else { self.retransmit_at }
     }
 
-    /// Whether it is time to send proposals.
+    /// Returns true if it is time to send proposals.
     pub(crate) fn is_due(&self, now: Duration) -> bool {
         now >= self.retransmit_at
     }
 
-    /// Takes a proposal; [`Proposer::send`] sends it.
+    /// Adds a proposal to the undecided ones; [`Proposer::send`] sends it.
     pub(crate) fn submit(&mut self, changes: Vec<Change>, forced: bool) -> Result<ProposalId, ProposeError> {
         if self.undecided.len() >= MAX_UNDECIDED {
             return Err(ProposeError::TooMany { undecided: self.undecided.len() });
@@ -97,7 +97,7 @@
         Ok(self.last_id)
     }
 
-    /// Sends the undecided proposals, as many as go into one message, and sets the retransmission timer.
+    /// Sends as many undecided proposals as fit into one message, and sets the retransmission timer.
     pub(crate) fn send(
         &mut self,
         cx: &mut Context<impl Host>,
@@ -117,19 +117,19 @@
         cx.send(coordinator, Message::Propose { proposals });
     }
 
-    /// Forgets a decided proposal; whether it was undecided until now. A decision may be received more than once.
+    /// Removes a decided proposal. Returns true if it was undecided until now: a decision may be received more than once.
     pub(crate) fn decide(&mut self, id: ProposalId) -> bool {
         self.undecided.remove(&id).is_some()
     }
 
-    /// Drains the servers that undecided proposals withdraw.
+    /// Marks the servers that undecided proposals withdraw as draining.
     pub(crate) fn drain_withdrawn(&self, effective: &mut EffectiveConfiguration) {
         for name in self.undecided.values().flat_map(|undecided| &undecided.withdrawn) {
             effective.drain(name);
         }
     }
 
-    /// The encoded changes with this hash.
+    /// Returns the encoded changes with this hash.
     pub(crate) fn bytes(&self, hash: ContentHash) -> Option<Vec<u8>> {
         let by_hash = ProposalBody::ByHash(hash);
         let undecided = self.undecided.values().find(|undecided| undecided.proposal.body == by_hash)?;
--- a/crates/config-consensus/src/replica/mod.rs
+++ b/crates/config-consensus/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! A replica: the versions that a member stores, and the lease by which it applies them.
+//! A replica: the versions that a member stores, and the lease under which the member applies them.
 
 mod persistence;
 mod versions;
@@ -17,15 +17,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Renewals whose answers are still accepted.
+/// Maximum number of unanswered renewals whose answers are still accepted.
 const MAX_UNANSWERED_RENEWALS: usize = 32;
 
-/// A coordinator: the member, and its ownership of the journal.
+/// Identifies a coordinator by its member and its ownership of the journal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CoordinatorRef {
-    /// The ownership; a later coordinator's is higher.
+    /// Token of the ownership; a later coordinator's token is higher.
     pub token: FencingToken,
-    /// The member.
+    /// The member that coordinates.
     pub member: MemberId,
 }
 
@@ -34,7 +34,7 @@
 enum Missing {
     /// The version that the coordinator has committed.
     Committed(Download),
-    /// The version that it prepares.
+    /// The version that the coordinator prepares.
     Pending(Download, VersionHeader),
 }
 
@@ -49,11 +49,11 @@
 #[derive(Debug, Clone, Copy)]
 struct SentRenewal {
     at: Duration,
-    /// The pending version that it reported.
+    /// The pending version that the renewal reported.
     pending: Option<VersionId>,
 }
 
-/// One member's replica.
+/// The replica of one member.
 #[derive(Debug)]
 pub(crate) struct Replica {
     lease: LeaseParameters,
@@ -62,7 +62,7 @@
     leased_until: Duration,
     coordinator: Option<CoordinatorRef>,
     renewal_count: u64,
-    sent: BTreeMap<u64, SentRenewal>,
+    sent_renewals: BTreeMap<u64, SentRenewal>,
     renew_at: Duration,
     missing: Option<Missing>,
     reported: ActiveVersions,
@@ -70,7 +70,7 @@
 }
 
 impl Replica {
-    /// Starts with the state that was stored.
+    /// Creates a replica with the stored state.
     pub(crate) fn new(lease: LeaseParameters, state: StoredState) -> Replica {
         Replica {
             lease,
@@ -79,7 +79,7 @@
             leased_until: Duration::ZERO,
             coordinator: None,
             renewal_count: 0,
-            sent: BTreeMap::new(),
+            sent_renewals: BTreeMap::new(),
             renew_at: Duration::ZERO,
             missing: None,
             reported: ActiveVersions::Unleased,
@@ -87,28 +87,28 @@
         }
     }
 
-    /// The versions that it stores.
+    /// Returns the stored versions.
     pub(crate) fn state(&self) -> &StoredState {
         &self.state
     }
 
-    /// The coordinator that it renews its lease with.
+    /// Returns the coordinator that renews the lease.
     pub(crate) fn coordinator(&self) -> Option<CoordinatorRef> {
         self.coordinator
     }
 
-    /// Sends no more renewals until a coordinator announces itself.
-    pub(crate) fn forget_coordinator(&mut self) {
+    /// Clears the coordinator, so that no renewals are sent until a coordinator announces itself.
+    pub(crate) fn clear_coordinator(&mut self) {
         self.coordinator = None;
     }
 
-    /// When [`Replica::timer_fired`] is to be called next.
+    /// Returns the time at which [`Replica::timer_fired`] must be called next.
     pub(crate) fn next_timer(&self) -> Duration {
         let lease = if self.reported == ActiveVersions::Unleased { Duration::MAX } else { self.leased_until };
         if self.coordinator.is_some() { self.renew_at.min(lease) } else { lease }
     }
 
-    /// The versions that it may apply at this time.
+    /// Returns the versions that the replica may apply at this time.
     pub(crate) fn active_versions(&self, now: Duration) -> ActiveVersions {
         let committed = self.state.committed.number();
         match &self.state.pending {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The committed configuration, or its intersection with the pending one.
+    /// Returns the committed configuration, or its intersection with the pending one.
     pub(crate) fn effective_configuration(&self) -> EffectiveConfiguration {
         let committed = self.state.committed.configuration();
         match &self.state.pending {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Renews the lease when it is time, and reports a lease that has expired.
+    /// Renews the lease if it is time, and reports an expired lease.
     pub(crate) fn timer_fired(&mut self, cx: &mut Context<impl Host>) {
         if cx.now >= self.renew_at {
             self.renew(cx);
@@ -135,7 +135,7 @@
         self.report_active_versions(cx);
     }
 
-    /// All states up to this stamp are on disk.
+    /// Records that all states up to this stamp are on disk.
     pub(crate) fn persisted(&mut self, cx: &mut Context<impl Host>, stamp: u64) {
         self.persistence.completed(cx, stamp);
     }
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Logs an event, once until another one happens.
+    /// Logs an event, unless it equals the last logged event.
     fn log_once(&mut self, cx: &mut Context<impl Host>, event: Event) {
         if self.last_event.as_ref() != Some(&event) {
             cx.host().log(&event);
@@ -166,48 +166,49 @@
             let request = missing.download().request();
             cx.send(coordinator.member, request);
         }
-        // A state that is not on disk yet could be lost in a crash: it is not reported.
+        // A state that is not on disk yet could be lost in a crash, so it is not reported.
         if !self.persistence.is_complete() {
             return;
         }
         self.renewal_count += 1;
         let pending = self.state.pending_id();
-        self.sent.insert(self.renewal_count, SentRenewal { at: cx.now, pending });
-        while self.sent.len() > MAX_UNANSWERED_RENEWALS {
-            self.sent.pop_first();
+        self.sent_renewals.insert(self.renewal_count, SentRenewal { at: cx.now, pending });
+        while self.sent_renewals.len() > MAX_UNANSWERED_RENEWALS {
+            self.sent_renewals.pop_first();
         }
         let renewal = Renewal { count: self.renewal_count, committed: self.state.committed.id(), pending };
         cx.send(coordinator.member, Message::Renew { token: coordinator.token, renewal });
     }
 
-    /// The coordinator answers a renewal: the lease counts from when that was sent.
+    /// Handles the coordinator's answer to a renewal. The lease runs from when the renewal was sent.
     pub(crate) fn renewed(&mut self, cx: &mut Context<impl Host>, sender: CoordinatorRef, renewal: Renewal) {
         if self.coordinator != Some(sender) || sender.token != self.state.newest_token {
             return;
         }
-        let Some(sent) = self.sent.get(&renewal.count).copied() else { return };
+        let Some(sent) = self.sent_renewals.get(&renewal.count).copied() else { return };
         self.advance_to(cx, renewal.committed);
         self.drop_abandoned(cx, &sent, &renewal);
-        // The lease is on exactly the versions that the coordinator knows this replica to have.
+        // The lease covers exactly the versions in the answer, so it is valid only if this replica has these versions.
         if self.state.committed.id() == renewal.committed && self.state.pending_id() == renewal.pending {
             self.leased_until = self.leased_until.max(sent.at + self.lease.duration);
-            self.sent = self.sent.split_off(&(renewal.count + 1));
+            self.sent_renewals = self.sent_renewals.split_off(&(renewal.count + 1));
         }
         self.report_active_versions(cx);
     }
 
-    /// Drops a pending version that a coordinator was told of and does not know: it was never durable. An answer to a renewal
-    /// from before it was prepared says nothing of it.
+    /// Drops a pending version that the renewal reported and the coordinator does not have: the version was never durable. An
+    /// answer to a renewal from before the version was prepared does not count.
     fn drop_abandoned(&mut self, cx: &mut Context<impl Host>, sent: &SentRenewal, renewal: &Renewal) {
         let pending = self.state.pending_id();
-        let told = pending.is_some() && sent.pending == pending;
-        if told && renewal.pending.is_none() && self.state.committed.id() == renewal.committed {
+        let was_reported = pending.is_some() && sent.pending == pending;
+        if was_reported && renewal.pending.is_none() && self.state.committed.id() == renewal.committed {
             self.state.pending = None;
             self.persist(cx);
         }
     }
 
-    /// The version with this number has another hash here: two histories, which nothing can merge.
+    /// Returns true, and logs that, if this replica has another hash for the announced version number. The two histories
+    /// cannot be merged.
     fn conflicts_with(&mut self, cx: &mut Context<impl Host>, announced: VersionId) -> bool {
         let local = self.state.committed.id();
         let conflict = local.number == announced.number && local.hash != announced.hash;
@@ -217,7 +218,7 @@
         conflict
     }
 
-    /// Starts to fetch a version, unless it is being fetched already.
+    /// Starts to fetch a version, unless that version is being fetched already.
     fn fetch(&mut self, cx: &mut Context<impl Host>, mut missing: Missing) {
         let hash: ContentHash = missing.download().hash;
         if self.missing.as_mut().is_some_and(|current| current.download().hash == hash) {
--- a/crates/config-consensus/src/replica/persistence.rs
+++ b/crates/config-consensus/src/replica/persistence.rs
@@ -1,4 +1,4 @@
-//! Writes of a replica's state, and messages that wait for them.
+//! Writes of a replica's state to disk, and messages that wait for these writes.
 
 use crate::context::Context;
 use crate::host::Host;
@@ -6,7 +6,7 @@
 use crate::version::StoredState;
 use grebespool_leader_election::MemberId;
 
-/// A message that may leave once a write is on disk.
+/// A message that may be sent once a write is on disk.
 #[derive(Debug)]
 struct Deferred {
     stamp: u64,
@@ -14,7 +14,7 @@
     message: Message,
 }
 
-/// Counts writes, and defers messages that promise what is not on disk yet: a crash would take the promise back.
+/// Counts writes, and defers messages that confirm a state until it is on disk: a crash before that would lose the state.
 #[derive(Debug, Default)]
 pub(super) struct Persistence {
     started: u64,
@@ -23,7 +23,7 @@
 }
 
 impl Persistence {
-    /// Whether all that was handed to the disk is there.
+    /// Returns true if all started writes are on disk.
     pub(super) fn is_complete(&self) -> bool {
         self.completed >= self.started
     }
@@ -34,7 +34,7 @@
         host.persist(state, self.started);
     }
 
-    /// All writes up to this stamp are on disk.
+    /// Records that all writes up to this stamp are on disk, and sends the messages that waited for them.
     pub(super) fn completed(&mut self, cx: &mut Context<impl Host>, stamp: u64) {
         self.completed = self.completed.max(stamp);
         let completed = self.completed;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Sends a message once all that was handed to the disk so far is there.
+    /// Sends a message once all writes that are started so far are on disk.
     pub(super) fn send_when_complete(&mut self, cx: &mut Context<impl Host>, to: MemberId, message: Message) {
         if self.is_complete() {
             cx.send(to, message);
--- a/crates/config-consensus/src/replica/versions.rs
+++ b/crates/config-consensus/src/replica/versions.rs
@@ -1,4 +1,4 @@
-//! How a replica follows the coordinator's versions: it prepares, activates and fetches them.
+//! The part of a replica that prepares, activates and fetches the coordinator's versions.
 
 use super::{CoordinatorRef, Missing, Replica};
 use crate::context::Context;
@@ -8,14 +8,14 @@
 use crate::version::{ConfigVersion, VersionHeader, VersionId};
 
 impl Replica {
-    /// Whether a message is of the newest coordinator; the journal's token fences older ones.
+    /// Returns true if a message is from the newest coordinator; messages with an older token are ignored.
     fn accept_coordinator(&mut self, cx: &mut Context<impl Host>, sender: CoordinatorRef) -> bool {
         if sender.token < self.state.newest_token {
             return false;
         }
         if sender.token > self.state.newest_token {
-            // Renewals that were sent to the former coordinator count for nothing with this one.
-            self.sent.clear();
+            // Renewals that were sent to the former coordinator must not extend a lease of this one.
+            self.sent_renewals.clear();
             self.state.newest_token = sender.token;
             self.persist(cx);
         }
@@ -27,7 +27,7 @@
         true
     }
 
-    /// The coordinator announces itself and the committed version.
+    /// Handles an announcement of the coordinator and its committed version.
     pub(crate) fn coordinator_announced(
         &mut self,
         cx: &mut Context<impl Host>,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The coordinator activates a version: it is applied alone from now on.
+    /// Handles the activation of a version, which is applied alone from now on.
     pub(crate) fn activate(
         &mut self,
         cx: &mut Context<impl Host>,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Makes the pending version the committed one if it is this one, and fetches a newer one.
+    /// Commits the pending version if it has this id, or fetches the version if it is newer than the committed one.
     pub(super) fn advance_to(&mut self, cx: &mut Context<impl Host>, committed: VersionId) {
         if let Some(pending) = self.state.pending.take_if(|pending| pending.id() == committed) {
             self.state.committed = pending;
@@ -67,7 +67,7 @@
         self.report_active_versions(cx);
     }
 
-    /// The coordinator prepares a version: it is stored beside the committed one, and both are applied.
+    /// Stores a version that the coordinator prepares beside the committed one; the intersection of both is applied.
     pub(crate) fn prepare(
         &mut self,
         cx: &mut Context<impl Host>,
@@ -84,7 +84,7 @@
         if pending == Some(header.id()) {
             return self.acknowledge_pending(cx);
         }
-        // A version is prepared only after the one before it was activated.
+        // A version is prepared only after its parent was activated.
         if pending.is_some_and(|pending| pending.hash == header.parent) {
             self.advance_to(cx, VersionId { number: header.number - 1, hash: header.parent });
         }
@@ -104,7 +104,7 @@
         self.acknowledge_pending(cx);
     }
 
-    /// Tells the coordinator that the pending version is prepared, once it is on disk.
+    /// Acknowledges the pending version to the coordinator, once it is on disk.
     fn acknowledge_pending(&mut self, cx: &mut Context<impl Host>) {
         if let (Some(coordinator), Some(pending)) = (self.coordinator, self.state.pending_id()) {
             let message = Message::Prepared { token: coordinator.token, pending };
@@ -113,7 +113,7 @@
         self.report_active_versions(cx);
     }
 
-    /// A chunk of fetched bytes was received; another one is asked for at once.
+    /// Handles a chunk of fetched bytes, and requests the next one at once.
     pub(crate) fn chunk_received(&mut self, cx: &mut Context<impl Host>, chunk: &Chunk) {
         let Some(missing) = &mut self.missing else { return };
         if missing.download().hash != chunk.hash {
@@ -128,13 +128,13 @@
         };
         let missing = self.missing.take();
         match ConfigVersion::decode(&bytes, chunk.hash) {
-            Ok(version) => self.take_fetched(cx, version, missing),
+            Ok(version) => self.apply_fetched(cx, version, missing),
             Err(error) => cx.host().log(&Event::FetchedVersionRejected(error)),
         }
         self.report_active_versions(cx);
     }
 
-    fn take_fetched(
+    fn apply_fetched(
         &mut self,
         cx: &mut Context<impl Host>,
         version: ConfigVersion,
--- a/crates/config-consensus/src/transfer.rs
+++ b/crates/config-consensus/src/transfer.rs
@@ -1,5 +1,5 @@
-//! Transfer of bytes that are too large for one message, chunk by chunk. The receiver asks for each chunk, so that a transfer
-//! never delays lease renewals on a slow link, and a lost chunk is asked for again.
+//! Chunked transfer of bytes that are too large for one message. The receiver requests one chunk at a time, so that a
+//! transfer never delays lease renewals on a slow link, and requests a lost chunk again.
 
 use crate::message::{Chunk, Message};
 use crate::version::{ContentHash, MAX_VERSION_BYTES};
@@ -7,7 +7,7 @@
 /// Size of a chunk, in bytes.
 const CHUNK_BYTES: usize = 64 << 10;
 
-/// Bytes that are being fetched.
+/// A transfer that this member receives.
 #[derive(Debug, Clone)]
 pub(crate) struct Download {
     pub hash: ContentHash,
@@ -16,17 +16,17 @@
 }
 
 impl Download {
-    /// Starts with the first chunk.
+    /// Creates a download that starts with the first chunk.
     pub(crate) fn new(hash: ContentHash) -> Download {
         Download { hash, bytes: vec![], next_index: 0 }
     }
 
-    /// The request for the next chunk.
+    /// Returns the request for the next chunk.
     pub(crate) fn request(&self) -> Message {
         Message::FetchChunk { hash: self.hash, index: self.next_index }
     }
 
-    /// Takes a chunk, and returns all bytes with the last one. A chunk out of order was asked for twice and is ignored.
+    /// Adds a chunk, and returns all bytes after the last one. Ignores a chunk out of order, which was requested twice.
     pub(crate) fn receive(&mut self, chunk: &Chunk) -> Option<Vec<u8>> {
         let max_count = MAX_VERSION_BYTES.div_ceil(CHUNK_BYTES) as u32;
         let expected = chunk.index == self.next_index && chunk.index < chunk.count;
@@ -43,7 +43,7 @@
     }
 }
 
-/// The chunk of these bytes that was asked for, if there is one.
+/// Returns the message with the chunk at `index` of these bytes, or `None` if the index is past the end.
 pub(crate) fn chunk_of(hash: ContentHash, bytes: &[u8], index: u32) -> Option<Message> {
     let count = bytes.len().div_ceil(CHUNK_BYTES).max(1) as u32;
     let start = index as usize * CHUNK_BYTES;
--- a/crates/config-consensus/src/version.rs
+++ b/crates/config-consensus/src/version.rs
@@ -1,4 +1,4 @@
-//! Configuration versions: their encoding, their hashes, and what a replica stores of them.
+//! Configuration versions: their encoding, their hashes, and the state that a replica stores.
 
 use crate::configuration::{Change, Configuration};
 use grebespool_leader_election::MemberId;
@@ -8,7 +8,7 @@
 use std::fmt;
 use thiserror::Error;
 
-/// The maximum size of an encoded version, in bytes.
+/// Maximum size of an encoded version, in bytes.
 pub const MAX_VERSION_BYTES: usize = 8 << 20;
 
 /// A BLAKE3 hash of encoded bytes.
@@ -16,10 +16,10 @@
 pub struct ContentHash(pub [u8; 32]);
 
 impl ContentHash {
-    /// Bytes that are shown in logs.
+    /// Number of leading bytes that are shown in logs.
     const SHOWN_BYTES: usize = 6;
 
-    /// Hashes these bytes.
+    /// Returns the hash of these bytes.
     pub fn of(bytes: &[u8]) -> ContentHash {
         ContentHash(*blake3::hash(bytes).as_bytes())
     }
@@ -41,22 +41,22 @@
 // stored and on the wire: the order of fields is the format
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionId {
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
-    /// Its hash.
+    /// Hash of the version.
     pub hash: ContentHash,
 }
 
-/// Identifies a proposal of one member; later proposals have higher ids, across restarts of the member.
+/// Identifies a proposal of one member; later proposals have higher ids, also across restarts of the member.
 pub type ProposalId = u64;
 
 /// The decisions on one member's proposals that are part of a version.
 // stored and on the wire: the order of fields is the format
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecidedProposals {
-    /// The last proposal that was decided; all before it are decided too.
+    /// The last decided proposal; all proposals before it are decided too.
     pub last: ProposalId,
-    /// Of these, the rejected ones that the proposer may not know of yet.
+    /// Rejected proposals whose rejection the proposer may not have received yet.
     pub rejected: BTreeSet<ProposalId>,
 }
 
@@ -68,30 +68,30 @@
     pub number: u64,
     /// The configuration.
     pub configuration: Configuration,
-    /// Decided proposals by proposer, so that no later coordinator applies a proposal twice.
+    /// Decided proposals by proposer; later coordinators use them to avoid applying a proposal twice.
     pub decided: BTreeMap<MemberId, DecidedProposals>,
 }
 
 impl VersionBody {
-    /// Its bytes, which the version's hash is of.
+    /// Returns the encoded bytes; the version's hash is the hash of these bytes.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("encoding into memory does not fail")
     }
 }
 
-/// Why bytes are not the version that was asked for.
+/// Reasons why bytes are not the requested version.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The bytes have another hash.
-    #[error("their hash is {found}, and {expected} was asked for")]
+    #[error("hash {found} differs from the requested hash {expected}")]
     WrongHash {
         /// Hash of the bytes.
         found: ContentHash,
         /// Hash of the version.
         expected: ContentHash,
     },
-    /// The bytes have the hash and encode no version.
-    #[error("their hash is right and they are no version: {0}")]
+    /// The bytes have the expected hash, but do not encode a version.
+    #[error("the hash is correct, but the bytes do not encode a version: {0}")]
     Malformed(#[from] postcard::Error),
 }
 
@@ -99,14 +99,14 @@
 // stored: the order of fields is the format
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConfigVersion {
-    /// What it consists of.
+    /// Content of the version.
     pub body: VersionBody,
     /// Hash of the encoded body.
     pub hash: ContentHash,
 }
 
 impl ConfigVersion {
-    /// A version of this body.
+    /// Creates a version with this body, and computes its hash.
     pub fn new(body: VersionBody) -> ConfigVersion {
         let hash = ContentHash::of(&body.encode());
         ConfigVersion { body, hash }
@@ -116,7 +116,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes have another hash, or they encode no version.
+    /// Returns an error if the bytes have another hash or do not encode a version.
     pub fn decode(bytes: &[u8], expected: ContentHash) -> Result<ConfigVersion, DecodeError> {
         let found = ContentHash::of(bytes);
         if found != expected {
@@ -126,27 +126,27 @@
         Ok(ConfigVersion { body, hash: found })
     }
 
-    /// Its number.
+    /// Returns the number of the version.
     pub fn number(&self) -> u64 {
         self.body.number
     }
 
-    /// Its configuration.
+    /// Returns the configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.body.configuration
     }
 
-    /// Its number and hash.
+    /// Returns the number and the hash.
     pub fn id(&self) -> VersionId {
         VersionId { number: self.body.number, hash: self.hash }
     }
 
-    /// The decisions on a member's proposals up to this version.
+    /// Returns the decisions on a member's proposals up to this version.
     pub fn decided(&self, proposer: MemberId) -> DecidedProposals {
         self.body.decided.get(&proposer).cloned().unwrap_or_default()
     }
 
-    /// The version after this one, with these changes and decisions.
+    /// Returns the next version, with these changes and decisions.
     pub fn successor(
         &self,
         changes: &[Change],
@@ -161,7 +161,7 @@
         ConfigVersion::new(body)
     }
 
-    /// The version that a header describes, if it can be made from this one.
+    /// Returns the version that a header describes, if this version is its parent and the header contains the changes.
     pub fn apply_header(&self, header: &VersionHeader) -> Option<ConfigVersion> {
         let changes = header.changes.as_ref().filter(|_| header.parent == self.hash)?;
         Some(self.successor(changes, &header.decided)).filter(|version| version.id() == header.id())
@@ -169,13 +169,13 @@
 }
 
 impl Default for ConfigVersion {
-    /// The version that a fleet starts with: an empty configuration.
+    /// Returns the version that a fleet starts with: an empty configuration.
     fn default() -> Self {
         ConfigVersion::new(VersionBody::default())
     }
 }
 
-/// Describes a configuration version in the coordinator's journal, and announces it to replicas.
+/// A description of a configuration version, for the coordinator's journal and for messages to replicas.
 // stored and on the wire: the order of fields is the format
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VersionHeader {
@@ -183,40 +183,40 @@
     pub number: u64,
     /// Hash of the version.
     pub hash: ContentHash,
-    /// Hash of the version before it.
+    /// Hash of the preceding version.
     pub parent: ContentHash,
-    /// The changes that make the version from its parent, where they are small; otherwise the version is fetched.
+    /// Changes from the parent to this version; `None` if they are too large for a message and the version is fetched.
     pub changes: Option<Vec<Change>>,
     /// Decisions on proposals that are part of the version, by proposer.
     pub decided: BTreeMap<MemberId, DecidedProposals>,
 }
 
 impl VersionHeader {
-    /// The version that it describes.
+    /// Returns the id of the described version.
     pub fn id(&self) -> VersionId {
         VersionId { number: self.number, hash: self.hash }
     }
 }
 
-/// What a replica must find again after a restart.
+/// The state that a replica restores after a restart.
 // stored: the order of fields is the format
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredState {
-    /// The version that is, or was, applied alone.
+    /// The version that this replica applies alone, or applied alone before one was pending.
     pub committed: ConfigVersion,
-    /// The version that is prepared beside it.
+    /// The version that is prepared beside the committed one.
     pub pending: Option<ConfigVersion>,
-    /// The newest coordinator that was heard of.
+    /// Token of the newest coordinator that this replica has received a message from.
     pub newest_token: FencingToken,
 }
 
 impl StoredState {
-    /// The pending version's number and hash.
+    /// Returns the number and hash of the pending version.
     pub fn pending_id(&self) -> Option<VersionId> {
         self.pending.as_ref().map(ConfigVersion::id)
     }
 
-    /// The version with this hash, if it is one of those that are stored.
+    /// Returns the stored version with this hash, if there is one.
     pub fn find(&self, hash: ContentHash) -> Option<&ConfigVersion> {
         [Some(&self.committed), self.pending.as_ref()]
             .into_iter()
--- a/crates/config-consensus/tests/consensus/configuration.rs
+++ b/crates/config-consensus/tests/consensus/configuration.rs
@@ -1,4 +1,4 @@
-//! What a configuration may contain, and the intersection of two.
+//! Validation of configurations, and the intersection of two.
 
 use crate::test_cluster::{LIMITS, configuration, rules, server};
 use grebespool_config_consensus::*;
@@ -32,27 +32,33 @@
 }
 
 #[rstest]
-#[case::an_unknown_limit(Change::Limit("heat".into(), Some(Limit::AtMost(3.0))), "limit \"heat\" is none that this program knows; it knows draw, reserve")]
-#[case::no_bound(draw(Limit::AtMost(f64::NAN)), "limit \"draw\": NaN is no bound")]
-#[case::turned_round(draw(Limit::AtLeast(3.0)), "limit \"draw\": it was a bound to the other side")]
-#[case::an_unknown_rack(set_server("r9", 1.0), "server \"x\" names rack \"r9\", which is not there")]
-#[case::a_rack_under_its_servers(Change::Rack("r0".into(), None), "server \"s00\" names rack \"r0\"")]
-#[case::no_capacity(set_server("r0", -1.0), "server \"x\": a capacity of -1")]
-#[case::more_than_all(set_route(1.0, 1.5), "route \"read\": at most 1.5 of its calls")]
-#[case::no_importance(set_route(-1.0, 1.0), "route \"read\": an importance of -1")]
-#[case::a_rack_without_power(set_rack("east", "f", 0.0), "rack \"r0\": a cap of 0 W")]
-#[case::a_rack_without_a_site(set_rack("", "f", 1.0), "rack \"r0\": no site or no feed")]
-fn names_the_place_and_the_cause_of_an_invalid_value(#[case] change: Change, #[case] says: &str) {
+#[case::unknown_limit(Change::Limit("heat".into(), Some(Limit::AtMost(3.0))), "limit \"heat\" is none that this program knows; it knows draw, reserve")]
+#[case::limit_that_is_not_a_number(
+    draw(Limit::AtMost(f64::NAN)),
+    "limit \"draw\": NaN is not a non-negative number"
+)]
+#[case::upper_bound_replaced_by_a_lower_bound(
+    draw(Limit::AtLeast(3.0)),
+    "limit \"draw\": an upper and a lower bound cannot replace each other"
+)]
+#[case::unknown_rack(set_server("r9", 1.0), "server \"x\" names rack \"r9\", which does not exist")]
+#[case::removed_rack_that_has_servers(Change::Rack("r0".into(), None), "server \"s00\" names rack \"r0\"")]
+#[case::negative_capacity(set_server("r0", -1.0), "server \"x\": capacity -1 is not a positive number")]
+#[case::share_above_one(set_route(1.0, 1.5), "route \"read\": maximum share 1.5 is not between 0 and 1")]
+#[case::negative_importance(set_route(-1.0, 1.0), "route \"read\": importance -1 is not a non-negative number")]
+#[case::rack_without_power(set_rack("east", "f", 0.0), "rack \"r0\": power cap 0 W is not a positive number")]
+#[case::rack_without_a_site(set_rack("", "f", 1.0), "rack \"r0\": the site or the feed is empty")]
+fn an_invalid_value_is_rejected_with_its_entry_and_cause(#[case] change: Change, #[case] expected: &str) {
     let errors = validate(&configuration(), &changed(&[change]), &rules(1.0), false).unwrap_err();
-    assert!(errors.iter().any(|error| error.to_string().starts_with(says)), "{errors:?}");
+    assert!(errors.iter().any(|error| error.to_string().starts_with(expected)), "{errors:?}");
 }
 
 #[rstest]
-#[case::four_of_twelve(4, 0.34, true)]
-#[case::six_of_twelve(6, 0.34, false)]
-#[case::forced(6, 0.34, true)]
-#[case::all(12, 1.0, false)]
-fn withdraws_no_more_at_once_than_is_allowed(
+#[case::below_the_maximum_share(4, 0.34, true)]
+#[case::above_the_maximum_share(6, 0.34, false)]
+#[case::above_the_maximum_share_and_forced(6, 0.34, true)]
+#[case::all_servers(12, 1.0, false)]
+fn withdrawing_too_much_capacity_at_once_is_rejected_unless_forced(
     #[case] withdrawn: usize,
     #[case] max_share: f64,
     #[case] valid: bool,
@@ -65,7 +71,7 @@
     let texts: Vec<String> = checked.err().into_iter().flatten().map(|error| error.to_string()).collect();
     match (valid, withdrawn) {
         (false, 6) => assert!(
-            texts[0].contains("6 servers of 50%") && texts[0].contains("60 calls a second of 120"),
+            texts[0].contains("6 servers of 50%") && texts[0].contains("60 of 120 requests per second"),
             "{texts:?}"
         ),
         (false, 12) => assert!(texts[0].starts_with("all 12 servers would be closed"), "{texts:?}"),
@@ -73,9 +79,10 @@
     }
 }
 
-/// Where by both versions no server would be left, rule 1 is kept, and it is told.
+/// The old and the new version have disjoint ready servers, so their intersection has no ready server. The servers of the
+/// new version must stay ready, and be listed as exempt.
 #[rstest]
-fn keeps_servers_ready_while_all_of_them_are_replaced() {
+fn new_servers_stay_ready_while_all_servers_are_replaced() {
     let half = |ready: &str| {
         let mut configuration = configuration();
         for (name, server) in &mut configuration.servers {
@@ -93,8 +100,8 @@
 }
 
 #[rstest]
-#[case::orders_differ(&[set_route(9.0, 1.0)])]
-fn unsets_what_has_no_stricter_side(#[case] changes: &[Change]) {
+#[case::shed_orders_differ(&[set_route(9.0, 1.0)])]
+fn a_field_without_a_stricter_value_is_unset(#[case] changes: &[Change]) {
     let joint = EffectiveConfiguration::intersect(&configuration(), &changed(changes));
     assert_eq!(joint.shed_order, None);
     let moved = changed(&[set_rack("east", "f9", 1.0)]);
@@ -143,14 +150,14 @@
     }
 
     #[test]
-    fn a_version_is_within_itself_and_decodes_to_itself(a in any_configuration()) {
+    fn a_version_is_within_itself_and_survives_encoding(a in any_configuration()) {
         prop_assert!(EffectiveConfiguration::single(&a).violations(&a).is_empty());
         let version = ConfigVersion::new(VersionBody { number: 3, configuration: a, ..VersionBody::default() });
         prop_assert_eq!(ConfigVersion::decode(&version.body.encode(), version.hash), Ok(version));
     }
 
     #[test]
-    fn rejects_the_bytes_of_another_version(a in any_configuration(), at in any::<prop::sample::Index>()) {
+    fn bytes_with_a_flipped_bit_are_rejected(a in any_configuration(), at in any::<prop::sample::Index>()) {
         let version = ConfigVersion::new(VersionBody { number: 3, configuration: a, ..VersionBody::default() });
         let mut bytes = version.body.encode();
         let at = at.index(bytes.len());
