--- a/crates/config-consensus/tests/consensus/faults.rs
+++ b/crates/config-consensus/tests/consensus/faults.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens to members, and that they continue once faults end.
+//! Invariants of the agreement under faults, and progress after faults end.
 
 use crate::test_cluster::*;
 use grebespool_config_consensus::*;
@@ -6,14 +6,14 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-/// Few where checks are slow; `cargo test --release` plays more.
+/// Number of seeds: few in a debug build, where checks are slow; `cargo test --release` runs more.
 const SEEDS: u64 = if cfg!(debug_assertions) { 8 } else { 3000 };
 
 #[rstest]
-#[case::alone(1)]
-#[case::three(3)]
-#[case::five(5)]
-fn activates_a_version_on_all_members(#[case] members: u64) {
+#[case::one_member(1)]
+#[case::three_members(3)]
+#[case::five_members(5)]
+fn a_proposed_version_becomes_active_on_all_members(#[case] members: u64) {
     let mut cluster = TestCluster::settled(members, 1, DisabledGuard::None);
     assert_eq!(cluster.active_everywhere(), Some(1));
     let id = cluster.propose(1, vec![draw_limit(70.0)], false).unwrap();
@@ -21,13 +21,14 @@
     while cluster.active_everywhere() != Some(2) {
         cluster.run(MS(1));
     }
-    // Four messages of at most 10 ms, two writes of 3 ms.
+    // The bound is the time of four messages of at most 10 ms and two writes of 3 ms.
     assert!(cluster.now - from < MS(46), "{:?}", cluster.now - from);
     cluster.run(MS(200));
     assert_eq!(cluster.nodes[&1].outcomes.get(&id), Some(&ProposalOutcome::Activated(2)));
 }
 
-/// A member that does not answer is waited for no longer than its lease, and applies nothing from then on.
+/// The coordinator must wait for an unreachable member until that member's lease has expired, and no longer. The member
+/// applies nothing after that.
 #[rstest]
 #[case::crashed(|c: &mut TestCluster, id| c.crash(id))]
 #[case::suspended(|c: &mut TestCluster, id| c.set_suspended(id, true))]
@@ -35,7 +36,9 @@
 #[case::cannot_send(|c: &mut TestCluster, id| c.cut_off(id, true, false))]
 #[case::cannot_receive(|c: &mut TestCluster, id| c.cut_off(id, false, true))]
 #[case::disk_full(|c: &mut TestCluster, id| c.nodes.get_mut(&id).unwrap().disk_full = true)]
-fn waits_for_a_lost_member_as_long_as_its_lease(#[case] fault: fn(&mut TestCluster, u64)) {
+fn activation_waits_for_an_unreachable_member_only_until_its_lease_expires(
+    #[case] fault: fn(&mut TestCluster, u64),
+) {
     for seed in 0..4 {
         let mut cluster = TestCluster::settled(3, seed, DisabledGuard::None);
         let owner = cluster.owner.unwrap().0;
@@ -54,9 +57,10 @@
     }
 }
 
-/// The coordinator is lost at each millisecond of a version: the next continues with what was durable, or starts anew.
+/// The coordinator fails at each millisecond of a version's preparation. The next coordinator must continue with the version
+/// if the version was durable, and activate the retransmitted proposal otherwise.
 #[rstest]
-fn continues_when_the_coordinator_is_lost_at_any_step() {
+fn a_proposal_becomes_active_when_the_coordinator_fails_at_any_step() {
     for at in (0..40).step_by(if cfg!(debug_assertions) { 3 } else { 1 }) {
         let mut cluster = TestCluster::settled(3, 100 + at, DisabledGuard::None);
         let owner = cluster.owner.unwrap().0;
@@ -78,7 +82,7 @@
 }
 
 #[rstest]
-fn keeps_all_invariants_under_random_faults_and_continues_after_them() {
+fn invariants_hold_under_random_faults_and_versions_become_active_after_them() {
     for seed in 0..SEEDS {
         let members = if seed % 3 == 0 { 5 } else { 3 };
         let mut cluster = TestCluster::settled(members, seed, DisabledGuard::None);
@@ -90,7 +94,7 @@
             let id = cluster.rng.random_range(1..=members);
             let changes = cluster.random_change();
             cluster.propose(id, changes, k % 7 == 0);
-            // Each member counts up a value of its own: a proposal that is applied twice would set it back.
+            // Each member increases a value of its own: a proposal that is applied twice would decrease the value.
             let own = cluster.rng.random_range(1..=members);
             let count = f64::from(k + 1);
             let change =
@@ -102,29 +106,32 @@
         cluster.heal();
         cluster.run(S(8));
         let active = cluster.active_everywhere();
-        assert!(active.is_some(), "seed {seed}: nothing is active everywhere: {}", cluster.describe());
+        assert!(active.is_some(), "seed {seed}: no version is active on all members: {}", cluster.describe());
         cluster.propose(1, vec![draw_limit(10.0)], false);
         cluster.run(S(3));
-        assert!(cluster.active_everywhere() > active, "seed {seed}: nothing follows {active:?}");
+        assert!(
+            cluster.active_everywhere() > active,
+            "seed {seed}: no version is activated after {active:?}"
+        );
         for (member, (id, count)) in last {
             let node = &cluster.nodes[&member];
-            // A member that crashed with an undecided proposal has forgotten it.
+            // A member that crashed with an undecided proposal does not know the proposal any more.
             if matches!(node.outcomes.get(&id), Some(ProposalOutcome::Activated(_))) {
-                let there = &node.disk.committed.configuration().servers[&format!("own{member}")];
-                assert_eq!(there.capacity, count, "seed {seed}: of {member}");
+                let server = &node.disk.committed.configuration().servers[&format!("own{member}")];
+                assert_eq!(server.capacity, count, "seed {seed}: value of member {member}");
             }
         }
     }
 }
 
-/// What the guards are for: without one, a member does what no version of the others allows.
+/// Each guard is needed: without it, random faults lead to a violated invariant, which the simulation must detect.
 #[rstest]
-#[case::activated_as_soon_as_it_is_prepared(DisabledGuard::ActivationWait)]
-#[case::leases_from_the_answer(DisabledGuard::LeaseFromSending)]
-#[case::a_field_without_its_stricter_side(DisabledGuard::StricterLimit)]
-#[case::a_coordinator_that_grants_past_its_ownership(DisabledGuard::JournalOwnership)]
-fn finds_a_disabled_guard(#[case] disabled: DisabledGuard) {
-    let is_found = |seed: u64| {
+#[case::activation_without_waiting_for_all_members(DisabledGuard::ActivationWait)]
+#[case::leases_that_start_at_the_answer(DisabledGuard::LeaseFromSending)]
+#[case::limits_of_the_pending_version_alone(DisabledGuard::StricterLimit)]
+#[case::coordination_after_the_ownership_expired(DisabledGuard::JournalOwnership)]
+fn a_disabled_guard_leads_to_a_violation(#[case] disabled: DisabledGuard) {
+    let is_violated = |seed: u64| {
         let mut cluster = TestCluster::settled(5, seed, disabled);
         for _ in 0..60 {
             let span = MS(cluster.rng.random_range(30..500));
@@ -136,12 +143,13 @@
         }
         !cluster.violations.is_empty()
     };
-    assert!((0..200).any(is_found));
+    assert!((0..200).any(is_violated));
 }
 
-/// 1 MB over a slow link that loses a tenth: it becomes active, and meanwhile no lease expires.
+/// A version of 1 MB must become active although the link is slow and loses a tenth of the messages, without delaying the
+/// lease renewals.
 #[rstest]
-fn transfers_a_large_version_over_a_slow_and_lossy_link() {
+fn a_large_version_becomes_active_over_a_slow_and_lossy_link() {
     let mut cluster = TestCluster::settled(3, 5, DisabledGuard::None);
     let mut large = configuration();
     for k in 0..16_000 {
@@ -163,7 +171,7 @@
 }
 
 #[rstest]
-fn continues_after_all_members_restart_during_an_activation() {
+fn versions_become_active_after_all_members_restart_during_an_activation() {
     for at in (0..30).step_by(if cfg!(debug_assertions) { 4 } else { 1 }) {
         let mut cluster = TestCluster::settled(3, 300 + at, DisabledGuard::None);
         cluster.propose(2, vec![Change::State("s00".into(), ServerState::Draining)], false);
@@ -181,7 +189,7 @@
 }
 
 #[rstest]
-fn updates_an_older_copy_and_grants_nothing_to_another_history() {
+fn a_member_with_an_older_copy_is_updated_and_one_with_another_history_gets_no_lease() {
     let mut cluster = TestCluster::settled(3, 9, DisabledGuard::None);
     let old = cluster.nodes[&2].disk.clone();
     for watts in [90.0, 80.0, 70.0] {
@@ -207,11 +215,14 @@
     assert!(events.any(|event| event.contains("two histories")), "{}", cluster.describe());
 }
 
-/// A drain is applied before it is agreed; one that is rejected is not.
+/// The proposer must treat a server as draining from its proposal on, and as ready again if the proposal is rejected.
 #[rstest]
-#[case::within_what_is_allowed(4, ServerState::Draining)]
-#[case::too_much_at_once(9, ServerState::Ready)]
-fn applies_a_proposed_drain_until_it_is_rejected(#[case] servers: usize, #[case] after: ServerState) {
+#[case::accepted(4, ServerState::Draining)]
+#[case::rejected_since_it_withdraws_too_much(9, ServerState::Ready)]
+fn a_proposed_drain_applies_at_once_and_until_it_is_rejected(
+    #[case] servers: usize,
+    #[case] after: ServerState,
+) {
     let mut cluster = TestCluster::settled(3, 21, DisabledGuard::None);
     let names: Vec<String> = configuration().servers.keys().take(servers).cloned().collect();
     let drains = names.iter().map(|name| Change::State(name.clone(), ServerState::Draining));
@@ -225,9 +236,10 @@
     assert_eq!(state(&cluster), after);
 }
 
-/// Many proposals at once become few versions, each in its order; a drain is applied before any of them is active.
+/// Proposals that arrive together must be applied in their order and be combined into few versions. A proposed drain applies
+/// before any of the versions is active.
 #[rstest]
-fn folds_many_proposals_into_few_versions() {
+fn many_proposals_are_combined_into_few_versions() {
     let mut cluster = TestCluster::settled(3, 11, DisabledGuard::None);
     let owner = cluster.owner.unwrap().0;
     let other = 1 + owner % 3;
--- a/crates/config-consensus/tests/consensus/main.rs
+++ b/crates/config-consensus/tests/consensus/main.rs
@@ -1,4 +1,4 @@
-//! Members under faults, and what configurations may contain.
+//! Agreement of members under faults, and validation of configurations.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
--- a/crates/config-consensus/tests/consensus/test_cluster/faults.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Random changes and faults.
+//! Random configuration changes and faults.
 
 use super::{MS, TestCluster};
 use grebespool_config_consensus::*;
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 impl TestCluster {
-    /// A change for a member to propose.
+    /// Returns a random change for a member to propose.
     pub fn random_change(&mut self) -> Vec<Change> {
         let (r, s) = (self.rng.random_range(0..3), self.rng.random_range(0..4));
         let change = match self.rng.random_range(0..6) {
@@ -29,7 +29,7 @@
         vec![change]
     }
 
-    /// A fault, or the end of one.
+    /// Starts or ends a random fault.
     pub fn random_fault(&mut self) {
         let ids: Vec<MemberId> = self.nodes.keys().copied().collect();
         let id = ids[self.rng.random_range(0..ids.len())];
@@ -66,9 +66,9 @@
 
     /// Cuts the network into two parts.
     fn partition(&mut self, ids: &[MemberId]) {
-        let here: BTreeSet<MemberId> = ids.iter().copied().filter(|_| self.rng.random()).collect();
+        let first_part: BTreeSet<MemberId> = ids.iter().copied().filter(|_| self.rng.random()).collect();
         for (a, b) in ids.iter().flat_map(|a| ids.iter().map(move |b| (*a, *b))) {
-            if here.contains(&a) != here.contains(&b) {
+            if first_part.contains(&a) != first_part.contains(&b) {
                 self.cut.insert((a, b));
             }
         }
@@ -78,7 +78,7 @@
         self.nodes.get_mut(&id).unwrap().suspended = suspended;
     }
 
-    /// Ends all faults, and starts the members that are down.
+    /// Ends all faults, and starts the crashed members.
     pub fn heal(&mut self) {
         (self.loss, self.duplication, self.max_delay) = (0.0, 0.0, MS(10));
         self.cut.clear();
--- a/crates/config-consensus/tests/consensus/test_cluster/invariants.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/invariants.rs
@@ -1,19 +1,19 @@
-//! What must hold at every moment.
+//! The invariants, which are checked after every step of the simulation.
 
 use super::{DisabledGuard, TestCluster};
 use grebespool_config_consensus::*;
 
 /// A member that applies versions.
-struct Acting<'a> {
+struct ActiveMember<'a> {
     active: ActiveVersions,
     effective: EffectiveConfiguration,
     state: &'a StoredState,
 }
 
 impl TestCluster {
-    /// A number has one content, and all members that apply versions are within one of them.
+    /// Records a violation if a version number has two contents, or if no version allows all effective configurations.
     pub(super) fn check_invariants(&mut self) {
-        let (mut acting, mut violations) = (vec![], vec![]);
+        let (mut members, mut violations) = (vec![], vec![]);
         for (id, node) in self.nodes.iter().filter(|(_, node)| !node.suspended) {
             let Some(consensus) = &node.consensus else { continue };
             let state = consensus.state();
@@ -31,36 +31,36 @@
                 if let (DisabledGuard::StricterLimit, Some(pending)) = (self.disabled, &state.pending) {
                     effective.limits = pending.configuration().limits.clone();
                 }
-                acting.push(Acting { active, effective, state });
+                members.push(ActiveMember { active, effective, state });
             }
         }
-        if !all_single(&acting) {
+        if !all_single(&members) {
             self.exempted +=
-                acting.iter().filter(|acting| !acting.effective.exempt_servers.is_empty()).count();
-            violations.extend(check_common_version(&acting));
+                members.iter().filter(|member| !member.effective.exempt_servers.is_empty()).count();
+            violations.extend(check_common_version(&members));
         }
         self.violations.extend(violations);
     }
 }
 
-/// Whether all apply the same version alone.
-fn all_single(acting: &[Acting]) -> bool {
-    let same = |other: &Acting| matches!((other.active, acting[0].active), (ActiveVersions::Single(a), ActiveVersions::Single(b)) if a == b);
-    acting.iter().all(same)
+/// Returns true if all members apply the same version alone.
+fn all_single(members: &[ActiveMember]) -> bool {
+    let same = |other: &ActiveMember| matches!((other.active, members[0].active), (ActiveVersions::Single(a), ActiveVersions::Single(b)) if a == b);
+    members.iter().all(same)
 }
 
-/// One of the versions that are about allows all that everybody does.
-fn check_common_version(acting: &[Acting]) -> Option<String> {
+/// Returns a violation if no stored version allows the effective configurations of all members.
+fn check_common_version(members: &[ActiveMember]) -> Option<String> {
     let stored =
-        acting.iter().flat_map(|acting| [Some(&acting.state.committed), acting.state.pending.as_ref()]);
+        members.iter().flat_map(|member| [Some(&member.state.committed), member.state.pending.as_ref()]);
     let mut versions: Vec<&ConfigVersion> = stored.flatten().collect();
     versions.dedup_by_key(|version| version.hash);
     let allows_all = |version: &&ConfigVersion| {
-        acting.iter().all(|acting| acting.effective.violations(version.configuration()).is_empty())
+        members.iter().all(|member| member.effective.violations(version.configuration()).is_empty())
     };
     if versions.iter().any(allows_all) {
         return None;
     }
-    let active: Vec<ActiveVersions> = acting.iter().map(|acting| acting.active).collect();
-    Some(format!("no version allows what all do: {active:?}"))
+    let active: Vec<ActiveVersions> = members.iter().map(|member| member.active).collect();
+    Some(format!("no version allows all effective configurations: {active:?}"))
 }
--- a/crates/config-consensus/tests/consensus/test_cluster/journal.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/journal.rs
@@ -1,4 +1,4 @@
-//! Who owns the journal, and what it holds.
+//! The simulated journal: its owner and its last record.
 
 use super::network::InFlight;
 use super::{DisabledGuard, MS, TestCluster};
@@ -7,22 +7,22 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// How long an ownership lasts after it was renewed.
+/// Duration of an ownership after its last renewal.
 const OWNERSHIP: Duration = Duration::from_millis(900);
 
 impl TestCluster {
-    /// The token by which a member owns the journal at this moment.
-    pub(super) fn owned_by(&self, id: MemberId) -> Option<FencingToken> {
+    /// Returns the token under which a member owns the journal now.
+    pub(super) fn ownership_token(&self, id: MemberId) -> Option<FencingToken> {
         let (owner, token) = self.owner?;
         let runs = self.now < self.owned_until || self.disabled == DisabledGuard::JournalOwnership;
         (owner == id && runs).then_some(token)
     }
 
-    /// Renews the ownership while the owner reaches a quorum; another member gets it once it is over.
+    /// Renews the ownership while the owner is connected to a quorum; grants it to another member after it expired.
     pub(super) fn renew_ownership(&mut self) {
         if let Some((id, _)) = self.owner {
             if self.now < self.owned_until {
-                if self.has_quorum(id) && !self.owner_lapses {
+                if self.has_quorum(id) && !self.owner_crashed {
                     self.owned_until = self.now + OWNERSHIP;
                 }
                 return;
@@ -40,8 +40,8 @@
             self.call(id, |node, now| node.stop_coordinating(now));
         }
         self.owner = None;
-        self.owner_lapses = false;
-        // A step that was not reported as durable is found by the next owner, or not.
+        self.owner_crashed = false;
+        // The next owner may or may not find a step that was not reported as durable.
         if let Some((token, content)) = self.journal_write.take()
             && self.rng.random_bool(0.5)
         {
@@ -69,7 +69,7 @@
         self.journal = Some(StepRecord { token, step, completed: false, content });
     }
 
-    /// Whether the journal takes a write of its owner now.
+    /// Returns true if the journal accepts a write of its owner now.
     fn is_writable(&self, id: MemberId) -> bool {
         self.now < self.owned_until && self.has_quorum(id)
     }
--- a/crates/config-consensus/tests/consensus/test_cluster/mod.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/mod.rs
@@ -1,6 +1,6 @@
-//! Members under a simulated network, disks and clocks that fail. The cluster decides who owns the journal, as
-//! `grebespool-singleton-tasks` would: one member at a time, with tokens that rise, and what is durable on a quorum is found
-//! by the next owner.
+//! A cluster of members with a simulated network, disks and clocks that can fail. The cluster chooses the owner of the
+//! journal as `grebespool-singleton-tasks` does: one member at a time owns the journal, tokens rise, and the next owner finds
+//! a step that is durable on a quorum.
 
 mod faults;
 mod invariants;
@@ -21,7 +21,7 @@
 pub const S: fn(u64) -> Duration = Duration::from_secs;
 pub const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// The longest step of the simulation.
+/// Longest and shortest time by which one step of the simulation advances.
 const MAX_STEP: Duration = Duration::from_millis(20);
 const MIN_STEP: Duration = Duration::from_micros(50);
 
@@ -44,7 +44,7 @@
     Change::Limit("draw".into(), Some(Limit::AtMost(watts)))
 }
 
-/// Three racks of four servers.
+/// Returns a configuration of three racks with four servers each.
 pub fn configuration() -> Configuration {
     let mut configuration = Configuration::default();
     for (r, site) in ["east", "east", "west"].into_iter().enumerate() {
@@ -62,7 +62,7 @@
     configuration
 }
 
-/// A guard that is disabled, to see that the invariants miss it.
+/// A guard that a test disables, to show that the invariants detect its absence.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum DisabledGuard {
     None,
@@ -70,9 +70,9 @@
     ActivationWait,
     /// Leases count from the answer instead of the sending of the renewal.
     LeaseFromSending,
-    /// The stricter of two limits is forgotten.
+    /// A replica applies the limits of the pending version instead of the stricter ones.
     StricterLimit,
-    /// A coordinator whose ownership is over goes on granting leases.
+    /// A coordinator whose ownership has expired continues to grant leases.
     JournalOwnership,
 }
 
@@ -81,30 +81,30 @@
     pub nodes: BTreeMap<MemberId, TestNode>,
     pub rng: Pcg64Mcg,
     disabled: DisabledGuard,
-    // The network.
+    // State of the network.
     in_flight: BTreeMap<(Duration, u64), InFlight>,
     sent: u64,
     pub loss: f64,
     pub duplication: f64,
     pub max_delay: Duration,
-    /// Bytes per second from one member to another; messages wait for those before them.
+    /// Bandwidth of each link in bytes per second; a message waits until the previous ones are transmitted.
     pub bandwidth: f64,
     link_free_at: BTreeMap<(MemberId, MemberId), Duration>,
     cut: BTreeSet<(MemberId, MemberId)>,
-    // The journal.
+    // State of the journal.
     pub owner: Option<(MemberId, FencingToken)>,
     owned_until: Duration,
-    /// The owner renews its ownership no more.
-    owner_lapses: bool,
+    /// True if the owner has crashed, so that its ownership is not renewed.
+    owner_crashed: bool,
     tokens: u64,
     journal: Option<StepRecord>,
     journal_write: Option<(FencingToken, Vec<u8>)>,
-    // What the invariants have seen.
-    /// The hash of every number that was ever committed somewhere.
+    // State of the invariants.
+    /// Hash of every version that any member has committed, by number.
     committed_hashes: BTreeMap<u64, ContentHash>,
-    /// Members that a test gave another history.
+    /// Members to which a test has given another history.
     pub conflicting: BTreeSet<MemberId>,
-    /// When each version was first applied alone.
+    /// Time at which each version was first applied alone, by number.
     pub activated_at: BTreeMap<u64, Duration>,
     pub violations: Vec<String>,
     pub exempted: usize,
@@ -127,7 +127,7 @@
             cut: BTreeSet::new(),
             owner: None,
             owned_until: Duration::ZERO,
-            owner_lapses: false,
+            owner_crashed: false,
             tokens: 0,
             journal: None,
             journal_write: None,
@@ -146,7 +146,7 @@
         cluster
     }
 
-    /// With a first configuration that is active everywhere.
+    /// Creates a cluster in which a first configuration is active on all members.
     pub fn settled(members: u64, seed: u64, disabled: DisabledGuard) -> TestCluster {
         let mut cluster = TestCluster::new(members, seed, disabled);
         cluster.run(S(2));
@@ -172,8 +172,8 @@
             node.consensus = None;
             node.writes.clear();
         }
-        // After a restart it knows of no ownership.
-        self.owner_lapses |= self.owner.is_some_and(|(owner, _)| owner == id);
+        // A restarted member does not know that it owned the journal.
+        self.owner_crashed |= self.owner.is_some_and(|(owner, _)| owner == id);
     }
 
     /// Restarts a member with an older copy of its disk.
@@ -183,27 +183,27 @@
         self.start(id);
     }
 
-    /// Calls a member, and carries out what it asks for.
+    /// Calls a member, and executes the requests that it makes to its host.
     pub fn call<T>(
         &mut self,
         id: MemberId,
         call: impl FnOnce(&mut ConsensusNode<TestHost>, Duration) -> T,
     ) -> Option<T> {
-        let (now, owned) = (self.now, self.owned_by(id));
+        let (now, owned) = (self.now, self.ownership_token(id));
         let node = self.nodes.get_mut(&id)?;
         let clock = node.clock(now);
         let consensus = node.consensus.as_mut()?;
-        // With that guard disabled, a former coordinator is never told that it is one no more.
+        // While this guard is disabled, a former coordinator does not learn that its ownership has ended.
         if self.disabled != DisabledGuard::JournalOwnership || owned.is_some() {
             consensus.set_journal_token(owned);
         }
         let returned = call(consensus, clock);
         let requests = std::mem::take(&mut *consensus.host().0.borrow_mut());
-        self.carry_out(id, requests);
+        self.execute(id, requests);
         Some(returned)
     }
 
-    fn carry_out(&mut self, id: MemberId, requests: Requests) {
+    fn execute(&mut self, id: MemberId, requests: Requests) {
         let node = self.nodes.get_mut(&id).unwrap();
         for (state, stamp) in requests.persist {
             node.start_write(self.now, state, stamp);
@@ -241,8 +241,8 @@
                 self.fire_timer(id);
             }
             self.check_invariants();
-            let sound = self.disabled != DisabledGuard::None || self.violations.is_empty();
-            assert!(sound, "{:?} at {:?}", self.violations, self.now);
+            let invariants_hold = self.disabled != DisabledGuard::None || self.violations.is_empty();
+            assert!(invariants_hold, "{:?} at {:?}", self.violations, self.now);
         }
     }
 
@@ -268,7 +268,7 @@
         nodes.chain(in_flight).min().unwrap_or(Duration::MAX).min(self.now + MAX_STEP)
     }
 
-    /// The state of all members, for the message of a test that fails.
+    /// Describes the state of all members, for assertion messages.
     pub fn describe(&self) -> String {
         let status = |node: &TestNode| node.consensus.as_ref().map(|c| c.status(node.clock(self.now)));
         let nodes: Vec<String> = self
@@ -280,7 +280,7 @@
         format!("owner {:?}, journal {journal:?}\n{}", self.owner, nodes.join("\n"))
     }
 
-    /// The version that all members apply alone.
+    /// Returns the version that all members apply alone, if there is one.
     pub fn active_everywhere(&self) -> Option<u64> {
         let active: Vec<ActiveVersions> = self
             .nodes
--- a/crates/config-consensus/tests/consensus/test_cluster/network.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/network.rs
@@ -1,4 +1,4 @@
-//! Messages between members, and steps of the journal that are on their way.
+//! The simulated network: messages between members, and journal steps that are in flight.
 
 use super::{DisabledGuard, MS, TestCluster};
 use grebespool_config_consensus::*;
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// Bytes of a message that is no chunk, where the bandwidth is limited.
+/// Size of a message that is not a chunk, in bytes, if the bandwidth is limited.
 const MESSAGE_BYTES: usize = 200;
 
 pub enum InFlight {
@@ -17,7 +17,7 @@
 }
 
 impl TestCluster {
-    /// Delivers after a random delay.
+    /// Delivers a message or a journal step after a random delay.
     pub(super) fn schedule(&mut self, what: InFlight) {
         let delay = self.max_delay.mul_f64(self.rng.random_range(0.1..1.0));
         self.deliver_at(self.now + delay, what);
@@ -76,7 +76,7 @@
 
     fn deliver_message(&mut self, to: MemberId, from: MemberId, mut message: Message) {
         if self.nodes.get(&to).is_some_and(|node| node.suspended) {
-            // It waits in the socket's buffer.
+            // The message stays in the socket's buffer.
             return self.deliver_at(self.now + MS(20), InFlight::Message { to, from, message });
         }
         if let (DisabledGuard::LeaseFromSending, Message::Renewed { renewal, .. }) =
@@ -95,7 +95,7 @@
         self.is_up(a) && self.is_up(b) && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
     }
 
-    /// Whether a member reaches a quorum whose disks take writes.
+    /// Returns true if a member is connected to a quorum of members whose disks are not full.
     pub(super) fn has_quorum(&self, id: MemberId) -> bool {
         let writable = |other: &&MemberId| self.is_connected(id, **other) && !self.nodes[*other].disk_full;
         self.nodes.keys().filter(writable).count() * 2 > self.nodes.len()
--- a/crates/config-consensus/tests/consensus/test_cluster/node.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/node.rs
@@ -1,4 +1,4 @@
-//! A member with its disk and its clock.
+//! A simulated member with its disk and its clock.
 
 use super::MS;
 use grebespool_config_consensus::*;
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A full disk looks again after so long.
+/// Time after which a write to a full disk is retried.
 const FULL_DISK_RETRY: Duration = Duration::from_millis(30);
 
-/// What a member asked for during a call.
+/// The calls that a member made to its host during a call of the member.
 #[derive(Default)]
 pub struct Requests {
     pub send: Vec<(MemberId, Message)>,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A write that is on its way to the disk.
+/// A write to disk that has not completed.
 pub struct PendingWrite {
     done_at: Duration,
     state: StoredState,
@@ -63,14 +63,14 @@
     pub start_count: u32,
     pub writes: Vec<PendingWrite>,
     pub write_time: Duration,
-    /// The disk takes no writes: they wait.
+    /// True if the disk is full, so that writes wait.
     pub disk_full: bool,
-    /// The process is stopped: timers do not fire and messages wait.
+    /// True if the process is stopped, so that timers do not fire and messages wait.
     pub suspended: bool,
     started_at: Duration,
     clock_offset: Duration,
     clock_rate: f64,
-    /// The count of its last renewal.
+    /// Count of the member's last renewal.
     pub renewals: u64,
 }
 
@@ -104,7 +104,7 @@
         self.started_at + clock.saturating_sub(self.clock_offset).div_f64(self.clock_rate)
     }
 
-    /// When its timer fires or a write completes.
+    /// Returns the time at which the member's timer fires or its next write completes.
     pub fn next_event(&self) -> Option<Duration> {
         let consensus = self.consensus.as_ref().filter(|_| !self.suspended);
         let timer = consensus.map(|consensus| self.real_time(consensus.next_timer()));
@@ -116,7 +116,7 @@
         self.writes.push(PendingWrite { done_at: busy_until + self.write_time, state, stamp });
     }
 
-    /// Completes the writes that are done by now; returns the stamp of the last.
+    /// Completes the writes that are due, and returns the stamp of the last one.
     pub fn complete_writes(&mut self, now: Duration) -> Option<u64> {
         if self.disk_full {
             self.writes.iter_mut().for_each(|write| write.done_at = write.done_at.max(now + FULL_DISK_RETRY));
--- a/crates/config-consensus/tests/fixtures.rs
+++ b/crates/config-consensus/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes.
+//! The encodings that are stored or sent, byte for byte. Each line of a fixture is a name and the bytes of its value in hex.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -21,7 +21,8 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// Each value encodes to the bytes of its line, and these decode to it; no line is left over.
+/// Asserts that each value encodes to the bytes of its line, that these bytes decode to the value, and that there are no
+/// other lines.
 fn assert_postcard_fixture<T>(fixture: &str, values: &[(&str, T)])
 where
     T: Serialize + DeserializeOwned + Debug + PartialEq,
@@ -69,7 +70,7 @@
     Server { rack: "r1".into(), capacity, state }
 }
 
-/// Every kind of change.
+/// Returns one change of every kind.
 fn changes() -> Vec<Change> {
     vec![
         Change::Replace(Box::new(configuration())),
@@ -118,7 +119,7 @@
 }
 
 #[rstest]
-fn messages_between_members_keep_their_bytes() {
+fn messages_encode_to_the_bytes_of_the_fixture() {
     let (committed, next) = (version().id(), next_version().id());
     let reasons = vec!["all 3 servers would be closed".to_string(), "no site".to_string()];
     assert_postcard_fixture(
@@ -163,7 +164,7 @@
 }
 
 #[rstest]
-fn stored_state_keeps_its_bytes() {
+fn stored_state_encodes_to_the_bytes_of_the_fixture() {
     let stored = |pending| StoredState { committed: version(), pending, newest_token: token() };
     assert_postcard_fixture(
         include_str!("fixtures/state.txt"),
@@ -176,7 +177,7 @@
 }
 
 #[rstest]
-fn journal_entries_keep_their_bytes() {
+fn journal_records_encode_to_the_bytes_of_the_fixture() {
     assert_postcard_fixture(
         include_str!("fixtures/journal.txt"),
         &[("with-changes", header(Some(changes()))), ("by-hash", header(None))],
@@ -184,7 +185,7 @@
 }
 
 #[rstest]
-fn versions_keep_their_bytes_and_hashes() {
+fn versions_encode_to_the_bytes_and_hashes_of_the_fixtures() {
     let versions = [("first", ConfigVersion::default()), ("whole", version()), ("next", next_version())];
     let bodies: Vec<(&str, VersionBody)> = versions.iter().map(|(name, v)| (*name, v.body.clone())).collect();
     assert_postcard_fixture(include_str!("fixtures/versions.txt"), &bodies);
@@ -203,12 +204,12 @@
         decided: BTreeMap::from([(8, DecidedProposals { last: 9, rejected: BTreeSet::new() })]),
         ..header
     };
-    assert_eq!(parent.apply_header(&header), Some(next_version()), "made out of the one before it");
+    assert_eq!(parent.apply_header(&header), Some(next_version()), "derived from the parent");
 }
 
-/// As operators write them in files and read them from a member's answer.
+/// Operators write changes in files, and read effective configurations in a member's answer.
 #[rstest]
-fn changes_and_effective_configurations_keep_their_json() {
+fn changes_and_effective_configurations_encode_to_the_json_of_the_fixture() {
     let effective =
         EffectiveConfiguration::intersect(version().configuration(), next_version().configuration());
     let active = [ActiveVersions::Single(41), ActiveVersions::Joint(41, 42), ActiveVersions::Unleased];
