--- a/crates/cluster/src/accounts/audit.rs
+++ b/crates/cluster/src/accounts/audit.rs
@@ -6,20 +6,20 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What the files of a folder of accounts say of how they were written.
+/// The result of an audit of a folder of accounts, for checks that each account was written once and in order.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct AccountAudit {
-    /// Files.
+    /// Number of files.
     pub steps: usize,
-    /// Steps, or a period's revisions, that are there more than once.
+    /// Number of steps, or of a period's revisions, that occur more than once.
     pub duplicates: usize,
-    /// Files that a lease holder wrote after a newer one had written.
+    /// Number of files that a lease holder wrote after a newer one had written.
     pub by_stale_holders: usize,
-    /// Steps, periods or revisions that are missing between others.
+    /// Number of steps, periods or revisions that are missing between others.
     pub missing: usize,
-    /// The longest time between two files that follow each other.
+    /// Longest time between two consecutive files.
     pub longest_gap: Duration,
-    /// Requests by the newest revision of each period.
+    /// Number of requests, by the newest revision of each period.
     pub calls: u64,
 }
 
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// The folder cannot be read, or a file is no account.
+/// Returns an error if the folder cannot be read or a file does not contain an account.
 pub fn audit_accounts(folder: &Path) -> io::Result<AccountAudit> {
     let mut files = read_files(folder)?;
     let mut audit = AccountAudit { steps: files.len(), ..AccountAudit::default() };
--- a/crates/cluster/src/accounts/files.rs
+++ b/crates/cluster/src/accounts/files.rs
@@ -1,4 +1,4 @@
-//! Files of accounts. A file's name is its period and revision, and it is linked to its name only where that is free.
+//! Files of accounts. A file is named by its period and revision; an existing file is never replaced.
 
 use grebespool_singleton_tasks::{Account, FencingToken};
 use serde::{Deserialize, Serialize};
@@ -14,11 +14,11 @@
 // stored as JSON: do not rename keys
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct AccountFile {
-    /// The step of the journal that fixed the account.
+    /// Number of the journal step that contains the account.
     pub step: u64,
-    /// Of the lease holder that wrote the file: term and number.
+    /// Token of the lease holder that wrote the file: term and number.
     pub token: (u64, u64),
-    /// When it was written, by the wall clock, in milliseconds since 1970.
+    /// Time at which the file was written, by the wall clock, in milliseconds since 1970.
     pub written_ms: u64,
     pub account: Account,
 }
@@ -26,13 +26,13 @@
 /// The result of writing an account's file.
 pub(super) enum WrittenAccount {
     New,
-    /// It was there: whoever wrote it wrote the same.
+    /// The file existed; its content is the same, since the journal determines the account.
     Existing,
-    /// A newer lease holder has been here.
+    /// A newer lease holder, with this token, has left its marker in the folder.
     Fenced(FencingToken),
 }
 
-/// Writes an account's file, unless a newer lease holder has been here or the file is there.
+/// Writes the file of an account, unless a newer lease holder has left its marker or the file exists.
 pub(super) fn write_account(
     folder: &Path,
     token: FencingToken,
@@ -44,6 +44,7 @@
     if newest > token {
         return Ok(WrittenAccount::Fenced(newest));
     }
+    // Accounts of earlier releases have names of this format: do not change.
     let path = folder.join(format!("{:012}-r{}.json", account.period, account.revision));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let written_ms = now.as_millis() as u64;
@@ -51,7 +52,7 @@
     link_new_file(folder, &path, &content)
 }
 
-/// Writes a temporary file and links it to its name. A file that is there is never replaced.
+/// Writes a temporary file and links it to its name, unless a file of that name exists.
 fn link_new_file(folder: &Path, path: &Path, content: &AccountFile) -> io::Result<WrittenAccount> {
     let mut temporary = tempfile::NamedTempFile::new_in(folder)?;
     serde_json::to_writer(&mut temporary, content)?;
@@ -64,7 +65,7 @@
     }
 }
 
-/// Leaves a marker of this lease holder, which replaces those of older ones, and returns the newest that has been here.
+/// Writes a marker of this lease holder, removes the markers of older ones, and returns the newest holder's token.
 fn mark_holder(folder: &Path, token: FencingToken) -> io::Result<FencingToken> {
     let mut newest = token;
     let mut older: Vec<PathBuf> = vec![];
@@ -79,7 +80,7 @@
     if newest == token {
         File::create(folder.join(marker_name(token)))?.sync_all()?;
         for path in older {
-            // Another holder may remove it at the same moment.
+            // Another holder may remove the marker at the same time.
             let _ = fs::remove_file(path);
         }
     }
@@ -91,6 +92,6 @@
 }
 
 fn parse_marker(name: &str) -> Option<FencingToken> {
-    let (epoch, number) = name.strip_prefix(HOLDER_PREFIX)?.split_once('-')?;
-    Some(FencingToken { term: epoch.parse().ok()?, number: number.parse().ok()? })
+    let (term, number) = name.strip_prefix(HOLDER_PREFIX)?.split_once('-')?;
+    Some(FencingToken { term: term.parse().ok()?, number: number.parse().ok()? })
 }
--- a/crates/cluster/src/accounts/mod.rs
+++ b/crates/cluster/src/accounts/mod.rs
@@ -1,7 +1,7 @@
-//! The singleton task of accounts: it closes periods, and writes an account of each as a file.
+//! The singleton task that closes periods and writes an account of each period as a file.
 //!
-//! The journal fixes an account before its file is written, so that a lease holder that is late writes the same file as the
-//! next one, or none.
+//! An account is written to the journal before its file is written, so that a delayed lease holder writes the same file as
+//! the next holder, or no file.
 
 mod audit;
 mod files;
@@ -18,14 +18,14 @@
 use tokio::time::{Instant, sleep};
 use tracing::{info, warn};
 
-/// A period is looked at so often within its length, within these bounds.
+/// Number of checks in a period for one that can be closed; the interval between checks is within the bounds below.
 const CHECKS_PER_PERIOD: u32 = 8;
 const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Between two attempts to write an account's file.
+/// Delay before a failed write of an account's file is retried.
 const FILE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A request for the counts of a period.
+/// A request to all members for the counts of a period.
 struct CountRequest {
     token: FencingToken,
     period: u64,
@@ -38,7 +38,7 @@
     settings: AccountSettings,
     task: TaskId,
     request: Option<CountRequest>,
-    /// A write failed, and that was logged.
+    /// True if the last write failed and the failure was logged.
     failure_logged: bool,
 }
 
@@ -47,7 +47,7 @@
         PeriodCloser { core, settings, task, request: None, failure_logged: false }
     }
 
-    /// Runs until it is dropped.
+    /// Closes periods until the future is dropped.
     pub(crate) async fn run(mut self) {
         let core = self.core.clone();
         let Some(host) = &core.tasks else { return };
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Takes the next step, if this member may.
+    /// Takes the next step, if this member holds the lease and the journal accepts a step.
     async fn proceed(&mut self, host: &TaskHost) {
         let Some(Continuation { token, last }) = host.continuation(self.task) else { return };
         if host.token(self.core.now(), self.task) != Some(token) {
@@ -74,21 +74,22 @@
         }
     }
 
-    /// Writes the file of an account that the journal has fixed.
+    /// Writes the file of the account in the journal's last step, and completes the step.
     async fn finish_step(&mut self, token: FencingToken, record: &StepRecord) {
         let Some(account) = ledger_of(record).and_then(|ledger| ledger.account) else {
-            warn!(step = record.step, "cannot read a step of the accounts; leaving it as it is");
+            warn!(step = record.step, "cannot read a step of the accounts; leaving the step unfinished");
             return sleep(self.settings.slack).await;
         };
         match self.write_file(token, record.step, account).await {
             Ok(WrittenAccount::Fenced(seen)) => {
+                // Tests of `grebespool-cli` match this text.
                 warn!(%token, %seen, "stops writing accounts: a newer lease holder has written");
                 let task = self.task;
                 self.core.call_tasks(|tasks, now| tasks.fenced(now, task, token, seen));
             }
             Ok(written) => {
                 if matches!(written, WrittenAccount::Existing) {
-                    info!(step = record.step, "finds an account's file that was written before");
+                    info!(step = record.step, "skipping an account's file that was written before");
                 }
                 self.failure_logged = false;
                 let task = self.task;
@@ -115,15 +116,15 @@
         written.unwrap_or_else(|panicked| Err(io::Error::other(panicked)))
     }
 
-    /// Closes the next period that is over, once all members have reported their counts or the slack has passed.
+    /// Closes the next ended period, once all members have reported their counts or the slack has passed.
     async fn close_next_period(&mut self, host: &TaskHost, token: FencingToken, last: Option<&StepRecord>) {
-        let over = host.period(self.settings.slack).unwrap_or(0);
+        let current = host.period(self.settings.slack).unwrap_or(0);
         let ledger = match last {
             Some(record) => ledger_of(record),
-            // The first account of a fleet is of the last period that is over.
-            None => Some(Ledger::starting_at(over.saturating_sub(1))),
+            // The first account of a fleet is of the last ended period.
+            None => Some(Ledger::starting_at(current.saturating_sub(1))),
         };
-        let Some(ledger) = ledger.filter(|ledger| ledger.next < over) else { return };
+        let Some(ledger) = ledger.filter(|ledger| ledger.next < current) else { return };
         let voters = self.core.voters();
         let known = self.request.as_ref();
         let Some(request) = known.filter(|request| (request.token, request.period) == (token, ledger.next))
@@ -134,18 +135,18 @@
         if !complete && request.sent.elapsed() < self.settings.slack {
             return;
         }
-        let step = ledger.next_step(over, &voters, &host.counts.borrow());
+        let step = ledger.next_step(current, &voters, &host.counts.borrow());
         let Some(content) = step.and_then(|ledger| postcard::to_stdvec(&ledger).ok()) else { return };
         if content.len() > MAX_STEP_BYTES {
             let (bytes, max_bytes) = (content.len(), MAX_STEP_BYTES);
-            warn!(bytes, max_bytes, "cannot write an account with so many zones and routes; it stays open");
+            warn!(bytes, max_bytes, "cannot write an account that is too large; leaving the period open");
             return sleep(self.settings.slack).await;
         }
         let task = self.task;
         self.core.write_task_step(task, |tasks, now| tasks.begin_step(now, task, content));
     }
 
-    /// Asks all members for their counts. Only what they report after the period's end is complete.
+    /// Requests the counts of all members. Only counts that are reported after the period's end are complete.
     fn request_counts(&mut self, host: &TaskHost, token: FencingToken, ledger: &Ledger) {
         host.counts.borrow_mut().clear();
         self.request = Some(CountRequest { token, period: ledger.next, sent: Instant::now() });
--- a/crates/cluster/src/client.rs
+++ b/crates/cluster/src/client.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a request.
+//! The client that sends requests of operators to a member.
 
 use crate::keys::Keys;
 use crate::request::{Request, Response};
@@ -7,16 +7,16 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a request may take.
+/// Maximum duration of a request, connecting included.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 /// The name that operators introduce themselves with.
 const OPERATOR_NAME: &str = "operator";
 
-/// Sends a request to the member at an address, on behalf of an operator who holds the key.
+/// Sends a request to the member at an address, on behalf of an operator who has the key.
 ///
 /// # Errors
 ///
-/// The stream fails, the member rejects it, or it takes longer than ten seconds.
+/// Returns an error if the stream fails, the member rejects the stream, or the request takes longer than ten seconds.
 pub async fn send_request(
     address: &str,
     fleet: u64,
--- a/crates/cluster/src/commands/configuration.rs
+++ b/crates/cluster/src/commands/configuration.rs
@@ -1,4 +1,4 @@
-//! Commands on the shared configuration.
+//! Commands for the shared configuration.
 
 use crate::core::Core;
 use crate::request::{ConfigurationStatus, Response};
@@ -7,10 +7,10 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long an operator waits for the outcome of a proposal. Without a quorum nothing is decided, and the proposal stays.
+/// Maximum time that an operator waits for the outcome of a proposal. Without a quorum the proposal stays undecided.
 const OUTCOME_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The configuration versions of this member.
+/// Returns the configuration versions of this member.
 pub(super) fn show(core: &Core) -> Response {
     let Some(host) = &core.configuration else { return not_configured() };
     let node = host.node.borrow();
@@ -34,8 +34,8 @@
     let proposed = core.call_configuration(|node, now| {
         let proposed = node.propose(now, changes, forced);
         if let Ok(id) = &proposed {
-            // Here, since the outcome may be known before this call returns.
-            host.waiting.borrow_mut().insert(*id, decided);
+            // Inserted within the call, since the outcome may be known before `call_configuration` returns.
+            host.outcome_senders.borrow_mut().insert(*id, decided);
         }
         proposed
     });
@@ -48,12 +48,12 @@
         Ok(Ok(ProposalOutcome::Activated(number))) => Response::Done(format!("edition {number} holds")),
         Ok(Ok(ProposalOutcome::Rejected(reasons))) => Response::Rejected(reasons.join("; ")),
         _ => Response::Rejected(format!(
-            "nothing is agreed yet after {OUTCOME_TIMEOUT:?}; it is proposed again until it is answered, while this \
-             member runs"
+            "the proposal is not decided after {OUTCOME_TIMEOUT:?}; this member retransmits the proposal until the decision, \
+             while it runs"
         )),
     }
 }
 
 fn not_configured() -> Response {
-    Response::Rejected("no editions are agreed on: members.duties.agree is not set".into())
+    Response::Rejected("there are no editions: members.duties.agree is not set".into())
 }
--- a/crates/cluster/src/commands/election.rs
+++ b/crates/cluster/src/commands/election.rs
@@ -1,10 +1,10 @@
-//! Commands on the members and their election.
+//! Commands for the members and their election.
 
 use crate::core::Core;
 use crate::request::{MemberStatus, Response};
 use grebespool_leader_election::{MemberId, MemberRole, MembershipError, Voter};
 
-/// The state of this member and its election.
+/// Returns the state of this member and its election.
 pub(super) fn show(core: &Core) -> Response {
     let now = core.now();
     let status = core.election.borrow().status(now);
@@ -38,11 +38,11 @@
     }
 }
 
-/// Adds the member of this name, if it listens at this address.
+/// Adds a member, if the member with this name listens at this address.
 pub(super) async fn add(core: &Core, name: String, address: String) -> Response {
     let id = match core.endpoint.connect(&address).await {
-        Ok((stream, there)) if there == name => stream.peer,
-        Ok((_, there)) => return Response::Rejected(format!("{there} is at {address}, not {name}")),
+        Ok((stream, found)) if found == name => stream.peer,
+        Ok((_, found)) => return Response::Rejected(format!("{found} is at {address}, not {name}")),
         Err(error) => return Response::Rejected(format!("{address}: {error}")),
     };
     let done = format!("{name} takes part");
@@ -55,7 +55,7 @@
     respond(removed, format!("{name} takes no part any more"))
 }
 
-/// Has this member step down, where it leads.
+/// Makes this member step down, if it leads.
 pub(super) fn step_down(core: &Core) -> Response {
     respond(core.call_election(|election, now| election.step_down(now)), "it stands down".into())
 }
@@ -63,6 +63,6 @@
 fn respond(result: Result<(), MembershipError>, done: String) -> Response {
     match result {
         Ok(()) => Response::Done(done),
-        Err(refused) => Response::Rejected(refused.to_string()),
+        Err(error) => Response::Rejected(error.to_string()),
     }
 }
--- a/crates/cluster/src/commands/mod.rs
+++ b/crates/cluster/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Answers to the requests of operators.
+//! Answers to the requests of operators. `grebespool-cli` prints the texts of responses, and its tests match some of them.
 
 mod configuration;
 mod election;
--- a/crates/cluster/src/commands/sites.rs
+++ b/crates/cluster/src/commands/sites.rs
@@ -1,4 +1,4 @@
-//! Commands on sites, which whoever plans while this member leads answers.
+//! Commands for sites, which the caller of the crate answers while this member leads.
 
 use crate::core::Core;
 use crate::request::{Request, Response, SiteRequest};
@@ -6,10 +6,10 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long the answer may take.
+/// Maximum time for the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Forwards a request on sites.
+/// Forwards a request about sites to the caller of the crate, and returns the response.
 pub(super) async fn forward(core: &Core, request: Request) -> Response {
     let (response, answer) = oneshot::channel();
     let forwarded = SiteRequest { request, response };
@@ -19,7 +19,7 @@
     match timeout(ANSWER_TIMEOUT, answer).await {
         Ok(Ok(response)) => response,
         _ => Response::Rejected(
-            "it stopped leading before it could answer; nothing is known to have changed".into(),
+            "this member stopped leading before the answer; the request may not have been executed".into(),
         ),
     }
 }
--- a/crates/cluster/src/commands/tasks.rs
+++ b/crates/cluster/src/commands/tasks.rs
@@ -1,4 +1,4 @@
-//! Commands on singleton tasks.
+//! Commands for singleton tasks.
 
 use crate::core::Core;
 use crate::request::{Response, TaskOrder};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why an order is not carried out.
+/// Reasons why an order is not executed.
 #[derive(Debug, Error)]
 enum OrderError {
     #[error("no member {0:?}")]
@@ -16,20 +16,20 @@
     #[error("no member {0:?} that renews its duties")]
     MemberWithoutLease(String),
     #[error(transparent)]
-    Refused(TaskError),
+    Rejected(TaskError),
 }
 
-/// Who holds the lease of which task.
+/// Returns the lease holder of each task, and the messages of stale holders that were rejected.
 pub(super) fn show(core: &Core) -> Response {
     let Some(host) = &core.tasks else { return not_configured() };
     let (now, tasks) = (core.now(), host.tasks.borrow());
     let Some(all) = tasks.task_statuses() else {
         return Response::Rejected("this member does not lead".into());
     };
-    let FencingStats { last: late, rejected: refused } = tasks.fencing_stats();
-    let count = format!("words of former owners refused here since the start: {refused}");
+    let FencingStats { last, rejected } = tasks.fencing_stats();
+    let count = format!("words of former owners refused here since the start: {rejected}");
     let mut lines: Vec<String> = all.iter().map(|task| task_line(core, host, now, task)).collect();
-    lines.extend(late.map(|late| stale_holder_line(core, host, now, &late)));
+    lines.extend(last.map(|stale| stale_holder_line(core, host, now, &stale)));
     lines.push(count);
     Response::Lines(lines)
 }
@@ -44,36 +44,36 @@
     if let Some(until) = task.suspended_until {
         line += &format!(", rests for {:.0} s more", until.saturating_sub(now).as_secs_f64());
     }
-    if let Some(wanted) = task.preferred {
-        line += &format!(", wanted at {}", core.member_name(wanted));
+    if let Some(preferred) = task.preferred {
+        line += &format!(", wanted at {}", core.member_name(preferred));
     }
     line
 }
 
-fn stale_holder_line(core: &Core, host: &TaskHost, now: Duration, late: &StaleHolder) -> String {
-    let ago = now.saturating_sub(late.at).as_secs_f64();
-    let (task, from) = (host.name(late.task), core.member_name(late.from));
+fn stale_holder_line(core: &Core, host: &TaskHost, now: Duration, stale: &StaleHolder) -> String {
+    let ago = now.saturating_sub(stale.at).as_secs_f64();
+    let (task, from) = (host.name(stale.task), core.member_name(stale.from));
     format!(
         "last refused here: {from} for {task} by token {}, after {} ({ago:.1} s ago)",
-        late.token, late.highest_token
+        stale.token, stale.highest_token
     )
 }
 
-/// Carries out an order on the task of this name.
+/// Executes an order on the task with this name.
 pub(super) fn order(core: &Core, name: &str, order: &TaskOrder) -> Response {
     let Some(host) = &core.tasks else { return not_configured() };
     let Some(task) = host.find(name) else {
         let known = host.names().join(", ");
         return Response::Rejected(format!("no duty {name:?}; there are {known}"));
     };
-    match core.call_tasks(|tasks, now| carry_out(core, tasks, now, task, order)) {
+    match core.call_tasks(|tasks, now| execute(core, tasks, now, task, order)) {
         Some(Ok(())) => Response::Done(done_text(name, order)),
         Some(Err(error)) => Response::Rejected(error.to_string()),
-        None => Response::Rejected("no work is shared out".into()),
+        None => Response::Rejected("there are no duties".into()),
     }
 }
 
-fn carry_out(
+fn execute(
     core: &Core,
     tasks: &mut TaskManager<TaskRecorder>,
     now: Duration,
@@ -83,16 +83,16 @@
     match order {
         TaskOrder::Move(to) => {
             let id = find_member(core, to).ok_or_else(|| OrderError::UnknownMember(to.clone()))?;
-            tasks.move_task(now, task, id).map_err(|refused| match refused {
+            tasks.move_task(now, task, id).map_err(|error| match error {
                 TaskError::UnknownMember => OrderError::MemberWithoutLease(to.clone()),
-                refused => OrderError::Refused(refused),
+                error => OrderError::Rejected(error),
             })
         }
         TaskOrder::Suspend(milliseconds) => {
             let span = Duration::from_millis(*milliseconds);
-            tasks.suspend(now, task, span).map_err(OrderError::Refused)
+            tasks.suspend(now, task, span).map_err(OrderError::Rejected)
         }
-        TaskOrder::Release => tasks.release(now, task).map_err(OrderError::Refused),
+        TaskOrder::Release => tasks.release(now, task).map_err(OrderError::Rejected),
     }
 }
 
@@ -113,5 +113,5 @@
 }
 
 fn not_configured() -> Response {
-    Response::Rejected("no work is shared out: members.duties is not set".into())
+    Response::Rejected("there are no duties: members.duties is not set".into())
 }
--- a/crates/cluster/src/configuration_host.rs
+++ b/crates/cluster/src/configuration_host.rs
@@ -1,4 +1,4 @@
-//! The shared configuration of a member, and what it asks for during a call.
+//! The shared configuration of a member, and the requests that it makes during a call.
 
 use crate::store::Store;
 use grebespool_config_consensus::{
@@ -13,27 +13,27 @@
 use tokio::sync::{Notify, oneshot};
 use tracing::{info, warn};
 
-/// The limits that this program knows, by their names in configurations (`docs/operators/editions.md`).
+/// Names in configurations of the limits that this program knows (`docs/operators/editions.md`).
 pub const LIMITS: [&str; 2] = ["power.most_withdrawn", "power.reserve"];
 
-/// A step of the configuration's journal to be written.
+/// A step to be written to the configuration's journal.
 pub(crate) struct JournalWrite {
     pub token: FencingToken,
     pub content: Vec<u8>,
 }
 
-/// What the configuration asks for during a call.
+/// The requests that the configuration makes during a call.
 #[derive(Default)]
 pub(crate) struct ConfigurationRequests {
     pub outbox: Vec<(MemberId, Message)>,
-    /// The newest state to be written, and its stamp.
+    /// The newest state to be written, with its stamp.
     pub persist: Option<(StoredState, u64)>,
     pub journal_write: Option<JournalWrite>,
     pub finish_journal_step: bool,
     pub decided: Vec<(ProposalId, ProposalOutcome)>,
 }
 
-/// Collects what the configuration asks for.
+/// Collects the requests of the configuration.
 #[derive(Default)]
 pub(crate) struct ConfigurationRecorder(pub ConfigurationRequests);
 
@@ -51,7 +51,7 @@
         self.0.finish_journal_step = true;
     }
     fn active_versions_changed(&mut self, active: ActiveVersions) {
-        info!(%active, "applies other configuration versions");
+        info!(%active, "applying other configuration versions");
     }
     fn proposal_decided(&mut self, id: ProposalId, outcome: ProposalOutcome) {
         self.0.decided.push((id, outcome));
@@ -64,18 +64,18 @@
 /// The shared configuration of one member.
 pub(crate) struct ConfigurationHost {
     pub node: RefCell<ConsensusNode<ConfigurationRecorder>>,
-    /// Its timer may have changed.
+    /// Notified when the node's timer may have changed.
     pub timer: Notify,
-    /// Operators that wait for the outcome of a proposal.
-    pub waiting: RefCell<BTreeMap<ProposalId, oneshot::Sender<ProposalOutcome>>>,
+    /// Channels to the operators that wait for the outcome of a proposal.
+    pub outcome_senders: RefCell<BTreeMap<ProposalId, oneshot::Sender<ProposalOutcome>>>,
 }
 
 impl ConfigurationHost {
-    /// Starts with what the state folder has.
+    /// Creates the configuration with the versions in the state folder.
     ///
     /// # Errors
     ///
-    /// The database cannot be read.
+    /// Returns an error if the database cannot be read.
     pub(crate) fn open(
         store: &Store,
         own: MemberId,
@@ -87,6 +87,10 @@
         })?;
         let recorder = ConfigurationRecorder::default();
         let node = ConsensusNode::new(recorder, own, settings, stored, start_count);
-        Ok(ConfigurationHost { node: RefCell::new(node), timer: Notify::new(), waiting: RefCell::default() })
+        Ok(ConfigurationHost {
+            node: RefCell::new(node),
+            timer: Notify::new(),
+            outcome_senders: RefCell::default(),
+        })
     }
 }
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a running member share.
+//! The state that the loops of a running member share.
 
 use crate::configuration_host::ConfigurationHost;
 use crate::election_host::ElectionHost;
@@ -16,43 +16,43 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::Instant;
 
-/// A leader's snapshot, and when it was received.
+/// A leader's snapshot, and the time at which it was received.
 pub(crate) struct TimedSnapshot {
     pub snapshot: Snapshot,
     pub received: Instant,
 }
 
-/// The state of a running member, shared by its tasks on one thread.
+/// The state of a running member, shared by its loops on one thread.
 ///
-/// Each state machine is in a cell of its own. A cell is borrowed for one call and never across an `await` or while another
-/// state machine is called: a call collects what it asks for, the borrow ends, and `dispatch` carries it out.
+/// Each state machine is in its own cell. A cell is borrowed for one call, and never across an `await` or while another state
+/// machine is called: the call collects its requests, the borrow ends, and `dispatch` executes the requests.
 pub(crate) struct Core {
     pub started: Instant,
     pub endpoint: Rc<LocalEndpoint>,
     pub election: RefCell<Election<ElectionHost>>,
-    /// The election's timer may have changed.
+    /// Notified when the election's timer may have changed.
     pub election_timer: Notify,
-    /// Singleton tasks, where the settings name some.
+    /// Singleton tasks, if the settings contain them.
     pub tasks: Option<TaskHost>,
-    /// The shared configuration, where the settings name it.
+    /// The shared configuration, if the settings contain it.
     pub configuration: Option<ConfigurationHost>,
-    /// A link to each other member of the membership.
+    /// Links to the other members of the membership.
     pub links: RefCell<BTreeMap<MemberId, PeerLink>>,
-    /// The newest snapshot of a leader.
+    /// The newest known snapshot of a leader.
     pub snapshot: RefCell<Option<TimedSnapshot>>,
-    /// Learnt weights of a snapshot lose their influence over this time.
+    /// Time over which learnt weights of a snapshot lose their influence.
     pub weights_lifetime: Duration,
-    /// Answers requests on sites while this member leads.
+    /// Channel to the receiver that answers requests about sites while this member leads.
     pub site_requests: RefCell<Option<mpsc::UnboundedSender<SiteRequest>>>,
 }
 
 impl Core {
-    /// The time since the start, by the local monotonic clock.
+    /// Returns the time since the start, by the local monotonic clock.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The name of a member, or its id where it is not in the membership.
+    /// Returns the name of a member, or its id if the member is not in the membership.
     pub(crate) fn member_name(&self, id: MemberId) -> String {
         let election = self.election.borrow();
         election
@@ -63,17 +63,17 @@
             .map_or(format!("{id:016x}"), |voter| voter.name.clone())
     }
 
-    /// The ids of all members of the membership.
+    /// Returns the ids of all members of the membership.
     pub(crate) fn voters(&self) -> Vec<MemberId> {
         self.election.borrow().hard_state().membership.voters.keys().copied().collect()
     }
 
-    /// Opens a link to each other member of the membership, and closes the links to members that are out of it.
+    /// Opens links to new members of the membership, and closes links to members that are no longer in it.
     pub(crate) fn update_links(&self) {
         let others: Vec<(MemberId, Voter)> = {
             let election = self.election.borrow();
-            let kept = election.hard_state();
-            let others = kept.membership.voters.iter().filter(|(id, _)| **id != kept.id);
+            let state = election.hard_state();
+            let others = state.membership.voters.iter().filter(|(id, _)| **id != state.id);
             others.map(|(id, voter)| (*id, voter.clone())).collect()
         };
         let mut links = self.links.borrow_mut();
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Keeps a received snapshot, if it is the newest.
+    /// Stores a received snapshot, if it is newer than the known one.
     pub(crate) fn accept_snapshot(&self, received: ReceivedSnapshot) {
         let ReceivedSnapshot { snapshot, bytes } = received;
         let order = snapshot.order();
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Writes a snapshot of this leader, and sends it to all others.
+    /// Writes a snapshot of this leader to disk, and sends it to all other members.
     pub(crate) fn publish_snapshot(&self, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         let (order, bytes) = (snapshot.order(), Rc::new(snapshot.encode()?));
         self.election.borrow_mut().host().disk.write_snapshot(order, bytes.to_vec());
@@ -106,14 +106,14 @@
         Ok(())
     }
 
-    /// The newest snapshot, as far as it still holds.
+    /// Returns the newest snapshot without the parts that are outdated by its age.
     pub(crate) fn aged_snapshot(&self) -> Option<Box<Snapshot>> {
         let known = self.snapshot.borrow();
         let TimedSnapshot { snapshot, received } = known.as_ref()?;
         Some(Box::new(snapshot.aged(received.elapsed(), self.weights_lifetime)))
     }
 
-    /// Counts requests of a zone and route in this period.
+    /// Counts requests of a zone and a route in the current period.
     pub(crate) fn count_requests(&self, zone: u16, route: u8, counts: Counts) {
         let Some(host) = &self.tasks else { return };
         let Some(period) = host.period(Duration::ZERO) else { return };
--- a/crates/cluster/src/dispatch.rs
+++ b/crates/cluster/src/dispatch.rs
@@ -1,7 +1,8 @@
-//! Calls of the three state machines, and what follows from each call: a call of one may lead to calls of the others.
+//! Calls of the three state machines, and execution of the requests that each call makes. A call of one state machine may
+//! lead to calls of the others.
 //!
-//! The election tells tasks and the configuration who takes part. The owner of the task `editions` coordinates the
-//! configuration, whose journal is that task's.
+//! The election determines the members for the tasks and the configuration. The owner of the task `editions` coordinates the
+//! configuration, and the journal of that task is the journal of the configuration.
 
 use crate::configuration_host::{
     ConfigurationHost, ConfigurationRecorder, ConfigurationRequests, JournalWrite,
@@ -20,7 +21,7 @@
 use tracing::info;
 
 impl Core {
-    /// Calls the election at this time, and carries out what it asks for.
+    /// Calls the election at the current time, and executes its requests.
     pub(crate) fn call_election<T>(
         &self,
         call: impl FnOnce(&mut Election<ElectionHost>, Duration) -> T,
@@ -49,11 +50,11 @@
     fn start_leading(&self, term: u64) {
         let snapshot = self.aged_snapshot();
         let order = snapshot.as_ref().map(|snapshot| snapshot.order());
-        info!(term, snapshot = ?order, "starts to lead");
+        info!(term, snapshot = ?order, "starting to lead");
         self.election.borrow_mut().host().role.send_replace(Role::Leader { term, snapshot });
     }
 
-    /// Tells tasks and the configuration who takes part and who leads.
+    /// Notifies the tasks of the members and the leader, and the configuration of the members.
     pub(crate) fn update_voters(&self) {
         let election = {
             let member = self.election.borrow();
@@ -68,7 +69,7 @@
         self.call_configuration(|node, now| node.set_voters(now, configuration_voters));
     }
 
-    /// Calls the tasks at this time, and carries out what they ask for. None where there are no tasks.
+    /// Calls the tasks at the current time, and executes their requests. Returns `None` if there are no tasks.
     pub(crate) fn call_tasks<T>(
         &self,
         call: impl FnOnce(&mut TaskManager<TaskRecorder>, Duration) -> T,
@@ -79,11 +80,11 @@
             let returned = call(&mut tasks, self.now());
             (returned, std::mem::take(&mut tasks.host().requests))
         };
-        self.carry_out_task_requests(host, requests);
+        self.execute_task_requests(host, requests);
         Some(returned)
     }
 
-    /// Writes a step of a task's journal. Returns whether the step was written; None where there are no tasks.
+    /// Writes a step of a task's journal. Returns true if the step was started, and `None` if there are no tasks.
     pub(crate) fn write_task_step(
         &self,
         task: TaskId,
@@ -92,14 +93,14 @@
         self.call_tasks(|tasks, now| write_step(tasks, task, |tasks| write(tasks, now)))
     }
 
-    fn carry_out_task_requests(&self, host: &TaskHost, requests: TaskRequests) {
+    fn execute_task_requests(&self, host: &TaskHost, requests: TaskRequests) {
         let TaskRequests { outbox, writes, complete, reports, changes, durable } = requests;
         changes.iter().for_each(|change| log_ownership(host, change));
         self.write_entries(host, writes, complete);
         for (to, message) in outbox {
             self.send_task_packet(to, Packet::Task(message));
         }
-        // Not with every call: work that asks something of tasks would wake itself.
+        // Notified only on progress: the waiting work calls the tasks too, and would otherwise wake itself without end.
         if !durable.is_empty() || !reports.is_empty() {
             host.progress.notify_one();
         }
@@ -108,7 +109,7 @@
         }
         host.timer.notify_one();
         let Some(task) = host.configuration_task() else { return };
-        if changes.iter().any(|change| change.task == task && change.lost.is_some()) {
+        if changes.iter().any(|change| change.task == task && change.loss_reason.is_some()) {
             self.call_configuration(|node, now| node.stop_coordinating(now));
         }
         for step in durable.into_iter().filter(|step| step.task == task) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Tells the configuration of a durable step of its journal.
+    /// Notifies the configuration of a durable step of its journal.
     fn continue_configuration(&self, step: DurableStep) {
         let DurableStep { token, record, first, .. } = step;
         self.call_configuration(|node, now| match record {
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Calls the configuration at this time, and carries out what it asks for. None where there is none.
+    /// Calls the configuration at the current time, and executes its requests. Returns `None` if there is no shared
+    /// configuration.
     pub(crate) fn call_configuration<T>(
         &self,
         call: impl FnOnce(&mut ConsensusNode<ConfigurationRecorder>, Duration) -> T,
@@ -156,11 +158,11 @@
             let returned = call(&mut node, now);
             (returned, std::mem::take(&mut node.host().0))
         };
-        self.carry_out_configuration_requests(host, task, requests);
+        self.execute_configuration_requests(host, task, requests);
         Some(returned)
     }
 
-    fn carry_out_configuration_requests(
+    fn execute_configuration_requests(
         &self,
         host: &ConfigurationHost,
         task: TaskId,
@@ -173,8 +175,9 @@
             self.send_task_packet(to, Packet::Configuration(message));
         }
         for (id, outcome) in requests.decided {
-            if let Some(waiting) = host.waiting.borrow_mut().remove(&id) {
-                let _ = waiting.send(outcome);
+            if let Some(sender) = host.outcome_senders.borrow_mut().remove(&id) {
+                // The operator may no longer wait for the outcome.
+                let _ = sender.send(outcome);
             }
         }
         if let Some(JournalWrite { token, content }) = requests.journal_write {
@@ -195,10 +198,10 @@
 }
 
 fn log_ownership(host: &TaskHost, change: &OwnershipChange) {
-    let OwnershipChange { task, token, lost } = change;
+    let OwnershipChange { task, token, loss_reason } = change;
     let task = host.name(*task);
-    match lost {
-        None => info!(task, %token, "acquires the lease of a singleton task"),
-        Some(why) => info!(task, %token, %why, "loses the lease of a singleton task"),
+    match loss_reason {
+        None => info!(task, %token, "acquiring the lease of a singleton task"),
+        Some(why) => info!(task, %token, %why, "losing the lease of a singleton task"),
     }
 }
--- a/crates/cluster/src/election_host.rs
+++ b/crates/cluster/src/election_host.rs
@@ -1,4 +1,4 @@
-//! What the leader election asks for during a call.
+//! The host of the leader election, and the requests that the election makes during a call.
 
 use crate::writer::DiskWriter;
 use grebespool_leader_election::{
@@ -7,22 +7,22 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// What this member does for the fleet.
+/// The role of this member in the fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Role {
-    /// It leads in this term, and starts with the last leader's snapshot, as far as that still holds.
+    /// The member leads in this term, and starts with the parts of the last leader's snapshot that are not outdated.
     Leader {
         /// The term.
         term: u64,
         /// The snapshot.
         snapshot: Option<Box<Snapshot>>,
     },
-    /// It follows, and orders nothing.
+    /// The member follows, and must not send orders to proxies.
     Follower,
 }
 
 impl Role {
-    /// Its name, for logs.
+    /// Returns the name of the role, for logs.
     pub fn name(&self) -> &'static str {
         match self {
             Role::Leader { .. } => "leader",
@@ -31,12 +31,12 @@
     }
 }
 
-/// Collects messages, and hands the rest on at once.
+/// The host of the election: collects messages and a won election, and executes other requests at once.
 pub(crate) struct ElectionHost {
     pub disk: DiskWriter,
     pub outbox: Vec<(MemberId, Message)>,
     pub role: watch::Sender<Role>,
-    /// The term in which this member was elected during the call.
+    /// The term in which this member was elected during the current call.
     pub elected: Option<u64>,
 }
 
@@ -47,8 +47,8 @@
 }
 
 impl Host for ElectionHost {
-    fn persist(&mut self, kept: &HardState) {
-        self.disk.write_election(kept.clone());
+    fn persist(&mut self, state: &HardState) {
+        self.disk.write_election(state.clone());
     }
     fn send(&mut self, to: MemberId, message: Message) {
         self.outbox.push((to, message));
@@ -57,7 +57,7 @@
         self.elected = Some(term);
     }
     fn step_down(&mut self, term: u64, reason: StepDownReason) {
-        warn!(term, %reason, "steps down as leader");
+        warn!(term, %reason, "stepping down as leader");
         self.elected = None;
         self.role.send_replace(Role::Follower);
     }
--- a/crates/cluster/src/endpoint.rs
+++ b/crates/cluster/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! This member's side of all its streams: identity, keys, and the count of rejected peers.
+//! The data that all streams of this member use: identity, keys, and the count of rejections.
 
 use crate::keys::{KeyFile, Keys};
 use crate::transport::{AuthenticatedStream, Identity, TransportError};
@@ -9,10 +9,10 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// How long opening or accepting a stream may take, introductions included.
+/// Maximum time for opening or accepting a stream, introductions included.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a stream needs to know of this member.
+/// The data of this member that its streams use.
 pub(crate) struct LocalEndpoint {
     pub identity: Identity,
     pub name: String,
@@ -28,33 +28,34 @@
         LocalEndpoint { identity, name: name.into(), keys, stamp, rejections }
     }
 
-    /// The keys that are in force now.
+    /// Reads the key file again, and returns the current keys.
     pub(crate) fn keys(&self) -> Keys {
         self.keys.borrow_mut().reload()
     }
 
-    /// The stamp of this member's election state.
+    /// Returns the stamp of this member's election state.
     pub(crate) fn stamp(&self) -> u64 {
         self.stamp.get()
     }
 
-    /// To be called whenever the election state changes.
+    /// Sets the stamp; must be called whenever the election state changes.
     pub(crate) fn set_stamp(&self, stamp: u64) {
         self.stamp.set(stamp);
     }
 
-    /// Peers and frames that were rejected since the start.
+    /// Returns the number of rejections since the start: peers, frames, and peers that rejected this member.
     pub(crate) fn rejections(&self) -> u64 {
         self.rejections.get()
     }
 
-    /// Counts and logs a peer that is rejected, or that rejects this member.
+    /// Counts and logs that a peer is rejected, or that the peer rejects this member.
     pub(crate) fn log_rejection(&self, peer: &str, error: &TransportError) {
         self.rejections.set(self.rejections.get() + 1);
-        warn!(peer, %error, rejections = self.rejections.get(), "rejects a peer, or is rejected by it");
+        let rejections = self.rejections.get();
+        warn!(peer, %error, rejections, "closing a stream after a rejection by this member or its peer");
     }
 
-    /// Opens a stream to the member with this id; anybody else at its address is rejected.
+    /// Opens a stream to the member with this id; rejects any other member at that address.
     pub(crate) async fn connect_to(
         &self,
         id: MemberId,
@@ -67,7 +68,7 @@
         Ok(stream)
     }
 
-    /// Opens a stream to whoever listens at an address, and returns the name that it says.
+    /// Opens a stream to the member that listens at an address, and also returns the name that the member sends.
     pub(crate) async fn connect(
         &self,
         address: &str,
--- a/crates/cluster/src/keys.rs
+++ b/crates/cluster/src/keys.rs
@@ -1,4 +1,4 @@
-//! The keys that members share, in a file that may change while they run.
+//! The keys that members share, in a file that may change while members run.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -7,20 +7,21 @@
 
 const MIN_KEY_BYTES: usize = 16;
 const MAX_KEYS: usize = 3;
-// On the wire: do not rename.
+// Fed to the hash; the results are on the wire: do not change.
 const KEY_CONTEXT: &str = "grebespool 2026 members' key";
 const KEY_ID_MESSAGE: &[u8] = b"which key is meant";
 
-/// Why a key file cannot be used.
+/// Reasons why a key file cannot be used.
+// tests of `grebespool-cli` match parts of some texts
 #[derive(Debug, Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It holds no keys, or too many.
-    #[error("{0} keys; 1 to {MAX_KEYS} are expected, a line each")]
+    /// The file contains no keys, or too many.
+    #[error("the file has {0} keys; expected 1 to {MAX_KEYS}, one per line")]
     Count(usize),
-    /// A key is too short. The line counts from one.
+    /// A key is too short; the value is its line number, from one.
     #[error("line {0}: a key has at least {MIN_KEY_BYTES} bytes")]
     TooShort(usize),
 }
@@ -34,17 +35,17 @@
     }
 }
 
-/// One to three keys. The first authenticates what this member sends, and all are accepted. To rotate: add the new key as
-/// the second line everywhere, then make it the first line everywhere, then remove the old one.
+/// One to three keys. This member connects with the first key, and accepts all of them. To rotate keys: add the new key as
+/// the second line on all members, then make it the first line on all members, then remove the old key.
 #[derive(Clone)]
 pub struct Keys(Vec<[u8; 32]>);
 
 impl Keys {
-    /// Reads keys from a file, a line each.
+    /// Reads keys from a file, one per line.
     ///
     /// # Errors
     ///
-    /// The file cannot be read, holds no keys or too many, or one is too short.
+    /// Returns an error if the file cannot be read, contains no keys or too many, or if a key is too short.
     pub fn read(path: &Path) -> Result<Keys, KeyFileError> {
         let text = std::fs::read(path)?;
         let lines = text.split(|byte| *byte == b'\n').map(<[u8]>::trim_ascii);
@@ -58,24 +59,24 @@
         Ok(Keys(lines.into_iter().map(|line| blake3::derive_key(KEY_CONTEXT, line)).collect()))
     }
 
-    /// The key that this member authenticates with.
+    /// Returns the key with which this member opens connections.
     pub fn first(&self) -> &[u8; 32] {
         &self.0[0]
     }
 
-    /// The id of a key, which tells nothing of the key itself.
+    /// Returns the id of a key, which does not reveal the key.
     pub fn id_of(key: &[u8; 32]) -> [u8; 8] {
         let hash = blake3::keyed_hash(key, KEY_ID_MESSAGE);
         hash.as_bytes().first_chunk::<8>().copied().unwrap_or_default()
     }
 
-    /// The key with this id.
+    /// Returns the key with this id.
     pub fn by_id(&self, id: [u8; 8]) -> Option<&[u8; 32]> {
         self.0.iter().find(|key| Self::id_of(key) == id)
     }
 }
 
-/// A key file that is read anew for each stream. If it cannot be read, the last keys stay in force.
+/// A key file that is read again for each stream. If the file cannot be read, the last keys stay in use.
 pub(crate) struct KeyFile {
     path: PathBuf,
     last: Keys,
@@ -87,7 +88,7 @@
         Ok(KeyFile { path: path.into(), last: Keys::read(path)? })
     }
 
-    /// The keys that are in force now.
+    /// Reads the file again, and returns the current keys.
     pub(crate) fn reload(&mut self) -> Keys {
         match Keys::read(&self.path) {
             Ok(keys) => self.last = keys,
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,12 +1,12 @@
-//! A member of a group of controllers on sockets and disks (`docs/design/leader-election.md`).
+//! A member of a fleet of controllers, with its sockets and its disk (`docs/design/leader-election.md`).
 //!
-//! It runs three state machines and decides nothing itself: the leader election ([`grebespool_leader_election`]), singleton tasks
-//! ([`grebespool_singleton_tasks`]) and the shared configuration ([`grebespool_config_consensus`]). Here are the state folder
-//! ([`Store`]), authenticated streams between members ([`transport`]), the commands of operators, and the tasks that run all
-//! of it on one thread ([`run_member`]).
+//! A member runs three state machines, which make all decisions: the leader election ([`grebespool_leader_election`]),
+//! singleton tasks ([`grebespool_singleton_tasks`]) and the shared configuration ([`grebespool_config_consensus`]). This
+//! crate adds the state folder ([`Store`]), authenticated streams between members ([`transport`]), the commands of operators,
+//! and the loops that run everything on one thread ([`run_member`]).
 //!
-//! It assumes that the caller's `LocalSet` keeps running, and never orders proxies itself: the caller does, while its
-//! [`Role`] says so.
+//! The caller must keep its `LocalSet` running. A member never sends orders to proxies: the caller does, while the member's
+//! [`Role`] is leader.
 
 mod accounts;
 mod client;
--- a/crates/cluster/src/listener.rs
+++ b/crates/cluster/src/listener.rs
@@ -1,4 +1,4 @@
-//! Streams that other members and operators opened.
+//! The accepting side of streams that other members and operators open.
 
 use crate::commands::answer;
 use crate::core::Core;
@@ -12,14 +12,14 @@
 use tokio::time::{sleep, timeout};
 use tracing::warn;
 
-/// A stream on which nothing comes for so long is closed.
+/// Time without a packet after which a stream is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// After an error of accepting, such as too many open files.
+/// Delay after an error of accepting a connection, such as too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The id of operators.
+/// Id with which operators identify themselves.
 const OPERATOR: u64 = 0;
 
-/// Accepts streams until it is dropped, and with it all streams that it accepted.
+/// Accepts streams until the future is dropped, which closes all accepted streams.
 pub(crate) async fn accept_loop(core: Rc<Core>, listener: TcpListener) {
     let mut streams = JoinSet::new();
     loop {
@@ -29,7 +29,7 @@
                     streams.spawn_local(serve(core.clone(), stream, format!("a stream from {from}")));
                 }
                 Err(error) => {
-                    warn!(%error, "cannot accept a connection");
+                    warn!(%error, "cannot accept a connection; retrying");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
@@ -49,7 +49,7 @@
 /// Receives packets until the stream ends.
 async fn receive_loop(core: &Rc<Core>, stream: TcpStream) -> Result<(), TransportError> {
     stream.set_nodelay(true)?;
-    let mut stream = timeout(CONNECT_TIMEOUT, meet(core, stream)).await??;
+    let mut stream = timeout(CONNECT_TIMEOUT, accept_stream(core, stream)).await??;
     let mut snapshot = SnapshotAssembly::default();
     loop {
         let packet = timeout(IDLE_TIMEOUT, stream.receive()).await??;
@@ -58,22 +58,24 @@
                 let response = answer(core, request).await;
                 stream.send(&Packet::Response(response)).await?;
             }
-            packet if stream.peer != OPERATOR => member_packet(core, stream.peer, packet, &mut snapshot)?,
+            packet if stream.peer != OPERATOR => handle_packet(core, stream.peer, packet, &mut snapshot)?,
             _ => return Err(TransportError::UnexpectedPacket),
         }
     }
 }
 
-/// Authenticates a stream, and introduces both sides.
-async fn meet(core: &Core, stream: TcpStream) -> Result<AuthenticatedStream<TcpStream>, TransportError> {
+/// Authenticates a stream and exchanges introductions.
+async fn accept_stream(
+    core: &Core,
+    stream: TcpStream,
+) -> Result<AuthenticatedStream<TcpStream>, TransportError> {
     let endpoint = &core.endpoint;
     let mut stream = AuthenticatedStream::accept(stream, endpoint.identity, &endpoint.keys()).await?;
     let peer = stream.receive_introduction().await?;
     if stream.peer != OPERATOR
-        && let Err(refused) =
-            core.call_election(|election, _| election.peer_connected(stream.peer, peer.stamp))
+        && let Err(error) = core.call_election(|election, _| election.peer_connected(stream.peer, peer.stamp))
     {
-        let reason = refused.to_string();
+        let reason = error.to_string();
         stream.send(&Packet::Rejected(reason.clone())).await?;
         return Err(TransportError::Rejected(reason));
     }
@@ -81,8 +83,8 @@
     Ok(stream)
 }
 
-/// Hands a packet of another member to the state machine that it is for.
-fn member_packet(
+/// Passes a packet of another member to its state machine.
+fn handle_packet(
     core: &Core,
     from: u64,
     packet: Packet,
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -1,4 +1,4 @@
-//! Starting a member, and the handle to it.
+//! The start of a member, the handle to a running member, and its loops.
 
 use crate::accounts::PeriodCloser;
 use crate::configuration_host::ConfigurationHost;
@@ -27,50 +27,50 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tracing::warn;
 
-/// Between two writes of what was counted; what was counted since is lost with the process.
+/// Time between two writes of the counted requests; requests counted since the last write are lost if the process ends.
 const TALLY_WRITE_INTERVAL: Duration = Duration::from_millis(500);
-/// The longest that a timer waits before it looks again, so that no deadline overflows the clock.
+/// Maximum time that a timer waits before it checks its deadline again, so that no deadline overflows the clock.
 const MAX_TIMER_WAIT: Duration = Duration::from_secs(3600);
 
-/// What a member is started with.
+/// The configuration of a member at its start.
 pub struct MemberConfig {
-    /// Accepts streams of other members and operators.
+    /// Listener for streams of other members and operators.
     pub listener: TcpListener,
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its state folder.
+    /// State folder of the member.
     pub store: Store,
-    /// The state of the election that was stored there.
+    /// The state of the election that was read from the state folder.
     pub kept: HardState,
-    /// Leases of the election.
+    /// Parameters of the election's leases.
     pub election: LeaseParameters,
-    /// The file of the keys that members share.
+    /// Path of the file with the keys that members share.
     pub key_file: PathBuf,
-    /// Learnt weights of a snapshot lose their influence over this time.
+    /// Time over which learnt weights of a snapshot lose their influence.
     pub weights_lifetime: Duration,
-    /// The singleton tasks that members share out.
+    /// Settings of the singleton tasks, if there are any.
     pub tasks: Option<TaskSettings>,
 }
 
-/// Why a member cannot be started.
+/// Reasons why a member cannot be started.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The key file cannot be used.
     #[error("{path}: {source}")]
     Keys {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Cause of the error.
         source: KeyFileError,
     },
     /// The snapshots on disk cannot be read.
-    #[error("the newest memory cannot be read: {0}")]
+    #[error("cannot read the newest snapshot of a leader: {0}")]
     Snapshot(#[source] io::Error),
-    /// The journal on disk cannot be read.
-    #[error("the journal of duties cannot be read: {0}")]
+    /// The journals of singleton tasks on disk cannot be read.
+    #[error("cannot read the journals of singleton tasks: {0}")]
     Tasks(#[source] io::Error),
     /// The configuration versions on disk cannot be read.
-    #[error("what is held of editions cannot be read: {0}")]
+    #[error("cannot read the stored configuration versions: {0}")]
     Configuration(#[source] io::Error),
 }
 
@@ -79,51 +79,51 @@
 pub struct Member(Rc<Core>);
 
 impl Member {
-    /// Whether an order of this term may leave at this very moment.
+    /// Returns true if an order of this term may be sent now: this member leads in the term and its lease is valid.
     pub fn may_order(&self, term: u64) -> bool {
         let election = self.0.election.borrow();
         election.term() == term && election.holds_lease(self.0.now())
     }
 
-    /// A proxy has orders of this term.
+    /// Records that a proxy has received orders of this term.
     pub fn term_seen(&self, term: u64) {
         self.0.call_election(|election, now| election.higher_term_seen(now, term));
     }
 
-    /// Receives requests on sites from now on, until the receiver is dropped.
+    /// Returns a receiver of requests about sites, which are rejected once the receiver is dropped.
     pub fn site_requests(&self) -> mpsc::UnboundedReceiver<SiteRequest> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.0.site_requests.borrow_mut() = Some(sender);
         receiver
     }
 
-    /// Counts requests that a proxy of this zone had on a route, over one of its cycles.
+    /// Counts the requests of a proxy in this zone on a route, over one cycle of the proxy.
     pub fn count_requests(&self, zone: u16, route: u8, counts: Counts) {
         self.0.count_requests(zone, route, counts);
     }
 
-    /// The leader's name, where one is known.
+    /// Returns the leader's name, if a leader is known.
     pub fn leader(&self) -> Option<String> {
         let election = self.0.election.borrow();
         let voters = &election.hard_state().membership.voters;
         election.leader().and_then(|id| voters.get(&id).map(|voter| voter.name.clone()))
     }
 
-    /// Writes a snapshot of this leader, and sends it to all others.
+    /// Writes a snapshot of this leader to disk, and sends it to all other members.
     ///
     /// # Errors
     ///
-    /// It is too large.
+    /// Returns an error if the snapshot is too large.
     pub fn publish_snapshot(&self, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         self.0.publish_snapshot(snapshot)
     }
 }
 
-/// Runs a member on the current `LocalSet`, until `tasks` is dropped. Returns its handle, and its role.
+/// Runs a member on the current `LocalSet` until `tasks` is dropped. Returns the member's handle, and a receiver of its role.
 ///
 /// # Errors
 ///
-/// The key file cannot be used, or the state folder cannot be read.
+/// Returns an error if the key file cannot be used or the state folder cannot be read.
 pub fn run_member(
     config: MemberConfig,
     tasks: &mut JoinSet<()>,
@@ -143,7 +143,7 @@
     Ok((Member(core), roles))
 }
 
-/// Opens everything that a member needs.
+/// Reads the keys and the state folder, and creates the shared state of a member.
 fn open_core(
     config: MemberConfig,
     role: watch::Sender<Role>,
@@ -173,10 +173,11 @@
     Ok((core, listener))
 }
 
-/// The newest snapshot on disk. Its age is not known, so only what no time makes untrue is taken of it.
+/// Returns the newest snapshot on disk. Its age is not known, so it is aged by the whole lifetime of weights, and only content
+/// that does not become outdated remains.
 fn read_snapshot(store: &Store, weights_lifetime: Duration) -> Result<Option<TimedSnapshot>, StartError> {
     let on_damaged =
-        |order: (u64, u64), error: SnapshotError| warn!(?order, %error, "sets a damaged snapshot aside");
+        |order: (u64, u64), error: SnapshotError| warn!(?order, %error, "setting a damaged snapshot aside");
     let snapshot = store.read_snapshot(on_damaged).map_err(StartError::Snapshot)?;
     Ok(snapshot.map(|snapshot| TimedSnapshot {
         snapshot: snapshot.aged(weights_lifetime, weights_lifetime),
@@ -184,7 +185,7 @@
     }))
 }
 
-/// Opens the singleton tasks and the configuration, as far as the settings name them.
+/// Opens the singleton tasks and the configuration, each if the settings contain it.
 fn open_tasks(
     store: &Store,
     own: u64,
@@ -209,7 +210,8 @@
     }
 }
 
-/// Waits until a deadline of the member's clock, or until the deadline may have changed. Returns whether the time has come.
+/// Waits until a deadline of the member's clock, or until the deadline may have changed. Returns false if the deadline may
+/// have changed.
 async fn wait_for_timer(core: &Core, deadline: Duration, changed: &Notify) -> bool {
     let deadline = core.started + deadline.min(core.now() + MAX_TIMER_WAIT);
     tokio::select! {
@@ -247,7 +249,7 @@
     }
 }
 
-/// Reports writes to the state machines that wait for them.
+/// Reports the results of writes to the state machines that wait for them.
 async fn write_result_loop(core: Rc<Core>, mut results: mpsc::UnboundedReceiver<WriteResult>) {
     while let Some(result) = results.recv().await {
         match result {
@@ -268,7 +270,7 @@
     }
 }
 
-/// Writes what was counted, at intervals.
+/// Writes the counted requests at intervals, if there are new ones.
 async fn tally_write_loop(core: Rc<Core>) {
     let Some(host) = &core.tasks else { return };
     loop {
--- a/crates/cluster/src/peer_link.rs
+++ b/crates/cluster/src/peer_link.rs
@@ -1,5 +1,5 @@
-//! The link to one other member: messages of the election, messages of tasks and configuration, and snapshots, each on a
-//! stream of its own, so that none delays another.
+//! The link to one other member. Messages of the election, messages of tasks and the configuration, and snapshots each have
+//! their own stream, so that they do not delay each other.
 
 use crate::endpoint::LocalEndpoint;
 use crate::transport::{Packet, TransportError};
@@ -13,14 +13,14 @@
 use tokio::time::sleep;
 use tracing::info;
 
-/// Election messages that wait for an unreachable peer. What is older than a lease helps nobody.
+/// Maximum number of queued election messages for an unreachable peer. Messages older than a lease are useless.
 const MAX_ELECTION_PACKETS: usize = 32;
-/// Task messages that wait: a renewal and a record of each task. Lost ones are retransmitted.
+/// Maximum number of queued task messages: a renewal and a record of each task. Lost messages are retransmitted.
 const MAX_TASK_PACKETS: usize = 20_000;
 const SNAPSHOT_CHUNK_BYTES: usize = 64 << 10;
-/// Between two chunks of a snapshot, so that heartbeats pass between them on a slow link.
+/// Pause between two chunks of a snapshot, so that heartbeats are sent between them on a slow link.
 const SNAPSHOT_CHUNK_PAUSE: Duration = Duration::from_millis(5);
-/// Between two attempts to connect.
+/// Delay before the next attempt to connect.
 const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 
 /// Aborts a task when it is dropped.
@@ -38,13 +38,13 @@
     }
 }
 
-/// A link to one other member, which ends when it is dropped.
+/// A link to one other member; dropping the link closes its streams.
 pub(crate) struct PeerLink {
-    /// Messages of the election.
+    /// Queue of election messages.
     pub election: Rc<SendQueue>,
-    /// Messages of tasks and configuration.
+    /// Queue of messages of tasks and the configuration.
     pub tasks: Rc<SendQueue>,
-    /// Snapshots.
+    /// The snapshot to send next.
     pub snapshots: Rc<SnapshotSlot>,
     _loops: [AbortOnDrop; 3],
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// A bounded queue of packets for one stream; where it is full, the oldest is dropped.
+/// A bounded queue of packets for one stream; when the queue is full, the oldest packet is dropped.
 pub(crate) struct SendQueue {
     max_packets: usize,
     packets: RefCell<VecDeque<Packet>>,
@@ -76,7 +76,7 @@
         Rc::new(SendQueue { max_packets, packets: RefCell::default(), added: Notify::new() })
     }
 
-    /// Adds a packet.
+    /// Adds a packet, and drops the oldest one if the queue is full.
     pub(crate) fn push(&self, packet: Packet) {
         let mut packets = self.packets.borrow_mut();
         if packets.len() == self.max_packets {
@@ -105,7 +105,7 @@
     pub bytes: Rc<Vec<u8>>,
 }
 
-/// The newest snapshot that was not sent yet; it replaces an older one.
+/// The newest snapshot that has not been sent yet; a newer snapshot replaces an older one.
 #[derive(Default)]
 pub(crate) struct SnapshotSlot {
     newest: RefCell<Option<EncodedSnapshot>>,
@@ -113,7 +113,7 @@
 }
 
 impl SnapshotSlot {
-    /// Has this snapshot sent.
+    /// Sets the snapshot to send next.
     pub(crate) fn put(&self, snapshot: EncodedSnapshot) {
         *self.newest.borrow_mut() = Some(snapshot);
         self.changed.notify_one();
@@ -131,7 +131,7 @@
     voter: Voter,
 }
 
-/// Sends the packets of a queue, and connects again whenever the stream ends.
+/// Sends the packets of a queue, and reconnects whenever the stream ends.
 async fn send_loop(peer: Peer, queue: Rc<SendQueue>) {
     let mut last_error = String::new();
     loop {
@@ -158,7 +158,7 @@
     }
 }
 
-/// Logs an error once, until another one happens or a stream was opened.
+/// Logs an error, unless it equals the last one and no stream was opened since.
 fn log_once(peer: &Peer, error: &TransportError, last_error: &mut String) {
     let text = error.to_string();
     if text == *last_error {
@@ -167,12 +167,12 @@
     if error.is_rejection() {
         peer.endpoint.log_rejection(&peer.voter.name, error);
     } else {
-        info!(member = peer.voter.name, %error, "cannot reach a member");
+        info!(member = peer.voter.name, %error, "cannot reach a member; retrying");
     }
     *last_error = text;
 }
 
-/// Sends the newest snapshot, and connects again whenever the stream ends.
+/// Sends the newest snapshot, and reconnects whenever the stream ends.
 async fn snapshot_loop(peer: Peer, slot: Rc<SnapshotSlot>) {
     loop {
         slot.changed.notified().await;
--- a/crates/cluster/src/request.rs
+++ b/crates/cluster/src/request.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a member, and what it answers.
+//! Requests of operators to a member, and the member's responses.
 
 use grebespool_config_consensus::{ActiveVersions, Change, EffectiveConfiguration};
 use serde::{Deserialize, Serialize};
@@ -8,27 +8,27 @@
 // on the wire, and JSON: do not rename variants and keys, do not reorder
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Request {
-    /// The state of the member and its election.
+    /// Requests the state of the member and its election.
     #[serde(rename = "Show")]
     ShowMember,
     /// Adds the member that listens at this address.
     Add {
-        /// Its name.
+        /// Name of the member.
         name: String,
-        /// Its address.
+        /// Address of the member.
         address: String,
     },
     /// Removes a member.
     Remove {
-        /// Its name.
+        /// Name of the member.
         name: String,
     },
-    /// Has the leader step down.
+    /// Asks the leader to step down.
     StepDown,
-    /// Who holds the lease of which singleton task; asked of the leader.
+    /// Requests the lease holders of all singleton tasks, from the leader.
     #[serde(rename = "Duties")]
     ShowTasks,
-    /// An order on a singleton task; asked of the leader.
+    /// Gives an order on a singleton task, to the leader.
     #[serde(rename = "Duty")]
     Task {
         /// Name of the task.
@@ -36,28 +36,28 @@
         /// The order.
         order: TaskOrder,
     },
-    /// The configuration versions of this member.
+    /// Requests the configuration versions of the member.
     #[serde(rename = "Editions")]
     ShowConfiguration,
-    /// Proposes changes of the shared configuration.
+    /// Proposes changes to the shared configuration.
     Propose {
         /// The changes.
         changes: Vec<Change>,
-        /// Whether they may withdraw more capacity at once than is allowed.
+        /// True if the changes may withdraw more capacity at once than the rules allow.
         forced: bool,
     },
-    /// The state of all sites; asked of the leader.
+    /// Requests the state of all sites, from the leader.
     #[serde(rename = "Sites")]
     ShowSites,
-    /// Takes a site out of service, or lets it back; asked of the leader.
+    /// Takes a site out of service or returns it to service; sent to the leader.
     Site {
         /// Name of the site.
         site: String,
-        /// Whether it is taken out.
+        /// True to take the site out of service, false to return it.
         out: bool,
-        /// Whether it is done against a warning.
+        /// True if the request is executed despite a warning.
         forced: bool,
-        /// Whether it only tells what it would do.
+        /// True if the leader only reports what the request would do.
         #[serde(rename = "dry")]
         dry_run: bool,
     },
@@ -67,20 +67,20 @@
 // on the wire, and JSON: do not rename variants, do not reorder
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskOrder {
-    /// Moves its lease to the member of this name.
+    /// Moves the task's lease to the member of this name.
     Move(String),
-    /// Suspends it for so many milliseconds.
+    /// Suspends the task for this time, in milliseconds.
     #[serde(rename = "Hold")]
     Suspend(u64),
     /// Ends a suspension or a move.
     Release,
 }
 
-/// A request on sites, for whoever plans while this member leads.
+/// A request about sites, which the caller of the crate answers while this member leads.
 pub struct SiteRequest {
     /// The request.
     pub request: Request,
-    /// Where the response goes.
+    /// Channel for the response.
     pub response: oneshot::Sender<Response>,
 }
 
@@ -88,13 +88,13 @@
 // on the wire, and JSON: do not rename keys, do not reorder
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its address.
+    /// Address of the member.
     pub address: String,
-    /// Its id.
+    /// Id of the member.
     pub id: u64,
-    /// Whether it does not answer heartbeats; known to the leader only.
+    /// True if the member does not answer heartbeats; only the leader knows this.
     pub missing: bool,
 }
 
@@ -104,37 +104,37 @@
 pub enum Response {
     /// The state of a member and its election.
     Status {
-        /// Its name.
+        /// Name of the member.
         name: String,
-        /// "leads", "follows", "alone" or "mute".
+        /// Role in the election: "leads", "follows", "alone" (no leader is known) or "mute" (the member does not vote).
         standing: String,
-        /// The leader's name, where one is known.
+        /// Name of the leader, if a leader is known.
         leader: Option<String>,
         /// The term.
         #[serde(rename = "epoch")]
         term: u64,
-        /// Since when it has this standing, in milliseconds.
+        /// Time since the member has this role, in milliseconds.
         since_ms: u64,
-        /// Why it stepped down last.
+        /// Reason why the member last stepped down.
         #[serde(rename = "stood_down")]
         stepped_down: Option<String>,
         /// The members of the membership.
         members: Vec<MemberStatus>,
-        /// Whether a quorum has the membership.
+        /// True if a quorum has the membership.
         settled: bool,
-        /// The newest leader's snapshot on this member's disk: term, number, and age in milliseconds.
+        /// The newest leader's snapshot that the member has: term, number, and age in milliseconds.
         #[serde(rename = "memory")]
         snapshot: Option<(u64, u64, u64)>,
-        /// Peers and frames that were rejected since the start.
+        /// Number of rejections of peers and frames since the start.
         #[serde(rename = "refused")]
         rejections: u64,
     },
-    /// It is done.
+    /// The request was executed, with this result.
     Done(String),
-    /// It is not done, for this reason.
+    /// The request was rejected for this reason.
     #[serde(rename = "Refused")]
     Rejected(String),
-    /// A line for each thing that was asked for.
+    /// The requested information, line by line.
     Lines(Vec<String>),
     /// The configuration versions of a member.
     #[serde(rename = "Editions")]
@@ -147,7 +147,7 @@
 pub struct ConfigurationStatus {
     /// The member's name.
     pub name: String,
-    /// The versions that it applies.
+    /// The versions that the member applies.
     #[serde(rename = "acts")]
     pub active: ActiveVersions,
     /// Number and hash of the committed version.
@@ -159,10 +159,10 @@
     /// Name of the coordinator.
     #[serde(rename = "convener")]
     pub coordinator: Option<String>,
-    /// Proposals of this member that are undecided.
+    /// Number of undecided proposals of this member.
     #[serde(rename = "waiting")]
     pub undecided_proposals: usize,
-    /// The configuration that it applies.
+    /// The configuration that the member applies.
     #[serde(rename = "view")]
     pub effective: EffectiveConfiguration,
 }
--- a/crates/cluster/src/snapshots.rs
+++ b/crates/cluster/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! A leader's snapshot, put together from its chunks.
+//! Assembly of a leader's snapshot from its chunks.
 
 use crate::transport::TransportError;
 use grebespool_leader_election::{MAX_SNAPSHOT_BYTES, Snapshot};
@@ -9,7 +9,7 @@
     pub order: (u64, u64),
     /// Index of the chunk, from zero.
     pub part: u32,
-    /// How many chunks there are.
+    /// Number of chunks.
     pub parts: u32,
     pub bytes: Vec<u8>,
 }
@@ -27,12 +27,12 @@
     next_part: u32,
 }
 
-/// The chunks that came on one stream.
+/// Assembles the snapshots that one stream carries.
 #[derive(Default)]
 pub(crate) struct SnapshotAssembly(Option<Incomplete>);
 
 impl SnapshotAssembly {
-    /// Takes a chunk, and returns the snapshot with the last one.
+    /// Adds a chunk, and returns the snapshot after the last one.
     pub(crate) fn add(&mut self, chunk: SnapshotChunk) -> Result<Option<ReceivedSnapshot>, TransportError> {
         let SnapshotChunk { order, part, parts, bytes } = chunk;
         if part == 0 {
@@ -40,10 +40,11 @@
         }
         let expected = |i: &&mut Incomplete| i.order == order && i.parts == parts && i.next_part == part;
         let Some(incomplete) = self.0.as_mut().filter(expected) else {
-            return Err(TransportError::Snapshot(format!("chunk {part} of a snapshot out of its order")));
+            return Err(TransportError::Snapshot(format!("unexpected chunk {part} of a snapshot")));
         };
         if incomplete.bytes.len() + bytes.len() > MAX_SNAPSHOT_BYTES {
-            return Err(TransportError::Snapshot("a snapshot that is too large".into()));
+            let error = format!("a snapshot is larger than {MAX_SNAPSHOT_BYTES} bytes");
+            return Err(TransportError::Snapshot(error));
         }
         incomplete.bytes.extend_from_slice(&bytes);
         incomplete.next_part += 1;
@@ -58,7 +59,10 @@
 fn decode(order: (u64, u64), bytes: Vec<u8>) -> Result<ReceivedSnapshot, TransportError> {
     match Snapshot::decode(&bytes) {
         Ok(snapshot) if snapshot.order() == order => Ok(ReceivedSnapshot { snapshot, bytes }),
-        Ok(_) => Err(TransportError::Snapshot("a snapshot under another's number".into())),
-        Err(error) => Err(TransportError::Snapshot(format!("a damaged snapshot: {error}"))),
+        Ok(snapshot) => {
+            let error = format!("a snapshot has order {:?}, its chunks have {order:?}", snapshot.order());
+            Err(TransportError::Snapshot(error))
+        }
+        Err(error) => Err(TransportError::Snapshot(format!("a snapshot is damaged: {error}"))),
     }
 }
--- a/crates/cluster/src/store/configuration.rs
+++ b/crates/cluster/src/store/configuration.rs
@@ -11,11 +11,12 @@
 const VERSIONS_KEY: &str = "held";
 
 impl Store {
-    /// Reads the stored configuration versions. A damaged record is reported, and the same as none: the coordinator has them.
+    /// Reads the stored configuration versions. A damaged record is reported and treated like a missing one, since the
+    /// coordinator has the versions.
     ///
     /// # Errors
     ///
-    /// The database cannot be read.
+    /// Returns an error if the database cannot be read.
     pub fn read_versions(&self, on_damaged: impl FnOnce(&RecordError)) -> io::Result<StoredState> {
         let read = database(self.state.begin_read())?;
         let table = match read.open_table(VERSIONS) {
@@ -34,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// The database cannot be written.
+    /// Returns an error if the database cannot be written.
     pub fn write_versions(&self, state: &StoredState) -> io::Result<()> {
         let write = database(self.state.begin_write())?;
         database(database(write.open_table(VERSIONS))?.insert(VERSIONS_KEY, encode(state).as_slice()))?;
--- a/crates/cluster/src/store/election.rs
+++ b/crates/cluster/src/store/election.rs
@@ -1,4 +1,4 @@
-//! The state of the leader election, and the leaders' snapshots.
+//! Storage of the state of the leader election and of the leaders' snapshots.
 
 use super::checksum::{RecordError, decode, encode};
 use super::{Store, database};
@@ -12,7 +12,7 @@
 const SNAPSHOTS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("memories");
 const DAMAGED_SNAPSHOTS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("set aside");
 
-const KEPT_SNAPSHOTS: usize = 2;
+const MAX_SNAPSHOTS: usize = 2;
 
 impl Store {
     pub(super) fn read_election(&self) -> Result<HardState, RecordError> {
@@ -26,18 +26,18 @@
     ///
     /// # Errors
     ///
-    /// The database cannot be written.
-    pub fn write_election(&self, kept: &HardState) -> io::Result<()> {
+    /// Returns an error if the database cannot be written.
+    pub fn write_election(&self, state: &HardState) -> io::Result<()> {
         let write = database(self.state.begin_write())?;
-        database(database(write.open_table(STATE))?.insert(STATE_KEY, encode(kept).as_slice()))?;
+        database(database(write.open_table(STATE))?.insert(STATE_KEY, encode(state).as_slice()))?;
         database(write.commit())
     }
 
-    /// Writes a leader's encoded snapshot, and removes all but the newest two.
+    /// Writes a leader's encoded snapshot, and removes all snapshots but the newest two.
     ///
     /// # Errors
     ///
-    /// The database cannot be written.
+    /// Returns an error if the database cannot be written.
     pub fn write_snapshot(&self, order: (u64, u64), bytes: &[u8]) -> io::Result<()> {
         let write = database(self.snapshots.begin_write())?;
         {
@@ -47,18 +47,18 @@
             for entry in database(table.iter())? {
                 orders.push(database(entry)?.0.value());
             }
-            for old in orders.iter().rev().skip(KEPT_SNAPSHOTS) {
+            for old in orders.iter().rev().skip(MAX_SNAPSHOTS) {
                 database(table.remove(old))?;
             }
         }
         database(write.commit())
     }
 
-    /// Reads the newest snapshot that is not damaged. Damaged ones are reported and set aside.
+    /// Reads the newest snapshot that is not damaged. Damaged snapshots are reported and moved to a table of their own.
     ///
     /// # Errors
     ///
-    /// The database cannot be read or written.
+    /// Returns an error if the database cannot be read or written.
     pub fn read_snapshot(
         &self,
         mut on_damaged: impl FnMut((u64, u64), SnapshotError),
@@ -91,11 +91,11 @@
         Ok(found)
     }
 
-    /// How many snapshots were set aside.
+    /// Returns the number of damaged snapshots that were set aside.
     ///
     /// # Errors
     ///
-    /// The database cannot be read.
+    /// Returns an error if the database cannot be read.
     pub fn damaged_snapshots(&self) -> io::Result<u64> {
         let read = database(self.snapshots.begin_read())?;
         match read.open_table(DAMAGED_SNAPSHOTS) {
--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! A member's state folder: what it must find again after a restart.
+//! The state folder of a member, with the state that the member needs after a restart.
 
 mod checksum;
 mod configuration;
@@ -19,75 +19,76 @@
 const SNAPSHOT_FILE: &str = "memories.redb";
 const COUNTS: TableDefinition<&str, u64> = TableDefinition::new("counts");
 
-/// Why a state folder cannot be used.
+/// Reasons why a state folder cannot be used.
+// tests of `grebespool-cli` match parts of some texts
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// No state was formed in the folder.
+    /// The folder contains no state of a member.
     #[error(
-        "{0}: no member's state is here; `members form` makes one for a new fleet, `members join` one for a member that \
+        "{0}: no member's state is here; `members form` creates one for a new fleet, `members join` one for a member that \
          is to be added"
     )]
     NotFormed(String),
-    /// A state was formed in the folder before.
-    #[error("{0}: a member's state is here already; it would vote again as another")]
+    /// The folder already contains the state of a member.
+    #[error("{0}: a member's state is here already; a second state could vote twice in a term")]
     AlreadyFormed(String),
     /// The databases cannot be opened.
-    #[error("{path}: another process has it open, or it cannot be opened: {source}")]
+    #[error("{path}: another process has it open, or the databases cannot be opened: {source}")]
     Open {
-        /// The folder.
+        /// Path of the folder.
         path: String,
-        /// Why.
+        /// Cause of the error.
         source: Box<redb::DatabaseError>,
     },
-    /// The folder is of another fleet.
-    #[error("{path}: it is of another fleet ({found:016x}, not {expected:016x})")]
+    /// The folder belongs to another fleet.
+    #[error("{path}: the state belongs to fleet {found:016x}, expected {expected:016x}")]
     OtherFleet {
-        /// The folder.
+        /// Path of the folder.
         path: String,
-        /// The folder's fleet.
+        /// Id of the folder's fleet.
         found: u64,
-        /// This member's fleet.
+        /// Id of this member's fleet.
         expected: u64,
     },
     /// The state cannot be read or written.
-    #[error("{path}: the state in it cannot be read: {source}")]
+    #[error("{path}: cannot read or write the state: {source}")]
     Damaged {
-        /// The folder.
+        /// Path of the folder.
         path: String,
-        /// Why.
+        /// Cause of the error.
         source: RecordError,
     },
     /// The folder cannot be created.
     #[error("{path}: {source}")]
     Io {
-        /// The folder.
+        /// Path of the folder.
         path: String,
-        /// Why.
+        /// Cause of the error.
         source: io::Error,
     },
 }
 
-/// Errors of the database are large, and nobody tells them apart.
+/// Wraps a database error, which is large, into an I/O error; no caller distinguishes the kinds.
 fn database<T, E: std::error::Error + Send + Sync + 'static>(result: Result<T, E>) -> io::Result<T> {
     result.map_err(io::Error::other)
 }
 
-/// An open state folder. It may be used by several threads; each write is one transaction.
+/// An open state folder. Several threads may use it at once; each write is one transaction.
 pub struct Store {
-    /// The election, tasks and the configuration: written before others are answered.
+    /// Election, tasks and configuration, which are written before other members are answered.
     state: Database,
-    /// Snapshots and counts, which nobody waits for.
+    /// Snapshots and counted requests, whose writes no answer waits for.
     snapshots: Database,
     folder: PathBuf,
 }
 
 impl Store {
-    /// Forms a folder's first state. `membership` is that of the whole fleet for a member that the fleet is formed with, and
-    /// empty for one that is to be added.
+    /// Creates the first state of a member in a folder. `membership` is the membership of the whole fleet if the fleet is
+    /// formed with this member, and empty if the member is to be added to a fleet.
     ///
     /// # Errors
     ///
-    /// A state was formed there before, or the folder cannot be written.
+    /// Returns an error if the folder already contains a state, or cannot be written.
     pub fn form(folder: &Path, fleet: u64, id: MemberId, membership: Membership) -> Result<(), StoreError> {
         let path = folder.display().to_string();
         std::fs::create_dir_all(folder).map_err(|source| StoreError::Io { path: path.clone(), source })?;
@@ -101,23 +102,24 @@
         written.map_err(|error| StoreError::Damaged { path, source: RecordError::Database(error) })
     }
 
-    /// Opens a folder, and reads the state of the election.
+    /// Opens a state folder, and reads the state of the election.
     ///
     /// # Errors
     ///
-    /// No state was formed there, another process has it open, it is of another fleet, or it cannot be read.
+    /// Returns an error if the folder contains no state, is open in another process, belongs to another fleet, or cannot be
+    /// read.
     pub fn open(folder: &Path, fleet: u64) -> Result<(Store, HardState), StoreError> {
         let path = folder.display().to_string();
         if !folder.join(STATE_FILE).exists() {
             return Err(StoreError::NotFormed(path));
         }
         let store = Self::open_databases(folder)?;
-        let kept =
+        let state =
             store.read_election().map_err(|source| StoreError::Damaged { path: path.clone(), source })?;
-        if kept.fleet != fleet {
-            return Err(StoreError::OtherFleet { path, found: kept.fleet, expected: fleet });
+        if state.fleet != fleet {
+            return Err(StoreError::OtherFleet { path, found: state.fleet, expected: fleet });
         }
-        Ok((store, kept))
+        Ok((store, state))
     }
 
     fn open_databases(folder: &Path) -> Result<Store, StoreError> {
@@ -130,7 +132,7 @@
         Ok(Store { state: open(STATE_FILE)?, snapshots: open(SNAPSHOT_FILE)?, folder: folder.into() })
     }
 
-    /// The folder.
+    /// Returns the path of the folder.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
--- a/crates/cluster/src/store/tasks.rs
+++ b/crates/cluster/src/store/tasks.rs
@@ -1,4 +1,4 @@
-//! The journals of singleton tasks, the count of starts, and counted requests.
+//! Storage of the journals of singleton tasks, of the number of starts, and of counted requests.
 
 use super::checksum::{RecordError, decode, encode};
 use super::{COUNTS, Store, database};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::io;
 
-// Stored: do not rename tables or keys. Entries are stored by the task's name, which outlives its place among the names.
+// Stored: do not rename tables or keys. Entries are stored by the task's name: its index may change with the settings.
 const ENTRIES: TableDefinition<&str, &[u8]> = TableDefinition::new("cells");
 const DAMAGED_ENTRIES: TableDefinition<&str, &[u8]> = TableDefinition::new("damaged cells");
 const TALLY: TableDefinition<&str, &[u8]> = TableDefinition::new("tally");
@@ -15,22 +15,22 @@
 const STARTS_KEY: &str = "life";
 const COMPLETE_KEY: &str = "copied";
 
-/// The stored entries of task journals.
+/// The stored journal entries of tasks.
 #[derive(Debug, PartialEq, Eq)]
 pub struct StoredEntries {
     /// The entries by task.
     pub entries: BTreeMap<TaskId, RegisterEntry>,
-    /// Whether they are all that this member should have. A member that was added, or whose entries are damaged, copies those
-    /// of the others first.
+    /// True if the member has all entries that it should have. A member that was added, or whose entries are damaged, first
+    /// copies those of other members.
     pub complete: bool,
 }
 
 impl Store {
-    /// Counts this start; the count is higher than at any start before.
+    /// Increments and returns the number of starts, which is higher than at every earlier start.
     ///
     /// # Errors
     ///
-    /// The database cannot be read or written.
+    /// Returns an error if the database cannot be read or written.
     pub fn count_start(&self) -> io::Result<u32> {
         let write = database(self.state.begin_write())?;
         let starts = {
@@ -43,11 +43,12 @@
         Ok(u32::try_from(starts).unwrap_or(u32::MAX))
     }
 
-    /// Reads the journal entries of the tasks of these names. Damaged ones are reported and set aside.
+    /// Reads the journal entries of the tasks with these names. Damaged entries are reported and moved to a table of their
+    /// own.
     ///
     /// # Errors
     ///
-    /// The database cannot be read or written.
+    /// Returns an error if the database cannot be read or written.
     pub fn read_entries(
         &self,
         names: &[String],
@@ -82,12 +83,12 @@
         Ok(StoredEntries { entries, complete })
     }
 
-    /// Writes journal entries by task name, and returns once they are on disk. `complete` says whether they are all that this
-    /// member should have, where that changes.
+    /// Writes journal entries by task name, and returns once they are on disk. `complete` is true if the member then has all
+    /// entries that it should have, and `None` if that does not change.
     ///
     /// # Errors
     ///
-    /// The database cannot be written.
+    /// Returns an error if the database cannot be written.
     pub fn write_entries(
         &self,
         entries: &[(String, RegisterEntry)],
@@ -107,11 +108,11 @@
         database(write.commit())
     }
 
-    /// Reads what this member counted before it was started. A damaged record is the same as none.
+    /// Reads the requests that this member counted before its start. A damaged record is treated like a missing one.
     ///
     /// # Errors
     ///
-    /// The database cannot be read.
+    /// Returns an error if the database cannot be read.
     pub fn read_tally(&self) -> io::Result<Tally> {
         let read = database(self.snapshots.begin_read())?;
         match read.open_table(TALLY) {
@@ -124,11 +125,11 @@
         }
     }
 
-    /// Writes what this member counted.
+    /// Writes the requests that this member counted.
     ///
     /// # Errors
     ///
-    /// The database cannot be written.
+    /// Returns an error if the database cannot be written.
     pub fn write_tally(&self, tally: &Tally) -> io::Result<()> {
         let write = database(self.snapshots.begin_write())?;
         database(database(write.open_table(TALLY))?.insert(TALLY_KEY, encode(tally).as_slice()))?;
--- a/crates/cluster/src/task_host.rs
+++ b/crates/cluster/src/task_host.rs
@@ -1,4 +1,4 @@
-//! Singleton tasks of a member: their settings, and what they ask for during a call.
+//! The singleton tasks of a member: their settings, and the requests that they make during a call.
 
 use crate::ids::task_names_id;
 use crate::store::Store;
@@ -16,53 +16,54 @@
 use tokio::sync::Notify;
 use tracing::{info, warn};
 
-// Names of tasks are stored: do not rename.
+// Names of tasks are stored and hashed into the id of the task list: do not rename.
 const CONFIGURATION_TASK: &str = "editions";
 const ACCOUNTS_TASK: &str = "accounts";
 
-/// Settings of the accounts of periods.
+/// Settings of the task that writes an account of the requests in each period.
 #[derive(Debug, Clone)]
 pub struct AccountSettings {
-    /// Where accounts are written; the same for all members.
+    /// Folder to which accounts are written; all members share this folder.
     pub folder: PathBuf,
-    /// Length of a period.
+    /// Duration of a period.
     pub period: Duration,
-    /// How long after its end a period is closed, and how long a member that does not answer is waited for.
+    /// Time between the end of a period and its closing, and maximum time to wait for the counts of a member.
     pub slack: Duration,
 }
 
-/// The singleton tasks that the members share out.
+/// Settings of the singleton tasks, which are distributed among the members.
 #[derive(Debug, Clone)]
 pub struct TaskSettings {
-    /// Leases of tasks.
+    /// Parameters of the tasks' leases.
     pub lease: TaskLeaseParameters,
-    /// The task of accounts.
+    /// Settings of the task that writes accounts.
     pub accounts: Option<AccountSettings>,
-    /// The task of coordinating configuration versions.
+    /// Settings of the task that coordinates configuration versions.
     pub configuration: Option<ConsensusSettings>,
 }
 
 impl TaskSettings {
-    /// The names of all tasks, in an order that is the same on all members.
+    /// Returns the names of all tasks, in an order that is the same on all members.
     fn names(&self) -> Vec<String> {
         let accounts = self.accounts.iter().map(|_| ACCOUNTS_TASK.to_string());
         accounts.chain(self.configuration.iter().map(|_| CONFIGURATION_TASK.to_string())).collect()
     }
 }
 
-/// A change of an ownership: gained, or lost for this reason.
+/// A change of a task's ownership.
 pub(crate) struct OwnershipChange {
     pub task: TaskId,
     pub token: FencingToken,
-    pub lost: Option<LeaseLossReason>,
+    /// Reason for the loss of the ownership; `None` if the ownership was acquired.
+    pub loss_reason: Option<LeaseLossReason>,
 }
 
-/// A step of a journal that is durable.
+/// A durable step of a task's journal.
 pub(crate) struct DurableStep {
     pub task: TaskId,
     pub token: FencingToken,
     pub record: Option<StepRecord>,
-    /// Whether it is the first of an ownership.
+    /// True if the step is the first that is reported in an ownership.
     pub first: bool,
 }
 
@@ -73,36 +74,36 @@
     pub stamp: u64,
 }
 
-/// Counts that a member reported, by period.
+/// The counts that a member reported, by period.
 pub(crate) struct CountReport {
     pub member: MemberId,
     pub periods: Vec<(u64, Rows)>,
 }
 
-/// What tasks ask for during a call.
+/// The requests that tasks make during a call.
 #[derive(Default)]
 pub(crate) struct TaskRequests {
     pub outbox: Vec<(MemberId, Message)>,
     pub writes: Vec<EntryRequest>,
-    /// The journal is complete now.
+    /// True if this member now has all journal entries that it should have.
     pub complete: bool,
     pub reports: Vec<CountReport>,
     pub changes: Vec<OwnershipChange>,
     pub durable: Vec<DurableStep>,
 }
 
-/// The last durable step of a task that may be continued.
+/// The state of a task whose journal accepts a new step.
 #[derive(Clone)]
 pub(crate) struct Continuation {
     pub token: FencingToken,
     pub last: Option<StepRecord>,
 }
 
-/// Collects what tasks ask for.
+/// Collects the requests of tasks.
 #[derive(Default)]
 pub(crate) struct TaskRecorder {
     pub requests: TaskRequests,
-    /// Tasks whose journal takes a new step.
+    /// Tasks whose journal accepts a new step.
     pub ready: BTreeMap<TaskId, Continuation>,
 }
 
@@ -124,11 +125,11 @@
         self.requests.complete = true;
     }
     fn lease_acquired(&mut self, task: TaskId, token: FencingToken) {
-        self.requests.changes.push(OwnershipChange { task, token, lost: None });
+        self.requests.changes.push(OwnershipChange { task, token, loss_reason: None });
     }
     fn lease_lost(&mut self, task: TaskId, token: FencingToken, reason: LeaseLossReason) {
         self.ready.remove(&task);
-        self.requests.changes.push(OwnershipChange { task, token, lost: Some(reason) });
+        self.requests.changes.push(OwnershipChange { task, token, loss_reason: Some(reason) });
     }
     fn ready(&mut self, task: TaskId, token: FencingToken, last: Option<&StepRecord>) {
         self.record_step(task, token, last.cloned(), true);
@@ -149,22 +150,22 @@
     pub settings: TaskSettings,
     names: Vec<String>,
     pub tasks: RefCell<TaskManager<TaskRecorder>>,
-    /// Its timer may have changed.
+    /// Notified when the tasks' timer may have changed.
     pub timer: Notify,
-    /// A task may be continued, or counts were reported.
+    /// Notified when a task may be continued or counts were reported.
     pub progress: Notify,
-    /// The counts of each member, by period, as it reported them last.
+    /// The counts that each member reported last, by period.
     pub counts: RefCell<BTreeMap<MemberId, BTreeMap<u64, Rows>>>,
-    /// Requests were counted since the counts were written.
+    /// True if requests were counted since the last write of the counts.
     pub counted: Flag<bool>,
 }
 
 impl TaskHost {
-    /// Starts with what the state folder has.
+    /// Creates the tasks with the journals and counts in the state folder.
     ///
     /// # Errors
     ///
-    /// The database cannot be read or written.
+    /// Returns an error if the database cannot be read or written.
     pub(crate) fn open(
         store: &Store,
         own: MemberId,
@@ -173,7 +174,7 @@
     ) -> io::Result<TaskHost> {
         let names = settings.names();
         let stored = store.read_entries(&names, |task, error| {
-            warn!(task, %error, "sets a damaged journal record aside; copying the others' before answering");
+            warn!(task, %error, "setting a damaged journal record aside; copying those of other members before answering");
         })?;
         let config = TaskManagerConfig {
             own_id: own,
@@ -195,43 +196,43 @@
         })
     }
 
-    /// The names of all tasks.
+    /// Returns the names of all tasks.
     pub(crate) fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// A task's name.
+    /// Returns the name of a task.
     pub(crate) fn name(&self, task: TaskId) -> &str {
         &self.names[task as usize]
     }
 
-    /// The task of this name.
+    /// Returns the task with this name.
     pub(crate) fn find(&self, name: &str) -> Option<TaskId> {
         self.names.iter().position(|known| known == name).map(|index| index as TaskId)
     }
 
-    /// The task of coordinating configuration versions.
+    /// Returns the task that coordinates configuration versions.
     pub(crate) fn configuration_task(&self) -> Option<TaskId> {
         self.find(CONFIGURATION_TASK)
     }
 
-    /// The task of accounts.
+    /// Returns the task that writes accounts.
     pub(crate) fn accounts_task(&self) -> Option<TaskId> {
         self.find(ACCOUNTS_TASK)
     }
 
-    /// The last durable step of a task, if its journal takes a new one.
+    /// Returns the last durable step of a task, if its journal accepts a new step.
     pub(crate) fn continuation(&self, task: TaskId) -> Option<Continuation> {
         self.tasks.borrow_mut().host().ready.get(&task).cloned()
     }
 
-    /// The token by which this member may work on a task at this time.
+    /// Returns the token under which this member may work on a task at this time.
     pub(crate) fn token(&self, now: Duration, task: TaskId) -> Option<FencingToken> {
         self.tasks.borrow().current_token(now, task)
     }
 
-    /// The number of the period before this time by the wall clock, which all members have to agree on. None without
-    /// accounts.
+    /// Returns the number of the period that contained the time `before` ago, by the wall clock, on which all members must
+    /// agree. Returns `None` if there is no task of accounts.
     pub(crate) fn period(&self, before: Duration) -> Option<u64> {
         let period = self.settings.accounts.as_ref()?.period;
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().saturating_sub(before);
@@ -239,17 +240,17 @@
     }
 }
 
-/// Writes a step of a task's journal, if it takes one. The task is not continued until the step is durable. Returns whether
-/// the step was written.
+/// Writes a step of a task's journal, if the journal accepts one. The task is not continued until the step is durable.
+/// Returns true if the step was started.
 pub(crate) fn write_step(
     tasks: &mut TaskManager<TaskRecorder>,
     task: TaskId,
     write: impl FnOnce(&mut TaskManager<TaskRecorder>) -> bool,
 ) -> bool {
-    let Some(before) = tasks.host().ready.remove(&task) else { return false };
+    let Some(continuation) = tasks.host().ready.remove(&task) else { return false };
     let written = write(tasks);
     if !written {
-        tasks.host().ready.entry(task).or_insert(before);
+        tasks.host().ready.entry(task).or_insert(continuation);
     }
     written
 }
--- a/crates/cluster/src/transport/error.rs
+++ b/crates/cluster/src/transport/error.rs
@@ -1,4 +1,4 @@
-//! Why a stream between members fails.
+//! Errors of streams between members.
 
 use super::identity::PROTOCOL_VERSION;
 use grebespool_leader_election::MemberId;
@@ -6,73 +6,73 @@
 use thiserror::Error;
 use tokio::time::error::Elapsed;
 
-/// Why a stream between members fails.
+/// Reasons why a stream between members fails.
 #[derive(Debug, Error)]
 pub enum TransportError {
     /// The connection failed, was closed, or took too long.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The other side speaks another protocol.
-    #[error("it is no member")]
+    #[error("the other side is not a member")]
     NotAMember,
     /// The other side speaks another version of the protocol.
-    #[error("it speaks version {0}, this member {PROTOCOL_VERSION}")]
+    #[error("the other side speaks version {0}, this member {PROTOCOL_VERSION}")]
     OtherVersion(u16),
-    /// The other side is of another fleet.
-    #[error("it is of fleet {theirs:016x}, this member of {own:016x}")]
+    /// The other side belongs to another fleet.
+    #[error("the other side is of fleet {theirs:016x}, this member of {own:016x}")]
     OtherFleet {
-        /// Its fleet.
+        /// Id of the other side's fleet.
         theirs: u64,
-        /// This member's fleet.
+        /// Id of this member's fleet.
         own: u64,
     },
     /// The other side has this member's id.
-    #[error("it has this member's own id: its folder was copied")]
+    #[error("the other side has this member's own id: the state folder was copied")]
     OwnId,
-    /// Another member than the expected one is at an address.
-    #[error("{name} ({found:016x}) is there in place of {expected:016x}")]
+    /// Another member than the expected one listens at an address.
+    #[error("found member {name} ({found:016x}) at the address, expected {expected:016x}")]
     OtherMember {
-        /// The name of who is there.
+        /// Name of the member at the address.
         name: String,
-        /// The id of who is there.
+        /// Id of the member at the address.
         found: MemberId,
-        /// The id that was expected.
+        /// The expected id.
         expected: MemberId,
     },
-    /// The other side holds none of the keys.
-    #[error("it holds none of the keys")]
+    /// The other side has none of this member's keys.
+    #[error("the other side has none of this member's keys")]
     UnknownKey,
     /// A frame's authentication code is wrong.
-    #[error("a frame's code is wrong: another key, or it was altered or played again")]
+    #[error("wrong code of a frame: the key differs, or the frame was altered or replayed")]
     WrongCode,
-    /// The other side rejects this one, for this reason.
+    /// The other side rejected this member for this reason.
     #[error("{0}")]
     Rejected(String),
-    /// A frame has a length that cannot be.
-    #[error("a frame of {0} bytes, which cannot be")]
+    /// The length of a frame is out of range.
+    #[error("the frame length of {0} bytes is out of range")]
     FrameLength(usize),
     /// A frame's body cannot be decoded.
-    #[error("a frame that cannot be read")]
+    #[error("cannot decode the body of a frame")]
     UnreadableFrame,
     /// A packet cannot be encoded.
-    #[error("a packet cannot be encoded: {0}")]
+    #[error("cannot encode a packet: {0}")]
     Encode(postcard::Error),
-    /// The other side did not introduce itself.
-    #[error("it did not say who it is")]
+    /// The first packet of the other side is not an introduction.
+    #[error("the first packet is not an introduction")]
     NoIntroduction,
-    /// A packet that does not belong on this stream, or not at this place.
-    #[error("a packet that does not belong here")]
+    /// The packet is not expected on this stream, or not at this point.
+    #[error("unexpected packet")]
     UnexpectedPacket,
-    /// A member answered something else than a response.
-    #[error("it answered something else")]
+    /// A member answered a request with a packet that is not a response.
+    #[error("the answer to a request is not a response")]
     UnexpectedResponse,
-    /// A snapshot's chunks do not fit together.
+    /// The chunks of a snapshot are inconsistent or damaged.
     #[error("{0}")]
     Snapshot(String),
 }
 
 impl TransportError {
-    /// Whether one side does not trust the other, which an operator has to look at.
+    /// Returns true if one side rejects the other, which an operator has to resolve.
     pub fn is_rejection(&self) -> bool {
         match self {
             TransportError::OtherVersion(_)
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Whether the other side closed the connection.
+    /// Returns true if the other side closed the connection.
     pub fn is_closed(&self) -> bool {
         let closed = [io::ErrorKind::UnexpectedEof, io::ErrorKind::ConnectionReset];
         matches!(self, TransportError::Io(error) if closed.contains(&error.kind()))
--- a/crates/cluster/src/transport/handshake.rs
+++ b/crates/cluster/src/transport/handshake.rs
@@ -1,4 +1,4 @@
-//! The first bytes of a stream: both sides say who they are, and derive the keys of the stream.
+//! The first bytes of a stream, in which both sides identify themselves, and the keys that are derived from these bytes.
 
 use super::error::TransportError;
 use super::identity::{Identity, PROTOCOL_VERSION};
@@ -7,7 +7,7 @@
 use rand::RngCore;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-// The hello and the session keys are on the wire: do not change these.
+// The hello is on the wire, and the session keys are derived from the names of the sides: do not change these.
 const MAGIC: &[u8; 4] = b"GBMB";
 const CONNECTING: &str = "dialler";
 const ACCEPTING: &str = "listener";
@@ -16,13 +16,13 @@
 /// A side of a stream.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Side {
-    /// It opened the connection.
+    /// The side that opened the connection.
     Connecting,
-    /// It accepted the connection.
+    /// The side that accepted the connection.
     Accepting,
 }
 
-/// What each side sends first.
+/// The first bytes that each side sends.
 pub(super) struct Hello {
     version: u16,
     fleet: u64,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Rejects a side of another version or fleet, and a copy of this member.
+    /// Returns an error if the other side has another version or fleet, or this member's own id.
     pub(super) fn check(&self, own: Identity) -> Result<(), TransportError> {
         if self.version != PROTOCOL_VERSION {
             return Err(TransportError::OtherVersion(self.version));
@@ -82,7 +82,7 @@
     }
 }
 
-/// The key of the frames that one side sends on a stream.
+/// Returns the key of the frames that one side sends on a stream.
 pub(super) fn session_key(key: &[u8; 32], side: Side, connecting: &Hello, accepting: &Hello) -> [u8; 32] {
     let side = match side {
         Side::Connecting => CONNECTING,
--- a/crates/cluster/src/transport/identity.rs
+++ b/crates/cluster/src/transport/identity.rs
@@ -1,15 +1,15 @@
-//! Who a side of a stream is, and which protocol it speaks.
+//! The identity of a side of a stream, and the protocol version.
 
 use grebespool_leader_election::MemberId;
 
-/// The protocol version of this program; a member of another version is told so and closed.
+/// The protocol version of this program. A stream to a member of another version is closed; both sides log the version.
 pub const PROTOCOL_VERSION: u16 = 2;
 
-/// Who one side of a stream is.
+/// The identity of one side of a stream.
 #[derive(Debug, Clone, Copy)]
 pub struct Identity {
-    /// Its fleet.
+    /// Id of the fleet.
     pub fleet: u64,
-    /// The member; 0 for an operator.
+    /// Id of the member; 0 for an operator.
     pub id: MemberId,
 }
--- a/crates/cluster/src/transport/mod.rs
+++ b/crates/cluster/src/transport/mod.rs
@@ -1,8 +1,8 @@
 //! Authenticated streams between members.
 //!
-//! Each frame carries a message authentication code over its place in the stream, under a key of that direction of that
-//! stream alone, so that no frame can be altered, omitted, replayed or moved to another stream. Frames are not encrypted:
-//! they hold no secrets.
+//! Each frame carries a message authentication code over its position in the stream and its body. The key is specific to the
+//! direction and the stream, so that no frame can be altered, omitted, replayed or moved to another stream. Frames are not
+//! encrypted: they contain no secrets.
 
 mod error;
 mod handshake;
@@ -19,26 +19,26 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
 const CODE_BYTES: usize = 16;
-/// The maximum size of a frame, in bytes; snapshots are sent in chunks.
+/// Maximum size of a frame, in bytes; snapshots are sent in chunks.
 pub const MAX_FRAME_BYTES: usize = 256 << 10;
 
-/// What the other side of a new stream says of itself.
+/// The introduction that the other side of a new stream sends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerIntroduction {
-    /// Its name.
+    /// Name of the other side.
     pub name: String,
-    /// The stamp of the state that it has.
+    /// Stamp of the other side's election state.
     pub stamp: u64,
 }
 
-/// Authenticates the frames of one direction.
+/// Computes the authentication codes of the frames of one direction.
 struct FrameAuthenticator {
     key: [u8; 32],
     count: u64,
 }
 
 impl FrameAuthenticator {
-    /// The code of the next frame.
+    /// Returns the code of the next frame.
     fn next_code(&mut self, body: &[u8]) -> [u8; CODE_BYTES] {
         let mut hasher = blake3::Hasher::new_keyed(&self.key);
         hasher.update(&self.count.to_be_bytes()).update(body);
@@ -49,21 +49,21 @@
     }
 }
 
-/// A stream on which both sides have shown that they hold the same key.
+/// A stream on which both sides authenticate each frame with a shared key.
 pub struct AuthenticatedStream<S> {
     stream: S,
     sending: FrameAuthenticator,
     receiving: FrameAuthenticator,
-    /// The member on the other side; 0 for an operator.
+    /// Id of the member on the other side; 0 for an operator.
     pub peer: MemberId,
 }
 
 impl<S: AsyncRead + AsyncWrite + Unpin> AuthenticatedStream<S> {
-    /// Authenticates a connection that was opened from here.
+    /// Exchanges the first bytes on a connection that this side opened.
     ///
     /// # Errors
     ///
-    /// The stream fails, or the other side is of another fleet or version.
+    /// Returns an error if the stream fails, or if the other side has another fleet or version or this member's id.
     pub async fn connect(mut stream: S, own: Identity, keys: &Keys) -> Result<Self, TransportError> {
         let key = keys.first();
         let hello = Hello::new(own, key);
@@ -76,14 +76,15 @@
         Ok(AuthenticatedStream { stream, sending, receiving, peer: theirs.id })
     }
 
-    /// Authenticates a connection that was accepted.
+    /// Exchanges the first bytes on a connection that this side accepted.
     ///
     /// # Errors
     ///
-    /// The stream fails, or the other side is of another fleet or version, or holds none of the keys.
+    /// Returns an error if the stream fails, or if the other side has another fleet or version, this member's id, or none of
+    /// this member's keys.
     pub async fn accept(mut stream: S, own: Identity, keys: &Keys) -> Result<Self, TransportError> {
         let theirs = Hello::read(&mut stream).await?;
-        // The other side learns what is wrong from this hello, and from nothing else.
+        // Sent before any check: the other side finds the reason for a rejection only in this hello.
         let key = keys.by_id(theirs.key_id);
         let hello = Hello::new(own, key.unwrap_or(keys.first()));
         stream.write_all(&hello.encode()).await?;
@@ -99,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// The packet cannot be encoded, or the stream fails.
+    /// Returns an error if the packet cannot be encoded or the stream fails.
     pub async fn send(&mut self, packet: &Packet) -> Result<(), TransportError> {
         let body = postcard::to_stdvec(packet).map_err(TransportError::Encode)?;
         let code = self.sending.next_code(&body);
@@ -114,7 +115,7 @@
     ///
     /// # Errors
     ///
-    /// The stream fails, the frame's code is wrong, or its body cannot be decoded.
+    /// Returns an error if the stream fails, the frame's code is wrong, or the frame's body cannot be decoded.
     pub async fn receive(&mut self) -> Result<Packet, TransportError> {
         let body = self.receive_body().await?;
         match postcard::take_from_bytes(&body) {
@@ -142,21 +143,21 @@
         Ok(body)
     }
 
-    /// Introduces this side of a connection that was opened from here, and returns what the other side says of itself.
+    /// Introduces the side that opened the connection, and returns the introduction of the other side.
     ///
     /// # Errors
     ///
-    /// The stream fails, or the other side rejects this one.
+    /// Returns an error if the stream fails or the other side rejects this one.
     pub async fn introduce(&mut self, name: &str, stamp: u64) -> Result<PeerIntroduction, TransportError> {
         self.send(&Packet::Introduction { name: name.into(), stamp }).await?;
         self.receive_introduction().await
     }
 
-    /// Receives what the other side says of itself.
+    /// Receives the introduction of the other side.
     ///
     /// # Errors
     ///
-    /// The stream fails, or the other side rejects this one.
+    /// Returns an error if the stream fails or the other side rejects this one.
     pub async fn receive_introduction(&mut self) -> Result<PeerIntroduction, TransportError> {
         match self.receive().await? {
             Packet::Introduction { name, stamp } => Ok(PeerIntroduction { name, stamp }),
--- a/crates/cluster/src/transport/packet.rs
+++ b/crates/cluster/src/transport/packet.rs
@@ -1,17 +1,17 @@
-//! The body of a frame.
+//! Packets, which are the bodies of frames.
 
 use crate::request::{Request, Response};
 use serde::{Deserialize, Serialize};
 
-/// What is sent in one frame.
+/// The content of one frame.
 // on the wire: the order of variants and fields is the format
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Packet {
     /// The first packet of both sides.
     Introduction {
-        /// The member's name.
+        /// Name of the sender.
         name: String,
-        /// The stamp of the election state that it has.
+        /// Stamp of the sender's election state.
         stamp: u64,
     },
     /// A message of the leader election.
@@ -22,16 +22,16 @@
         order: (u64, u64),
         /// Index of the chunk, from zero.
         part: u32,
-        /// How many chunks there are.
+        /// Number of chunks.
         parts: u32,
         /// The bytes of the chunk.
         bytes: Vec<u8>,
     },
     /// A request of an operator.
     Request(Request),
-    /// The response to it.
+    /// The response to a request.
     Response(Response),
-    /// Why the sender closes the stream.
+    /// The reason why the sender closes the stream.
     Rejected(String),
     /// A message of singleton tasks.
     Task(grebespool_singleton_tasks::Message),
--- a/crates/cluster/src/writer.rs
+++ b/crates/cluster/src/writer.rs
@@ -1,4 +1,5 @@
-//! Writes to the state folder, each kind on a thread of its own, so that a slow disk delays neither heartbeats nor orders.
+//! Writes to the state folder. Each kind of write has its own thread, so that a slow disk delays neither heartbeats nor
+//! orders.
 
 use crate::store::Store;
 use grebespool_config_consensus::StoredState;
@@ -12,14 +13,14 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tracing::warn;
 
-/// Between two attempts to write.
+/// Delay before a failed write is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The result of a write.
 pub(crate) enum WriteResult {
     /// The election state with this stamp is on disk.
     Election(u64),
-    /// The election state cannot be written; it is retried.
+    /// The election state cannot be written; the write is retried.
     ElectionFailed(io::Error),
     /// Journal entries up to this stamp are on disk.
     Entries(u64),
@@ -38,7 +39,7 @@
 /// Journal entries to be written in one transaction.
 struct EntryWrites {
     entries: Vec<EntryWrite>,
-    /// With these the member has all that it should have.
+    /// True if the member has all entries that it should have once these are written.
     complete: bool,
 }
 
@@ -52,7 +53,7 @@
     bytes: Vec<u8>,
 }
 
-/// Hands writes to their threads, which end when this is dropped.
+/// Passes writes to their threads, which end when the writer is dropped.
 pub(crate) struct DiskWriter {
     election: Sender<HardState>,
     snapshots: Sender<SnapshotWrite>,
@@ -74,8 +75,8 @@
     }
 
     /// Writes the state of the election.
-    pub(crate) fn write_election(&self, kept: HardState) {
-        let _ = self.election.send(kept);
+    pub(crate) fn write_election(&self, state: HardState) {
+        let _ = self.election.send(state);
     }
 
     /// Writes a leader's snapshot.
@@ -83,12 +84,12 @@
         let _ = self.snapshots.send(SnapshotWrite { order, bytes });
     }
 
-    /// Writes journal entries. `complete`: with these, the member has all that it should have.
+    /// Writes journal entries. `complete` is true if the member has all entries that it should have once these are written.
     pub(crate) fn write_entries(&self, entries: Vec<EntryWrite>, complete: bool) {
         let _ = self.entries.send(EntryWrites { entries, complete });
     }
 
-    /// Writes what was counted.
+    /// Writes the counted requests.
     pub(crate) fn write_tally(&self, tally: Tally) {
         let _ = self.tallies.send(tally);
     }
@@ -110,44 +111,44 @@
     sender
 }
 
-/// The newest of this item and those that wait. Each holds the whole state, so the last one is enough.
-fn newest<T>(waiting: &Receiver<T>, item: T) -> T {
-    waiting.try_iter().last().unwrap_or(item)
+/// Returns the newest of this item and the queued ones. Each item contains the whole state, so older ones are not written.
+fn newest<T>(queue: &Receiver<T>, item: T) -> T {
+    queue.try_iter().last().unwrap_or(item)
 }
 
-fn write_election(store: &Store, waiting: &Receiver<HardState>, results: &UnboundedSender<WriteResult>) {
-    while let Ok(kept) = waiting.recv() {
-        let mut kept = newest(waiting, kept);
+fn write_election(store: &Store, queue: &Receiver<HardState>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(state) = queue.recv() {
+        let mut state = newest(queue, state);
         let mut failed = false;
-        while let Err(error) = store.write_election(&kept) {
+        while let Err(error) = store.write_election(&state) {
             let first = !std::mem::replace(&mut failed, true);
             if first && results.send(WriteResult::ElectionFailed(error)).is_err() {
                 return;
             }
             thread::sleep(WRITE_RETRY_DELAY);
-            kept = newest(waiting, kept);
+            state = newest(queue, state);
         }
-        if results.send(WriteResult::Election(kept.revision)).is_err() {
+        if results.send(WriteResult::Election(state.revision)).is_err() {
             return;
         }
     }
 }
 
-fn write_snapshots(store: &Store, waiting: &Receiver<SnapshotWrite>, _: &UnboundedSender<WriteResult>) {
-    while let Ok(snapshot) = waiting.recv() {
-        let SnapshotWrite { order, bytes } = newest(waiting, snapshot);
+fn write_snapshots(store: &Store, queue: &Receiver<SnapshotWrite>, _: &UnboundedSender<WriteResult>) {
+    while let Ok(snapshot) = queue.recv() {
+        let SnapshotWrite { order, bytes } = newest(queue, snapshot);
         if let Err(error) = store.write_snapshot(order, &bytes) {
             let folder = store.folder().display();
-            warn!(%folder, ?order, %error, "cannot write a leader's snapshot; keeping the one before it");
+            warn!(%folder, ?order, %error, "cannot write a leader's snapshot; keeping the previous one");
         }
     }
 }
 
-/// Entries that wait are written at once. A write that fails is retried, and not acknowledged until it is on disk: a quorum
-/// continues without this member.
-fn write_entries(store: &Store, waiting: &Receiver<EntryWrites>, results: &UnboundedSender<WriteResult>) {
-    while let Ok(EntryWrites { mut entries, mut complete }) = waiting.recv() {
-        for more in waiting.try_iter() {
+/// Writes all queued entries in one transaction. A failed write is retried, and not acknowledged until it is on disk: a
+/// quorum continues without this member.
+fn write_entries(store: &Store, queue: &Receiver<EntryWrites>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(EntryWrites { mut entries, mut complete }) = queue.recv() {
+        for more in queue.try_iter() {
             entries.extend(more.entries);
             complete |= more.complete;
         }
@@ -167,12 +168,12 @@
     }
 }
 
-/// A write that fails is retried, and not acknowledged until it is on disk.
-fn write_versions(store: &Store, waiting: &Receiver<VersionsWrite>, results: &UnboundedSender<WriteResult>) {
-    while let Ok(mut write) = waiting.recv() {
+/// Writes the newest queued state. A failed write is retried, and not acknowledged until it is on disk.
+fn write_versions(store: &Store, queue: &Receiver<VersionsWrite>, results: &UnboundedSender<WriteResult>) {
+    while let Ok(mut write) = queue.recv() {
         let mut failed = false;
         loop {
-            write = newest(waiting, write);
+            write = newest(queue, write);
             let Err(error) = store.write_versions(&write.state) else { break };
             if !std::mem::replace(&mut failed, true) {
                 let folder = store.folder().display();
@@ -186,9 +187,9 @@
     }
 }
 
-fn write_tallies(store: &Store, waiting: &Receiver<Tally>, _: &UnboundedSender<WriteResult>) {
-    while let Ok(tally) = waiting.recv() {
-        let tally = newest(waiting, tally);
+fn write_tallies(store: &Store, queue: &Receiver<Tally>, _: &UnboundedSender<WriteResult>) {
+    while let Ok(tally) = queue.recv() {
+        let tally = newest(queue, tally);
         if let Err(error) = store.write_tally(&tally) {
             let folder = store.folder().display();
             warn!(%folder, %error, "cannot write the counted requests; serving them from memory");
--- a/crates/config-consensus/src/configuration/validation.rs
+++ b/crates/config-consensus/src/configuration/validation.rs
@@ -8,6 +8,7 @@
 const SHARE_TOLERANCE: f64 = 1e-9;
 
 /// A reason why a configuration is invalid, with the entry that it concerns.
+// tests of `grebespool-cli` match the beginnings of some texts
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ValidationError {
     /// A value is out of its range.
--- a/crates/config-consensus/src/coordinator/batch.rs
+++ b/crates/config-consensus/src/coordinator/batch.rs
@@ -19,6 +19,7 @@
     #[error(transparent)]
     Invalid(#[from] ValidationError),
     /// The proposal sets the state of a server that does not exist.
+    // tests of `grebespool-cli` match the beginning of this text
     #[error("nothing of that name to change: {0:?}")]
     NothingToChange(Change),
 }
