--- a/crates/cluster/tests/cluster.rs
+++ b/crates/cluster/tests/cluster.rs
@@ -1,5 +1,5 @@
-//! State folders that are torn, copied, shared or of another fleet; streams that are altered, replayed or authenticated with
-//! another key.
+//! State folders that are damaged, copied, shared or of another fleet, and streams whose frames are altered or replayed or
+//! that use another key.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -16,19 +16,19 @@
 const FLEET: u64 = 77;
 
 fn membership() -> Membership {
-    let seat = |n: u64| (n, Voter { name: format!("m{n}"), address: format!("127.0.0.1:{n}") });
-    Membership { version: MembershipVersion::default(), voters: (1..=3).map(seat).collect() }
+    let voter = |n: u64| (n, Voter { name: format!("m{n}"), address: format!("127.0.0.1:{n}") });
+    Membership { version: MembershipVersion::default(), voters: (1..=3).map(voter).collect() }
 }
 
-fn formed() -> tempfile::TempDir {
+fn formed_folder() -> tempfile::TempDir {
     let folder = tempfile::tempdir().unwrap();
     Store::form(folder.path(), FLEET, 1, membership()).unwrap();
     folder
 }
 
 #[rstest]
-fn finds_the_election_state_again() {
-    let folder = formed();
+fn a_reopened_folder_contains_the_written_election_state() {
+    let folder = formed_folder();
     let (store, first) = Store::open(folder.path(), FLEET).unwrap();
     assert_eq!((first.id, first.term, &first.membership), (1, 0, &membership()));
     let voted = HardState { term: 4, voted_for: Some(3), revision: 9, ..first };
@@ -37,7 +37,7 @@
     assert_eq!(Store::open(folder.path(), FLEET).unwrap().1, voted);
 }
 
-fn spoil(file: &Path) {
+fn damage(file: &Path) {
     let mut bytes = std::fs::read(file).unwrap();
     let middle = bytes.len() / 2;
     bytes[..middle].fill(0xAA);
@@ -45,24 +45,24 @@
 }
 
 #[rstest]
-fn rejects_a_folder_that_is_missing_taken_foreign_open_or_damaged() {
+fn a_folder_that_is_empty_formed_open_damaged_or_of_another_fleet_is_rejected() {
     let empty = tempfile::tempdir().unwrap();
     assert!(matches!(Store::open(empty.path(), FLEET), Err(StoreError::NotFormed(_))));
-    let folder = formed();
+    let folder = formed_folder();
     assert!(matches!(Store::form(folder.path(), FLEET, 1, membership()), Err(StoreError::AlreadyFormed(_))));
     assert!(matches!(
         Store::open(folder.path(), 78),
         Err(StoreError::OtherFleet { found: FLEET, expected: 78, .. })
     ));
-    let held = Store::open(folder.path(), FLEET).unwrap();
+    let open = Store::open(folder.path(), FLEET).unwrap();
     assert!(
         matches!(Store::open(folder.path(), FLEET), Err(StoreError::Open { .. })),
-        "two processes on one folder"
+        "opened a folder that is already open"
     );
-    drop(held);
-    spoil(&folder.path().join("state.redb"));
-    let spoilt = Store::open(folder.path(), FLEET).map(|_| ());
-    assert!(matches!(spoilt, Err(StoreError::Open { .. } | StoreError::Damaged { .. })), "{spoilt:?}");
+    drop(open);
+    damage(&folder.path().join("state.redb"));
+    let damaged = Store::open(folder.path(), FLEET).map(|_| ());
+    assert!(matches!(damaged, Err(StoreError::Open { .. } | StoreError::Damaged { .. })), "{damaged:?}");
 }
 
 fn snapshot(number: u64) -> Snapshot {
@@ -70,21 +70,21 @@
 }
 
 #[rstest]
-fn keeps_two_snapshots_and_falls_back_from_a_damaged_one() {
-    let folder = formed();
+fn a_damaged_snapshot_is_set_aside_and_the_newest_intact_one_is_read() {
+    let folder = formed_folder();
     let (store, _) = Store::open(folder.path(), FLEET).unwrap();
-    let none = |_, _| panic!("none is damaged");
-    assert_eq!(store.read_snapshot(none).unwrap(), None);
+    let none_damaged = |order, _| panic!("{order:?} is damaged");
+    assert_eq!(store.read_snapshot(none_damaged).unwrap(), None);
     for number in 1..=4 {
         store.write_snapshot((3, number), &snapshot(number).encode().unwrap()).unwrap();
     }
-    assert_eq!(store.read_snapshot(none).unwrap(), Some(snapshot(4)));
+    assert_eq!(store.read_snapshot(none_damaged).unwrap(), Some(snapshot(4)));
     let mut torn = snapshot(5).encode().unwrap();
     torn.truncate(torn.len() - 1);
     store.write_snapshot((3, 5), &torn).unwrap();
-    let mut named = vec![];
-    assert_eq!(store.read_snapshot(|order, _| named.push(order)).unwrap(), Some(snapshot(4)));
-    assert_eq!((named, store.damaged_snapshots().unwrap()), (vec![(3, 5)], 1));
+    let mut damaged = vec![];
+    assert_eq!(store.read_snapshot(|order, _| damaged.push(order)).unwrap(), Some(snapshot(4)));
+    assert_eq!((damaged, store.damaged_snapshots().unwrap()), (vec![(3, 5)], 1));
 }
 
 #[rstest]
@@ -104,14 +104,14 @@
 }
 
 #[rstest]
-#[case::none("", "0 keys")]
-#[case::short("short", "at least 16 bytes")]
-#[case::many("0123456789abcdef\n0123456789abcdeg\n0123456789abcdeh\n0123456789abcdei", "4 keys")]
-fn rejects_a_bad_key_file(#[case] text: &str, #[case] says: &str) {
+#[case::no_keys("", "0 keys")]
+#[case::short_key("short", "at least 16 bytes")]
+#[case::too_many_keys("0123456789abcdef\n0123456789abcdeg\n0123456789abcdeh\n0123456789abcdei", "4 keys")]
+fn an_invalid_key_file_is_rejected(#[case] text: &str, #[case] expected: &str) {
     let mut file = tempfile::NamedTempFile::new().unwrap();
     write!(file, "{text}").unwrap();
-    let why = Keys::read(file.path()).map(|_| ()).unwrap_err().to_string();
-    assert!(why.contains(says), "{why}");
+    let error = Keys::read(file.path()).map(|_| ()).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
 
 type Authenticated = Result<AuthenticatedStream<DuplexStream>, TransportError>;
@@ -131,12 +131,12 @@
 }
 
 #[rstest]
-#[case::the_same(&[ONE], &[ONE], true)]
-#[case::the_new_one_is_known_already(&[ONE], &[ONE, TWO], true)]
-#[case::the_new_one_is_first_here(&[TWO, ONE], &[ONE, TWO], true)]
-#[case::another(&[TWO], &[ONE], false)]
+#[case::same_key(&[ONE], &[ONE], true)]
+#[case::accepting_side_also_has_the_new_key(&[ONE], &[ONE, TWO], true)]
+#[case::connecting_side_uses_the_new_key(&[TWO, ONE], &[ONE, TWO], true)]
+#[case::unknown_key(&[TWO], &[ONE], false)]
 #[tokio::test]
-async fn accepts_each_step_of_a_key_rotation(
+async fn a_stream_is_accepted_if_the_accepting_side_has_the_connecting_sides_first_key(
     #[case] connecting: &[&str],
     #[case] accepting: &[&str],
     #[case] accepted: bool,
@@ -160,21 +160,21 @@
 }
 
 #[rstest]
-#[case::a_strangers_fleet(Identity { fleet: 78, id: 1 }, "is of fleet")]
-#[case::its_own_id(Identity { fleet: FLEET, id: 2 }, "own id")]
+#[case::another_fleet(Identity { fleet: 78, id: 1 }, "is of fleet")]
+#[case::same_id(Identity { fleet: FLEET, id: 2 }, "own id")]
 #[tokio::test]
-async fn both_sides_reject_another_fleet_and_a_copied_folder(
+async fn both_sides_reject_another_fleet_and_their_own_id(
     #[case] connecting: Identity,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let (a, b) = connect_both((connecting, keys(&[ONE])), (own(2), keys(&[ONE]))).await;
     for side in [a.map(|_| ()).unwrap_err(), b.map(|_| ()).unwrap_err()] {
-        assert!(side.to_string().contains(says), "{side}");
+        assert!(side.to_string().contains(expected), "{side}");
     }
 }
 
-/// Everything between two authenticated ends, as one that taps the wire has it.
-async fn tapped(alter: impl Fn(Vec<u8>) -> Vec<u8>) -> Vec<Result<Packet, TransportError>> {
+/// Sends three packets over an authenticated stream whose bytes pass through `alter`, and returns what the receiver gets.
+async fn receive_altered(alter: impl Fn(Vec<u8>) -> Vec<u8>) -> Vec<Result<Packet, TransportError>> {
     let (near, mut tap_near) = duplex(1 << 16);
     let (mut tap_far, far) = duplex(1 << 16);
     let connect =
@@ -187,8 +187,8 @@
     tap_far.read_exact(&mut hello).await.unwrap();
     tap_near.write_all(&hello).await.unwrap();
     let (mut a, mut b) = (connect.await.unwrap(), accept.await.unwrap());
-    for epoch in 1..=3 {
-        a.send(&Packet::Election(Message::VoteGranted { term: epoch })).await.unwrap();
+    for term in 1..=3 {
+        a.send(&Packet::Election(Message::VoteGranted { term })).await.unwrap();
     }
     let mut bytes = vec![0; 4096];
     let count = tap_near.read(&mut bytes).await.unwrap();
@@ -202,35 +202,36 @@
     received
 }
 
+/// Returns the number of votes that were received before the first other result.
 fn votes(received: &[Result<Packet, TransportError>]) -> usize {
     received.iter().take_while(|p| matches!(p, Ok(Packet::Election(Message::VoteGranted { .. })))).count()
 }
 
 #[rstest]
 #[tokio::test]
-async fn ends_a_stream_whose_frames_are_altered_omitted_or_replayed() {
-    let frame = |bytes: &[u8]| bytes.len() / 3;
-    assert_eq!(votes(&tapped(|b| b).await), 3);
+async fn a_stream_ends_at_an_altered_omitted_or_replayed_frame() {
+    let frame_length = |bytes: &[u8]| bytes.len() / 3;
+    assert_eq!(votes(&receive_altered(|b| b).await), 3);
     for at in 0..60 {
-        let altered = tapped(|mut b| {
+        let altered = receive_altered(|mut b| {
             let at = at % b.len();
             b[at] ^= 1;
             b
         })
         .await;
-        assert!(votes(&altered) < 3, "byte {at}");
+        assert!(votes(&altered) < 3, "byte {at} is altered");
     }
-    let again = tapped(|b| [&b[..frame(&b)], &b[..]].concat()).await;
-    assert_eq!(votes(&again), 1, "the first frame twice");
-    assert!(matches!(again[1], Err(TransportError::WrongCode)));
-    let left_out = tapped(|b| [&b[..frame(&b)], &b[2 * frame(&b)..]].concat()).await;
-    assert_eq!(votes(&left_out), 1, "the second frame left out");
-    assert_eq!(votes(&tapped(|b| b[..b.len() - 1].to_vec()).await), 2, "cut off within the last");
+    let replayed = receive_altered(|b| [&b[..frame_length(&b)], &b[..]].concat()).await;
+    assert_eq!(votes(&replayed), 1, "the first frame is sent twice");
+    assert!(matches!(replayed[1], Err(TransportError::WrongCode)));
+    let omitted = receive_altered(|b| [&b[..frame_length(&b)], &b[2 * frame_length(&b)..]].concat()).await;
+    assert_eq!(votes(&omitted), 1, "the second frame is omitted");
+    assert_eq!(votes(&receive_altered(|b| b[..b.len() - 1].to_vec()).await), 2, "the last frame is cut off");
 }
 
 #[rstest]
 #[tokio::test]
-async fn names_another_protocol_version() {
+async fn another_protocol_version_is_rejected_with_its_number() {
     let (mut near, far) = duplex(1 << 10);
     let accept =
         tokio::spawn(
@@ -240,6 +241,6 @@
     hello.extend_from_slice(&(PROTOCOL_VERSION + 1).to_be_bytes());
     hello.extend_from_slice(&[7; 40]);
     near.write_all(&hello).await.unwrap();
-    let why = accept.await.unwrap().unwrap_err().to_string();
-    assert!(why.contains(&format!("speaks version {}", PROTOCOL_VERSION + 1)), "{why}");
+    let error = accept.await.unwrap().unwrap_err().to_string();
+    assert!(error.contains(&format!("speaks version {}", PROTOCOL_VERSION + 1)), "{error}");
 }
--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes, or a
-//! name and JSON.
+//! The encodings that are stored or sent, byte for byte. Each line of a fixture is a name and the bytes of its value in hex,
+//! or a name and JSON.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -36,7 +36,8 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// Each value encodes to the bytes of its line, and these decode to it; no line is left over.
+/// Asserts that each value encodes to the bytes of its line, that these bytes decode to the value, and that there are no
+/// other lines.
 fn assert_postcard_fixture<T>(fixture: &str, values: &[(&str, T)])
 where
     T: Serialize + DeserializeOwned + Debug + PartialEq,
@@ -62,12 +63,12 @@
     initial_membership(fleet_id(FLEET), members)
 }
 
-fn record(ended: bool) -> StepRecord {
-    StepRecord { token: token(), step: 17, completed: ended, content: vec![1, 2, 255] }
+fn record(completed: bool) -> StepRecord {
+    StepRecord { token: token(), step: 17, completed, content: vec![1, 2, 255] }
 }
 
-fn cell(ended: bool) -> RegisterEntry {
-    RegisterEntry { highest_token: FencingToken { term: 3, number: 301 }, record: Some(record(ended)) }
+fn register_entry(completed: bool) -> RegisterEntry {
+    RegisterEntry { highest_token: FencingToken { term: 3, number: 301 }, record: Some(record(completed)) }
 }
 
 fn counts() -> Counts {
@@ -83,7 +84,7 @@
 
 fn snapshot(number: u64) -> Snapshot {
     let addr = "10.0.0.1:8080".parse().unwrap();
-    let listed = |number, phase| EndpointRecord {
+    let endpoint = |number, phase| EndpointRecord {
         addr,
         number,
         zone: "north".into(),
@@ -95,7 +96,7 @@
         number,
         list_version: 12,
         list_ms: 1_700_000_000_500,
-        endpoints: vec![listed(1, EndpointPhase::Ready), listed(2, EndpointPhase::Draining)],
+        endpoints: vec![endpoint(1, EndpointPhase::Ready), endpoint(2, EndpointPhase::Draining)],
         weights: vec![LearnedWeight { addr, number: 1, weight: 1.25 }],
         drains: vec![KnownDrain { addr, number: 2, known_for_ms: 900 }],
         applied_orders: vec![AppliedOrders { proxy: "p1".into(), sequence: 77 }],
@@ -104,7 +105,7 @@
     }
 }
 
-fn content() -> Configuration {
+fn configuration() -> Configuration {
     let server = |capacity, state| Server { rack: "r1".into(), capacity, state };
     Configuration {
         routes: BTreeMap::from([("browse".into(), Route { importance: 1.5, max_share: 0.75 })]),
@@ -126,7 +127,7 @@
 
 fn changes() -> Vec<Change> {
     vec![
-        Change::Replace(Box::new(content())),
+        Change::Replace(Box::new(configuration())),
         Change::Route("search".into(), None),
         Change::Limit("power.reserve".into(), Some(Limit::AtLeast(0.2))),
         Change::Rack("r2".into(), None),
@@ -147,13 +148,13 @@
     HardState { id, fleet: fleet_id(FLEET), term: 4, voted_for: vote, membership: membership(), revision: 9 }
 }
 
-const DUTIES: [&str; 2] = ["accounts", "editions"];
+const TASKS: [&str; 2] = ["accounts", "editions"];
 
-fn duties() -> Vec<String> {
-    DUTIES.map(String::from).to_vec()
+fn task_names() -> Vec<String> {
+    TASKS.map(String::from).to_vec()
 }
 
-/// What a folder's tables hold: `file|table|key|value`, each value in hex, numbers as they are.
+/// Returns the content of a folder's tables as lines `file|table|key|value`. Values are in hex, numbers in decimal.
 fn dump(folder: &Path) -> Vec<String> {
     let mut lines = vec![];
     let state = Database::open(folder.join("state.redb")).unwrap().begin_read().unwrap();
@@ -169,16 +170,16 @@
         let (key, value) = entry.unwrap();
         lines.push(format!("state.redb|counts|{}|{}", key.value(), value.value()));
     }
-    let memories = Database::open(folder.join("memories.redb")).unwrap().begin_read().unwrap();
+    let snapshots = Database::open(folder.join("memories.redb")).unwrap().begin_read().unwrap();
     for table in ["memories", "set aside"] {
-        let open = memories.open_table(TableDefinition::<(u64, u64), &[u8]>::new(table)).unwrap();
+        let open = snapshots.open_table(TableDefinition::<(u64, u64), &[u8]>::new(table)).unwrap();
         for entry in open.iter().unwrap() {
             let (key, value) = entry.unwrap();
-            let (epoch, number) = key.value();
-            lines.push(format!("memories.redb|{table}|{epoch}.{number}|{}", to_hex(value.value())));
+            let (term, number) = key.value();
+            lines.push(format!("memories.redb|{table}|{term}.{number}|{}", to_hex(value.value())));
         }
     }
-    let tally = memories.open_table(TableDefinition::<&str, &[u8]>::new("tally")).unwrap();
+    let tally = snapshots.open_table(TableDefinition::<&str, &[u8]>::new("tally")).unwrap();
     for entry in tally.iter().unwrap() {
         let (key, value) = entry.unwrap();
         lines.push(format!("memories.redb|tally|{}|{}", key.value(), to_hex(value.value())));
@@ -186,7 +187,7 @@
     lines
 }
 
-/// Makes a folder of what [`dump`] gave.
+/// Creates the databases of a folder from the lines of [`dump`].
 fn restore(folder: &Path, lines: &str) {
     for line in lines.lines() {
         let [file, table, key, value] = line.split('|').collect::<Vec<_>>().try_into().unwrap();
@@ -198,8 +199,8 @@
                 open.insert(key, value.parse::<u64>().unwrap()).unwrap();
             }
             "memories" | "set aside" => {
-                let (epoch, number) = key.split_once('.').unwrap();
-                let key = (epoch.parse::<u64>().unwrap(), number.parse::<u64>().unwrap());
+                let (term, number) = key.split_once('.').unwrap();
+                let key = (term.parse::<u64>().unwrap(), number.parse::<u64>().unwrap());
                 let mut open = write.open_table(TableDefinition::<(u64, u64), &[u8]>::new(table)).unwrap();
                 open.insert(key, from_hex(value).as_slice()).unwrap();
             }
@@ -212,25 +213,25 @@
     }
 }
 
-fn spoil(mut bytes: Vec<u8>) -> Vec<u8> {
+fn damage(mut bytes: Vec<u8>) -> Vec<u8> {
     *bytes.last_mut().unwrap() ^= 1;
     bytes
 }
 
-/// Spoils a journal's cell on the disk, as a torn write would.
-fn spoil_cell(folder: &Path, name: &str) {
+/// Damages a stored journal entry, as a torn write does.
+fn damage_entry(folder: &Path, name: &str) {
     let state = Database::open(folder.join("state.redb")).unwrap();
     let write = state.begin_write().unwrap();
     {
-        let mut cells = write.open_table(TableDefinition::<&str, &[u8]>::new("cells")).unwrap();
-        let spoilt = spoil(cells.get(name).unwrap().unwrap().value().to_vec());
-        cells.insert(name, spoilt.as_slice()).unwrap();
+        let mut entries = write.open_table(TableDefinition::<&str, &[u8]>::new("cells")).unwrap();
+        let damaged = damage(entries.get(name).unwrap().unwrap().value().to_vec());
+        entries.insert(name, damaged.as_slice()).unwrap();
     }
     write.commit().unwrap();
 }
 
 #[rstest]
-fn a_folder_is_written_to_the_same_tables_keys_and_bytes() {
+fn a_folder_is_written_to_the_tables_keys_and_bytes_of_the_fixture() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path();
     Store::form(path, fleet_id(FLEET), voter_id(fleet_id(FLEET), "a"), membership()).unwrap();
@@ -238,17 +239,17 @@
     assert_eq!(formed.membership, membership());
     store.write_election(&hard_state()).unwrap();
     store.write_snapshot((3, 1), &snapshot(1).encode().unwrap()).unwrap();
-    store.write_snapshot((3, 2), &spoil(snapshot(2).encode().unwrap())).unwrap();
+    store.write_snapshot((3, 2), &damage(snapshot(2).encode().unwrap())).unwrap();
     assert_eq!(store.read_snapshot(|order, _| assert_eq!(order, (3, 2))).unwrap(), Some(snapshot(1)));
     store.write_snapshot((3, 3), &snapshot(3).encode().unwrap()).unwrap();
-    let cells = DUTIES.map(|name| (name.to_string(), cell(name == "editions")));
-    store.write_entries(&cells, Some(true)).unwrap();
+    let entries = TASKS.map(|name| (name.to_string(), register_entry(name == "editions")));
+    store.write_entries(&entries, Some(true)).unwrap();
     drop(store);
-    spoil_cell(path, "accounts");
+    damage_entry(path, "accounts");
     let (store, _) = Store::open(path, fleet_id(FLEET)).unwrap();
     let StoredEntries { entries, complete } =
-        store.read_entries(&duties(), |name, _| assert_eq!(name, "accounts")).unwrap();
-    assert_eq!((entries, complete), (BTreeMap::from([(1, cell(true))]), false));
+        store.read_entries(&task_names(), |name, _| assert_eq!(name, "accounts")).unwrap();
+    assert_eq!((entries, complete), (BTreeMap::from([(1, register_entry(true))]), false));
     store.write_versions(&stored_versions()).unwrap();
     store.write_tally(&tally()).unwrap();
     assert_eq!(store.count_start().unwrap(), 1);
@@ -257,7 +258,7 @@
 }
 
 #[rstest]
-fn a_folder_that_was_written_before_opens_with_all_that_it_holds() {
+fn a_folder_with_the_content_of_the_fixture_is_read_completely() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path();
     restore(path, include_str!("fixtures/state-folder.txt"));
@@ -266,15 +267,15 @@
     assert_eq!(store.read_snapshot(|order, _| panic!("{order:?} is damaged")).unwrap(), Some(snapshot(3)));
     assert_eq!(store.damaged_snapshots().unwrap(), 1);
     let StoredEntries { entries, complete } =
-        store.read_entries(&duties(), |name, _| panic!("{name} is damaged")).unwrap();
-    assert_eq!((entries, complete), (BTreeMap::from([(1, cell(true))]), false));
+        store.read_entries(&task_names(), |name, _| panic!("{name} is damaged")).unwrap();
+    assert_eq!((entries, complete), (BTreeMap::from([(1, register_entry(true))]), false));
     assert_eq!(store.read_versions(|error| panic!("{error}")).unwrap(), stored_versions());
     assert_eq!(store.read_tally().unwrap(), tally());
     assert_eq!(store.count_start().unwrap(), 2);
 }
 
 #[rstest]
-fn account_files_that_were_written_before_are_read() {
+fn account_files_of_the_fixture_are_read() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/accounts");
     let longest_gap = Duration::from_secs(1);
     let expected =
@@ -285,7 +286,7 @@
 const KEY_FILE: &str = "the first of the members' keys\nthe second of the members' keys\n";
 
 #[rstest]
-fn ids_and_keys_are_derived_as_before() {
+fn ids_and_keys_are_derived_as_in_the_fixture() {
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), KEY_FILE).unwrap();
     let keys = Keys::read(file.path()).unwrap();
@@ -302,16 +303,16 @@
 }
 
 fn requests() -> Vec<(&'static str, Request)> {
-    let duty = |order| Request::Task { name: "accounts".into(), order };
+    let task = |order| Request::Task { name: "accounts".into(), order };
     vec![
         ("show", Request::ShowMember),
         ("add", Request::Add { name: "d".into(), address: "d.example:7100".into() }),
         ("remove", Request::Remove { name: "d".into() }),
         ("step-down", Request::StepDown),
         ("duties", Request::ShowTasks),
-        ("duty-move", duty(TaskOrder::Move("b".into()))),
-        ("duty-hold", duty(TaskOrder::Suspend(30_000))),
-        ("duty-release", duty(TaskOrder::Release)),
+        ("duty-move", task(TaskOrder::Move("b".into()))),
+        ("duty-hold", task(TaskOrder::Suspend(30_000))),
+        ("duty-release", task(TaskOrder::Release)),
         ("editions", Request::ShowConfiguration),
         ("propose", Request::Propose { changes: changes(), forced: true }),
         ("sites", Request::ShowSites),
@@ -398,56 +399,59 @@
 }
 
 #[rstest]
-fn requests_and_responses_keep_their_json() {
+fn requests_and_responses_encode_to_the_json_of_the_fixtures() {
     assert_json_fixture(include_str!("fixtures/questions.jsonl"), &requests());
     assert_json_fixture(include_str!("fixtures/answers.jsonl"), &responses());
 }
 
-fn election() -> Vec<(&'static str, ElectionMessage)> {
-    let (epoch, number, version) = (4, 300, MembershipVersion { term: 3, number: 1 });
+fn election_messages() -> Vec<(&'static str, ElectionMessage)> {
+    let (term, number, version) = (4, 300, MembershipVersion { term: 3, number: 1 });
     vec![
-        ("canvass", ElectionMessage::PreVoteRequest { term: epoch, membership_version: version }),
-        ("favour", ElectionMessage::PreVoteGranted { term: epoch }),
+        ("canvass", ElectionMessage::PreVoteRequest { term, membership_version: version }),
+        ("favour", ElectionMessage::PreVoteGranted { term }),
         (
             "ask",
-            ElectionMessage::VoteRequest {
-                term: epoch,
-                membership_version: version,
-                leadership_transfer: true,
-            },
+            ElectionMessage::VoteRequest { term, membership_version: version, leadership_transfer: true },
         ),
-        ("vote", ElectionMessage::VoteGranted { term: epoch }),
-        ("beat", ElectionMessage::Heartbeat { term: epoch, number, membership_version: version }),
-        ("heard", ElectionMessage::HeartbeatAck { term: epoch, number, membership_version: version }),
-        ("newer", ElectionMessage::NewerTerm { term: epoch }),
+        ("vote", ElectionMessage::VoteGranted { term }),
+        ("beat", ElectionMessage::Heartbeat { term, number, membership_version: version }),
+        ("heard", ElectionMessage::HeartbeatAck { term, number, membership_version: version }),
+        ("newer", ElectionMessage::NewerTerm { term }),
         (
             "seats",
             ElectionMessage::MembershipUpdate {
-                term: epoch,
-                membership: Membership { version: MembershipVersion { term: 3, number: 1 }, voters: seats() },
+                term,
+                membership: Membership {
+                    version: MembershipVersion { term: 3, number: 1 },
+                    voters: voters(),
+                },
             },
         ),
-        ("turn", ElectionMessage::TransferLeadership { term: epoch }),
+        ("turn", ElectionMessage::TransferLeadership { term }),
     ]
 }
 
-fn seats() -> BTreeMap<u64, Voter> {
+fn voters() -> BTreeMap<u64, Voter> {
     BTreeMap::from([(5, Voter { name: "a".into(), address: "a.example:7100".into() })])
 }
 
-/// Of the kinds of messages of duties and editions, of which the packages that own them have all.
-fn of_duties() -> Vec<(&'static str, grebespool_singleton_tasks::Message)> {
+/// Returns some messages of singleton tasks; the fixtures of `grebespool-singleton-tasks` contain all kinds.
+fn task_messages() -> Vec<(&'static str, grebespool_singleton_tasks::Message)> {
     use grebespool_singleton_tasks::Message;
     vec![
         ("duty-open", Message::OpenRequest { task: 1, token: token() }),
         ("duty-opened", Message::OpenResponse { task: 1, token: token(), record: Some(record(false)) }),
         ("duty-write", Message::WriteRequest { task: 1, record: record(true) }),
-        ("duty-copied", Message::CopyResponse { from: 0, entries: vec![(0, cell(true))], next: Some(1) }),
+        (
+            "duty-copied",
+            Message::CopyResponse { from: 0, entries: vec![(0, register_entry(true))], next: Some(1) },
+        ),
         ("duty-counted", Message::CountResponse { periods: vec![(4000, vec![((2, 1), counts())])] }),
     ]
 }
 
-fn of_editions() -> Vec<(&'static str, Message)> {
+/// Returns some messages of the shared configuration; the fixtures of `grebespool-config-consensus` contain all kinds.
+fn configuration_messages() -> Vec<(&'static str, Message)> {
     let committed = stored_versions().committed.id();
     vec![
         ("edition-call", Message::Announce { token: token(), committed }),
@@ -459,24 +463,27 @@
 }
 
 #[rstest]
-fn frames_between_members_keep_their_bytes() {
+fn packets_encode_to_the_bytes_of_the_fixture() {
     let mut packets = vec![
         ("here", Packet::Introduction { name: "a".into(), stamp: 9 }),
         ("memory", Packet::SnapshotChunk { order: (3, 1), part: 0, parts: 2, bytes: vec![1, 2, 255] }),
         ("refused", Packet::Rejected("another fleet".into())),
     ];
-    packets.extend(election().into_iter().map(|(name, word)| (name, Packet::Election(word))));
+    packets.extend(election_messages().into_iter().map(|(name, message)| (name, Packet::Election(message))));
     packets.extend(requests().into_iter().map(|(name, request)| (name, Packet::Request(request))));
     packets.extend(responses().into_iter().map(|(name, response)| (name, Packet::Response(response))));
-    packets.extend(of_duties().into_iter().map(|(name, word)| (name, Packet::Task(word))));
-    packets.extend(of_editions().into_iter().map(|(name, word)| (name, Packet::Configuration(word))));
+    packets.extend(task_messages().into_iter().map(|(name, message)| (name, Packet::Task(message))));
+    packets.extend(
+        configuration_messages().into_iter().map(|(name, message)| (name, Packet::Configuration(message))),
+    );
     assert_postcard_fixture(include_str!("fixtures/frames.txt"), &packets);
 }
 
-/// The handshake and the frame's code, written here a second time: a member of before is on the other side.
+/// The test implements the handshake and the code of frames a second time, and so guards against a change that members of
+/// earlier releases do not understand.
 #[rstest]
 #[tokio::test]
-async fn the_handshake_and_the_code_of_frames_are_those_of_version_2() {
+async fn the_handshake_and_the_frame_codes_are_those_of_protocol_version_2() {
     let file = tempfile::NamedTempFile::new().unwrap();
     std::fs::write(file.path(), KEY_FILE).unwrap();
     let keys = Keys::read(file.path()).unwrap();
