--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -297,7 +297,7 @@
         listener: between,
         name: members.name.clone(),
         store,
-        kept,
+        election_state: kept,
         election: terms,
         key_file: members.key_file.clone(),
         weights_lifetime: members.weights_kept.0,
--- a/crates/cluster/src/member.rs
+++ b/crates/cluster/src/member.rs
@@ -41,7 +41,7 @@
     /// State folder of the member.
     pub store: Store,
     /// The state of the election that was read from the state folder.
-    pub kept: HardState,
+    pub election_state: HardState,
     /// Parameters of the election's leases.
     pub election: LeaseParameters,
     /// Path of the file with the keys that members share.
@@ -149,15 +149,16 @@
     role: watch::Sender<Role>,
     write_results: &mpsc::UnboundedSender<WriteResult>,
 ) -> Result<(Core, TcpListener), StartError> {
-    let MemberConfig { listener, name, store, kept, election, key_file, weights_lifetime, tasks } = config;
+    let MemberConfig { listener, name, store, election_state, election, key_file, weights_lifetime, tasks } =
+        config;
     let keys = KeyFile::open(&key_file)
         .map_err(|source| StartError::Keys { path: key_file.display().to_string(), source })?;
     let snapshot = read_snapshot(&store, weights_lifetime)?;
-    let (tasks, configuration) = open_tasks(&store, kept.id, tasks)?;
-    let identity = Identity { fleet: kept.fleet, id: kept.id };
-    let endpoint = Rc::new(LocalEndpoint::new(identity, &name, keys, kept.revision));
+    let (tasks, configuration) = open_tasks(&store, election_state.id, tasks)?;
+    let identity = Identity { fleet: election_state.fleet, id: election_state.id };
+    let endpoint = Rc::new(LocalEndpoint::new(identity, &name, keys, election_state.revision));
     let host = ElectionHost::new(DiskWriter::start(&Arc::new(store), write_results), role);
-    let election = Election::new(host, kept, election, rand::random(), Duration::ZERO);
+    let election = Election::new(host, election_state, election, rand::random(), Duration::ZERO);
     let core = Core {
         started: Instant::now(),
         endpoint,
