--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -28,7 +28,7 @@
     let found = audit_accounts(accounts.path()).unwrap();
     assert_eq!((found.duplicates, found.by_stale_holders, found.missing), (0, 0, 0), "{found:?}");
     // A period is 0.4 s; whoever had the accounts, the next went on with them.
-    assert!(found.steps >= 4 && found.calls > 0, "{found:?}");
+    assert!(found.steps >= 4 && found.requests > 0, "{found:?}");
     assert!(found.longest_gap < Duration::from_secs(8), "{found:?}");
     played
 }
--- a/crates/cluster/src/accounts/audit.rs
+++ b/crates/cluster/src/accounts/audit.rs
@@ -20,7 +20,7 @@
     /// Longest time between two consecutive files.
     pub longest_gap: Duration,
     /// Number of requests, by the newest revision of each period.
-    pub calls: u64,
+    pub requests: u64,
 }
 
 /// Audits a folder of accounts.
@@ -73,7 +73,7 @@
     for (index, file) in files.iter().enumerate() {
         let next = files.get(index + 1);
         if next.is_none_or(|next| next.account.period != file.account.period) {
-            audit.calls += file.account.rows.iter().map(|(_, counts)| counts.requests).sum::<u64>();
+            audit.requests += file.account.rows.iter().map(|(_, counts)| counts.requests).sum::<u64>();
         }
     }
 }
--- a/crates/cluster/tests/fixtures.rs
+++ b/crates/cluster/tests/fixtures.rs
@@ -278,8 +278,14 @@
 fn account_files_of_the_fixture_are_read() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/accounts");
     let longest_gap = Duration::from_secs(1);
-    let expected =
-        AccountAudit { steps: 3, duplicates: 0, by_stale_holders: 1, missing: 1, longest_gap, calls: 1012 };
+    let expected = AccountAudit {
+        steps: 3,
+        duplicates: 0,
+        by_stale_holders: 1,
+        missing: 1,
+        longest_gap,
+        requests: 1012,
+    };
     assert_eq!(audit_accounts(&folder).unwrap(), expected);
 }
 
