--- a/crates/config-consensus/src/coordinator/batch.rs
+++ b/crates/config-consensus/src/coordinator/batch.rs
@@ -24,7 +24,7 @@
     NothingToChange(Change),
 }
 
-/// Proposals that are combined into one version.
+/// Proposals that are combined into one version, which is validated against the committed one.
 struct Batch<'a> {
     rules: &'a ValidationRules<'a>,
     committed: &'a ConfigVersion,
@@ -37,7 +37,7 @@
 }
 
 /// The result of adding a proposal to a batch.
-enum Verdict {
+enum BatchResult {
     Accepted,
     Deferred,
     Rejected(Vec<RejectReason>),
@@ -58,34 +58,34 @@
 
     /// Adds a proposal to the version, if it is valid after those that were added before. A proposal that is valid only
     /// without them (together they withdraw too much) is deferred to the next version, and so are later ones of its proposer.
-    fn add(&mut self, proposal: ReadyProposal) -> Verdict {
+    fn add(&mut self, proposal: ReadyProposal) -> BatchResult {
         let ProposalKey { proposer, id } = proposal.key;
         if self.deferred.iter().any(|deferred| deferred.key.proposer == proposer) {
             self.deferred.push(proposal);
-            return Verdict::Deferred;
+            return BatchResult::Deferred;
         }
         match self.apply(&self.configuration, &proposal) {
             Ok(configuration) => {
                 self.configuration = configuration;
                 self.changes.extend(proposal.changes);
                 self.accepted.push(proposal.key);
-                self.decided_by(proposer).last = id;
-                Verdict::Accepted
+                self.decisions_of(proposer).last = id;
+                BatchResult::Accepted
             }
             Err(_) if self.is_valid_alone(&proposal) => {
                 self.deferred.push(proposal);
-                Verdict::Deferred
+                BatchResult::Deferred
             }
             Err(reasons) => {
-                let decided = self.decided_by(proposer);
+                let decided = self.decisions_of(proposer);
                 decided.last = id;
                 decided.rejected.insert(id);
-                Verdict::Rejected(reasons)
+                BatchResult::Rejected(reasons)
             }
         }
     }
 
-    fn decided_by(&mut self, proposer: MemberId) -> &mut DecidedProposals {
+    fn decisions_of(&mut self, proposer: MemberId) -> &mut DecidedProposals {
         self.decided.entry(proposer).or_insert_with(|| self.committed.decided(proposer))
     }
 
@@ -119,7 +119,7 @@
         let mut batch = Batch::new(&self.settings.validation, &self.committed);
         for proposal in self.queue.take_ready() {
             let key = proposal.key;
-            if let Verdict::Rejected(reasons) = batch.add(proposal) {
+            if let BatchResult::Rejected(reasons) = batch.add(proposal) {
                 let reasons: Vec<String> = reasons.iter().map(ToString::to_string).collect();
                 self.queue.reject(key, reasons.clone());
                 let outcome = ProposalOutcome::Rejected(reasons);
--- a/crates/config-consensus/src/message.rs
+++ b/crates/config-consensus/src/message.rs
@@ -72,14 +72,14 @@
 pub enum Message {
     /// From the coordinator: announces itself and the committed version.
     Announce {
-        /// The coordinator's ownership of the journal.
+        /// Token of the coordinator's ownership of the journal.
         token: FencingToken,
         /// The committed version.
         committed: VersionId,
     },
     /// From the coordinator: asks to store this version beside the committed one, and to apply the intersection of both.
     Prepare {
-        /// The coordinator's ownership of the journal.
+        /// Token of the coordinator's ownership of the journal.
         token: FencingToken,
         /// The version.
         header: VersionHeader,
@@ -93,7 +93,7 @@
     },
     /// From the coordinator: asks to apply this version alone from now on.
     Activate {
-        /// The coordinator's ownership of the journal.
+        /// Token of the coordinator's ownership of the journal.
         token: FencingToken,
         /// The version.
         committed: VersionId,
@@ -107,7 +107,7 @@
     },
     /// From the coordinator: the lease on exactly these versions runs from when the renewal with this count was sent.
     Renewed {
-        /// The coordinator's ownership of the journal.
+        /// Token of the coordinator's ownership of the journal.
         token: FencingToken,
         /// The renewal that is answered.
         renewal: Renewal,
--- a/crates/config-consensus/src/node.rs
+++ b/crates/config-consensus/src/node.rs
@@ -35,8 +35,8 @@
 
 /// A member of a fleet that agrees on a configuration.
 ///
-/// Every call that takes the time takes that of the same local monotonic clock, and follows a call of
-/// [`ConsensusNode::set_journal_token`].
+/// All times that are passed to a node must be read from the same local monotonic clock. The caller must call
+/// [`ConsensusNode::set_journal_token`] before each other call.
 pub struct ConsensusNode<H> {
     settings: ConsensusSettings,
     outgoing: Outgoing<H>,
--- a/crates/config-consensus/tests/consensus/test_cluster/network.rs
+++ b/crates/config-consensus/tests/consensus/test_cluster/network.rs
@@ -18,14 +18,14 @@
 
 impl TestCluster {
     /// Delivers a message or a journal step after a random delay.
-    pub(super) fn schedule(&mut self, what: InFlight) {
+    pub(super) fn schedule(&mut self, delivery: InFlight) {
         let delay = self.max_delay.mul_f64(self.rng.random_range(0.1..1.0));
-        self.deliver_at(self.now + delay, what);
+        self.deliver_at(self.now + delay, delivery);
     }
 
-    fn deliver_at(&mut self, at: Duration, what: InFlight) {
+    fn deliver_at(&mut self, at: Duration, delivery: InFlight) {
         self.sent += 1;
-        self.in_flight.insert((at, self.sent), what);
+        self.in_flight.insert((at, self.sent), delivery);
     }
 
     pub(super) fn send(&mut self, from: MemberId, to: MemberId, message: Message) {
@@ -61,13 +61,13 @@
 
     pub(super) fn deliver_due(&mut self) {
         while let Some(first) = self.in_flight.first_entry().filter(|first| first.key().0 <= self.now) {
-            let what = first.remove();
-            self.deliver(what);
+            let delivery = first.remove();
+            self.deliver(delivery);
         }
     }
 
-    fn deliver(&mut self, what: InFlight) {
-        match what {
+    fn deliver(&mut self, delivery: InFlight) {
+        match delivery {
             InFlight::Message { to, from, message } => self.deliver_message(to, from, message),
             InFlight::JournalWrite(id, token, content) => self.deliver_journal_write(id, token, content),
             InFlight::JournalFinish(id, token) => self.deliver_journal_finish(id, token),
