--- a/crates/config-consensus/src/coordinator/batch.rs
+++ b/crates/config-consensus/src/coordinator/batch.rs
@@ -1,4 +1,4 @@
-//! The next version: queued proposals are validated one by one and folded into it.
+//! Assembly of the next version: queued proposals are validated one by one and applied to it.
 
 use super::queue::{ProposalKey, QueuedProposal, ReadyProposal};
 use super::{Coordinator, PendingVersion, Phase};
@@ -12,18 +12,19 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a proposal is rejected.
+/// Reasons why a proposal is rejected.
 #[derive(Debug, Clone, PartialEq, Error)]
 enum RejectReason {
-    /// The configuration after it is not valid.
+    /// The configuration with the proposed changes is invalid.
     #[error(transparent)]
     Invalid(#[from] ValidationError),
-    /// It changes the state of something that is not listed.
+    /// The proposal sets the state of a server that does not exist.
+    // tests of `grebespool-cli` match the beginning of this text
     #[error("nothing of that name to change: {0:?}")]
     NothingToChange(Change),
 }
 
-/// Proposals on their way into one version.
+/// Proposals that are combined into one version, which is validated against the committed one.
 struct Batch<'a> {
     rules: &'a ValidationRules<'a>,
     committed: &'a ConfigVersion,
@@ -31,12 +32,12 @@
     changes: Vec<Change>,
     decided: BTreeMap<MemberId, DecidedProposals>,
     accepted: Vec<ProposalKey>,
-    /// Proposals that wait for the version after this one.
+    /// Proposals that wait for the next version.
     deferred: Vec<ReadyProposal>,
 }
 
-/// What a batch makes of a proposal.
-enum Verdict {
+/// The result of adding a proposal to a batch.
+enum BatchResult {
     Accepted,
     Deferred,
     Rejected(Vec<RejectReason>),
@@ -55,36 +56,36 @@
         }
     }
 
-    /// Adds a proposal to the version, if it is valid on top of those before it. One that withdraws too much only together
-    /// with others waits for the next version, and so do those that its proposer made after it.
-    fn add(&mut self, proposal: ReadyProposal) -> Verdict {
+    /// Adds a proposal to the version, if it is valid after those that were added before. A proposal that is valid only
+    /// without them (together they withdraw too much) is deferred to the next version, and so are later ones of its proposer.
+    fn add(&mut self, proposal: ReadyProposal) -> BatchResult {
         let ProposalKey { proposer, id } = proposal.key;
         if self.deferred.iter().any(|deferred| deferred.key.proposer == proposer) {
             self.deferred.push(proposal);
-            return Verdict::Deferred;
+            return BatchResult::Deferred;
         }
         match self.apply(&self.configuration, &proposal) {
             Ok(configuration) => {
                 self.configuration = configuration;
                 self.changes.extend(proposal.changes);
                 self.accepted.push(proposal.key);
-                self.decided_by(proposer).last = id;
-                Verdict::Accepted
+                self.decisions_of(proposer).last = id;
+                BatchResult::Accepted
             }
             Err(_) if self.is_valid_alone(&proposal) => {
                 self.deferred.push(proposal);
-                Verdict::Deferred
+                BatchResult::Deferred
             }
             Err(reasons) => {
-                let decided = self.decided_by(proposer);
+                let decided = self.decisions_of(proposer);
                 decided.last = id;
                 decided.rejected.insert(id);
-                Verdict::Rejected(reasons)
+                BatchResult::Rejected(reasons)
             }
         }
     }
 
-    fn decided_by(&mut self, proposer: MemberId) -> &mut DecidedProposals {
+    fn decisions_of(&mut self, proposer: MemberId) -> &mut DecidedProposals {
         self.decided.entry(proposer).or_insert_with(|| self.committed.decided(proposer))
     }
 
@@ -92,7 +93,7 @@
         !self.changes.is_empty() && self.apply(self.committed.configuration(), proposal).is_ok()
     }
 
-    /// The configuration after a proposal on top of this one.
+    /// Returns `base` with the changes of a proposal, if the result is valid.
     fn apply(
         &self,
         base: &Configuration,
@@ -110,7 +111,7 @@
 }
 
 impl Coordinator {
-    /// Prepares the next version from the proposals that are here, if none is pending and the journal takes a step.
+    /// Prepares the next version from the proposals that are ready, if no version is pending and the journal accepts a step.
     pub(super) fn prepare_next(&mut self, cx: &mut Context<impl Host>) {
         if !matches!(self.phase, Phase::Idle) || !self.journal_ready || !self.queue.has_ready() {
             return;
@@ -118,7 +119,7 @@
         let mut batch = Batch::new(&self.settings.validation, &self.committed);
         for proposal in self.queue.take_ready() {
             let key = proposal.key;
-            if let Verdict::Rejected(reasons) = batch.add(proposal) {
+            if let BatchResult::Rejected(reasons) = batch.add(proposal) {
                 let reasons: Vec<String> = reasons.iter().map(ToString::to_string).collect();
                 self.queue.reject(key, reasons.clone());
                 let outcome = ProposalOutcome::Rejected(reasons);
@@ -126,8 +127,8 @@
             }
         }
         let Batch { changes, mut decided, accepted, deferred, .. } = batch;
-        self.queue.put_back(deferred.into_iter().map(QueuedProposal::from));
-        // Rejections that their proposer knows of need not go from version to version for ever.
+        self.queue.requeue(deferred.into_iter().map(QueuedProposal::from));
+        // A rejection that the proposer has received need not be part of later versions.
         for (proposer, decided) in &mut decided {
             decided
                 .rejected
