--- a/crates/controller/src/acknowledgements.rs
+++ b/crates/controller/src/acknowledgements.rs
@@ -1,63 +1,63 @@
-//! Which streams leave updates unacknowledged for too long.
+//! Finds streams that leave updates unacknowledged for too long.
 
 use crate::stream_id::StreamId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// An update that was sent and is not acknowledged.
+/// An update that was sent and is not yet acknowledged.
 struct Unacknowledged {
     sequence: u64,
     sent_at: Duration,
 }
 
-/// Tracks the updates that were sent and are not acknowledged.
+/// A tracker of the updates that were sent and are not yet acknowledged.
 ///
-/// What a proxy does not read lies in some buffer on the way, and nothing but an acknowledgement shows that a drain is
-/// in force there. A proxy that applies updates and acknowledges nothing looks the same. A time-out for all proxies at
-/// once is a fault of the network, so the time-out has to lie well above the worst transit.
+/// Sent bytes may remain in a buffer on the way, so only an acknowledgement shows that a proxy has applied a drain. A
+/// proxy that applies updates but acknowledges none cannot be told apart from one that does not read. The time-out has
+/// to be well above the longest transit time: otherwise one network fault would make all proxies overdue at once.
 pub struct AckTracker {
     timeout: Duration,
     unacknowledged: BTreeMap<StreamId, VecDeque<Unacknowledged>>,
 }
 
 impl AckTracker {
-    /// A tracker that calls an update overdue after `timeout`.
+    /// Creates a tracker that reports an update as overdue `timeout` after it was sent.
     pub fn new(timeout: Duration) -> Self {
         AckTracker { timeout, unacknowledged: BTreeMap::new() }
     }
 
-    /// An update has left for a stream.
+    /// Records that an update was sent on a stream.
     pub fn sent(&mut self, now: Duration, stream: StreamId, sequence: u64) {
         let update = Unacknowledged { sequence, sent_at: now };
         self.unacknowledged.entry(stream).or_default().push_back(update);
     }
 
-    /// An update and all before it are in force.
+    /// Records the acknowledgement of an update and of all updates before it.
     pub fn acknowledged(&mut self, stream: StreamId, sequence: u64) {
         if let Some(updates) = self.unacknowledged.get_mut(&stream) {
             updates.retain(|update| update.sequence > sequence);
         }
     }
 
-    /// The stream has ended.
+    /// Drops the updates of a stream that has ended.
     pub fn stream_closed(&mut self, stream: StreamId) {
         self.unacknowledged.remove(&stream);
     }
 
-    /// Does not count time in which the controller itself was stalled: acknowledgements may have come that it has not
-    /// read.
-    pub fn waive(&mut self, stalled: Duration) {
+    /// Postpones all deadlines by the time for which the controller itself was stalled: acknowledgements may have arrived
+    /// that it has not read.
+    pub fn postpone_deadlines(&mut self, stalled: Duration) {
         for update in self.unacknowledged.values_mut().flatten() {
             update.sent_at += stalled;
         }
     }
 
-    /// When the next stream is overdue.
+    /// Returns the time at which the next stream becomes overdue.
     pub fn next_deadline(&self) -> Option<Duration> {
         self.unacknowledged.values().filter_map(|updates| self.deadline(updates)).min()
     }
 
-    /// Streams that are overdue by `now`.
+    /// Returns the streams that are overdue by `now`.
     pub fn overdue(&self, now: Duration) -> Vec<StreamId> {
         let is_overdue = |updates| self.deadline(updates).is_some_and(|deadline| deadline <= now);
         self.unacknowledged
@@ -67,7 +67,7 @@
             .collect()
     }
 
-    /// When the oldest of a stream's updates is overdue.
+    /// Returns the time at which the oldest of a stream's updates becomes overdue.
     fn deadline(&self, updates: &VecDeque<Unacknowledged>) -> Option<Duration> {
         updates.front().map(|update| update.sent_at + self.timeout)
     }
--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -1,60 +1,61 @@
-//! What a controller is created with.
+//! The configuration of a controller.
 
 use grebespool::host::{ControlChannelLimits, Observability, ProxyCapabilities, Route, Timeouts};
 use std::time::Duration;
 use thiserror::Error;
 
-/// One run of a controller.
+/// The identity of one run of a controller.
 #[derive(Debug, Clone, Copy)]
 pub struct Incarnation {
-    /// A number that no other run has.
+    /// A number that differs for each run.
     pub id: u64,
-    /// The seed of its random numbers.
+    /// The seed of the run's random numbers.
     pub seed: u64,
-    /// The leader's term, sent with every update; 0 where controllers share nothing.
+    /// The leader's term, sent with every update; 0 if controllers do not elect a leader.
     pub term: u64,
 }
 
-/// Limits of what a controller holds.
+/// The limits of a controller's state and of the joins and delays that it accepts.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Most servers in the endpoint list.
+    /// Maximum number of servers on the endpoint list.
     pub servers: usize,
-    /// Most names of proxies.
+    /// Maximum number of proxy names over the whole run.
     pub proxies: usize,
-    /// Most joins of one proxy within the window of the update limit, or within ten seconds where there is none.
+    /// Maximum number of joins of one proxy within the window of the update limit, or within ten seconds if the channel
+    /// has no such window.
     pub joins: usize,
-    /// How long a proxy may leave updates unacknowledged; at most the grace for drains, and well above the worst
-    /// transit.
+    /// Time for which a proxy may leave updates unacknowledged. It is at most the time allowed for a drain, and well
+    /// above the longest transit time.
     pub ack_timeout: Duration,
 }
 
-/// What a controller is created with.
+/// The configuration that a controller is created with.
 #[derive(Debug, Clone)]
 pub struct ControllerConfig {
-    /// This run.
+    /// The identity of this run.
     pub incarnation: Incarnation,
-    /// Limits of what it holds.
+    /// The limits of the controller.
     pub limits: Limits,
     /// The names of the zones, in the order of their ids.
     pub zones: Vec<String>,
-    /// The routes, by position.
+    /// The routes; reports and updates refer to them by position.
     pub routes: Vec<Route>,
-    /// How the proxies behave on their own.
+    /// The capabilities of the proxies.
     pub capabilities: ProxyCapabilities,
-    /// Times that the policy keeps to.
+    /// The deadlines that the policy applies.
     pub timeouts: Timeouts,
-    /// What the updates have to fit into.
+    /// The limits of the channel through which updates are sent.
     pub channel: ControlChannelLimits,
-    /// What the policy may observe.
+    /// The observations that are available to the policy.
     pub observability: Observability,
 }
 
-/// Most routes: a set of routes has 16 bits.
+/// Maximum number of routes: a set of routes is a mask of 16 bits.
 const MAX_ROUTES: usize = 16;
 
 impl ControllerConfig {
-    /// Checks that the deployment is of a kind that the policy decides for.
+    /// Returns an error unless the policy supports the deployment.
     pub(crate) fn check(&self) -> Result<(), UnsupportedDeploymentError> {
         if self.capabilities.slices > 0 {
             return Err(UnsupportedDeploymentError::Slices(self.capabilities.slices));
@@ -69,18 +70,16 @@
     }
 }
 
-/// A deployment of a kind that the policy does not decide for.
+/// The property of a deployment that the policy does not support.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum UnsupportedDeploymentError {
-    /// Sites are divided into slices.
-    #[error(
-        "the deployment has {0} slices; sites with slices are not planned for yet, so nothing is started"
-    )]
+    /// The sites are divided into slices.
+    #[error("the deployment has {0} slices; expected 0, because the policy does not support slices")]
     Slices(usize),
-    /// No routes, or too many.
-    #[error("{0} routes are stated; 1 to 16 are possible")]
+    /// The deployment has no routes or too many.
+    #[error("the deployment has {0} routes; expected 1 to 16")]
     Routes(usize),
-    /// No zones.
-    #[error("no zone is stated")]
+    /// The deployment has no zones.
+    #[error("the deployment has 0 zones; expected at least 1")]
     NoZones,
 }
--- a/crates/controller/src/controller.rs
+++ b/crates/controller/src/controller.rs
@@ -1,6 +1,6 @@
-//! The controller: what it holds, and its timers.
+//! The controller's state and its timers.
 //!
-//! Each file below `controller/` handles one kind of event: joins, endpoint lists and health checks, load reports,
+//! Each file in `controller/` has the methods of one area: joins, endpoint lists and health checks, load reports,
 //! publishing, operators' commands on sites, and snapshots for the next leader.
 
 mod endpoints;
@@ -33,27 +33,29 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A timer that fires later than this means that the controller itself was stalled: timers are due at least four times
-/// a report cycle.
+/// Delay of a timer from which the controller itself counts as stalled. Timers are due at least four times a report
+/// cycle.
 const STALL_THRESHOLD: Duration = Duration::from_millis(400);
 
-/// How long a server's index stays reserved after its removal; what is on its way for it has come by then.
+/// Time for which a server's index stays reserved after the server's removal. Reports in flight that name the server
+/// have arrived by then.
 const SERVER_INDEX_REUSE_AFTER: Duration = Duration::from_secs(600);
 
-/// How often the sums of reports go to the policy within a report cycle.
+/// Number of times in a report cycle that the summed reports go to the policy.
 const FLUSHES_PER_CYCLE: u32 = 4;
 
-/// The window of the join limit where updates are not limited by a window of their own.
+/// The window of the join limit if the channel's limits define no window for updates.
 const DEFAULT_JOIN_WINDOW: Duration = Duration::from_secs(10);
 
-/// When the endpoint list in force was sent by its own clock, and when it came.
+/// The times of the endpoint list in force: when it was sent, in milliseconds by the list's own clock, and when it was
+/// received, by the controller's clock.
 #[derive(Default)]
 struct ListTime {
     sent_ms: u64,
     received_at: Duration,
 }
 
-/// The controller. It owns the policy and all state between the policy and the wire, and is called by one thread.
+/// The owner of the policy and of all state between the policy and the wire. One thread calls all methods.
 pub struct Controller<E> {
     effects: E,
     incarnation: Incarnation,
@@ -65,7 +67,7 @@
     endpoints: EndpointRegistry,
     servers: ServerIndices<ServerId>,
     list_time: ListTime,
-    /// Servers that drain, since when this controller has known.
+    /// Draining servers, and when this controller first learned of each drain.
     draining: BTreeMap<ServerId, Duration>,
     proxies: ProxyIds,
     sessions: Sessions,
@@ -77,16 +79,17 @@
     flush_interval: Duration,
     next_flush: Duration,
     last_timer_at: Duration,
-    /// Whole sites, where these are watched.
+    /// The watch over whole sites; `None` if the deployment does not watch sites.
     sites: Option<SiteWatch>,
 }
 
 impl<E: Effects> Controller<E> {
-    /// Starts with nothing known: the endpoint list is polled at once, and no proxy is bound before one came.
+    /// Creates a controller without an endpoint list, and requests one at once. No proxy is bound to a table before a
+    /// list has been accepted.
     ///
     /// # Errors
     ///
-    /// A deployment of a kind that the policy does not decide for.
+    /// Returns the unsupported property if the policy does not support the deployment.
     pub fn new(mut effects: E, config: ControllerConfig) -> Result<Self, UnsupportedDeploymentError> {
         config.check()?;
         let ControllerConfig { incarnation, limits, zones, routes, channel, observability, .. } = config;
@@ -130,7 +133,7 @@
         })
     }
 
-    /// When [`Controller::timer_fired`] is to be called next.
+    /// Returns the time at which the host has to call [`Controller::timer_fired`] next.
     pub fn next_timer(&self) -> Duration {
         [self.assignments.next_timer(), self.channel.next_departure(), self.acks.next_deadline()]
             .into_iter()
@@ -138,14 +141,14 @@
             .fold(self.next_flush, Duration::min)
     }
 
-    /// Time has passed: does what is due, each thing once however late.
+    /// Does everything that is due by `now`. Each timer runs once, however late the call is.
     pub fn timer_fired(&mut self, now: Duration) {
-        self.waive_stall(now);
+        self.compensate_stall(now);
         self.last_timer_at = now;
         self.send_due_updates(now);
         self.close_overdue_streams(now);
         if now >= self.next_flush {
-            // From now on, so that a stall of the machine makes no burst of flushes after it.
+            // Counted from `now`, so that a stall of the machine is not followed by a burst of flushes.
             self.next_flush = now + self.flush_interval;
             self.flush_reports(now);
             self.evaluate_sites(now);
@@ -156,44 +159,44 @@
         }
     }
 
-    /// Does not count time in which the controller itself was stalled against the proxies.
-    fn waive_stall(&mut self, now: Duration) {
+    /// Postpones the proxies' acknowledgement deadlines if the controller itself was stalled.
+    fn compensate_stall(&mut self, now: Duration) {
         let late = now.saturating_sub(self.last_timer_at.max(self.next_timer()));
         if late > STALL_THRESHOLD {
             self.effects.report(ControllerEvent::Stalled(late));
-            self.acks.waive(late);
+            self.acks.postpone_deadlines(late);
         }
     }
 
     fn close_overdue_streams(&mut self, now: Duration) {
         for stream in self.acks.overdue(now) {
             self.effects.report(ControllerEvent::AckOverdue { stream });
-            // On the wire: do not rename.
+            // The proxy receives this text: do not reword.
             self.disconnect(stream, CloseReason::TooSlow, "orders stay unconfirmed");
         }
     }
 
-    /// The version of the endpoint list in force; 0 for none.
+    /// Returns the version of the endpoint list in force; 0 before the first list.
     pub fn endpoints_version(&self) -> u64 {
         self.endpoints.version()
     }
 
-    /// The id of a zone.
+    /// Returns the id of the zone with this name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         self.endpoints.zone(name)
     }
 
-    /// Table entries that wait in the channel.
+    /// Returns the number of table entries queued in the channel, including the cost of each message.
     pub fn queued_entries(&self) -> f64 {
         self.channel.queued_entries()
     }
 
-    /// How many proxies are joined.
+    /// Returns the number of joined proxies.
     pub fn joined_proxies(&self) -> usize {
         self.sessions.len()
     }
 
-    /// How many servers have an index.
+    /// Returns the number of server indices that are in use or reserved.
     pub fn known_servers(&self) -> usize {
         self.servers.len()
     }
--- a/crates/controller/src/controller/endpoints.rs
+++ b/crates/controller/src/controller/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and health checks.
+//! Handles endpoint lists and the results of health checks.
 
 use super::{Controller, ListTime};
 use crate::effects::Effects;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 impl<E: Effects> Controller<E> {
-    /// An endpoint list, whole or its changes.
+    /// Handles a received endpoint list, whether complete or incremental.
     pub fn endpoints_received(&mut self, now: Duration, list: &EndpointList) {
         let mut changed = vec![];
         let accepted = self.endpoints.accept(now, list, |id, endpoint| changed.push((id, endpoint)));
@@ -22,6 +22,7 @@
         }
     }
 
+    /// Fills in the server index of each changed endpoint.
     fn assign_indices(&mut self, now: Duration, changed: Vec<(ServerId, Endpoint)>) -> Vec<Endpoint> {
         let mut endpoints = Vec::with_capacity(changed.len());
         for (id, endpoint) in changed {
@@ -29,7 +30,7 @@
             let server = self.servers.add(now, &id, |server| assignments.contains_server(server));
             if endpoint.state == host::EndpointState::Removed {
                 self.servers.remove(now, server);
-                self.metrics.forget(server);
+                self.metrics.remove_server(server);
             }
             endpoints.push(Endpoint { server, ..endpoint });
         }
@@ -38,16 +39,16 @@
 
     fn endpoints_accepted(&mut self, now: Duration, list: &EndpointList, changed: &[Endpoint]) {
         self.list_time = ListTime { sent_ms: list.now_ms, received_at: now };
-        self.note_draining(now, list);
+        self.update_draining(now, list);
         if let Some(sites) = &mut self.sites {
             sites.endpoints_changed(now, self.endpoints.summaries());
         }
-        // Servers that a whole list left out are among the changed ones as removed.
+        // `false`: the policy gets changes only. Servers missing from a complete list are among them as removed.
         self.policy.endpoints_updated(now, false, changed);
         self.publish(now, UpdateCause::EndpointsChanged);
     }
 
-    fn note_draining(&mut self, now: Duration, list: &EndpointList) {
+    fn update_draining(&mut self, now: Duration, list: &EndpointList) {
         for entry in &list.entries {
             match entry.state {
                 EndpointState::Draining => {
@@ -70,13 +71,13 @@
         self.endpoint_poll_failed(now);
     }
 
-    /// A poll of the endpoint list failed, or its watch ended.
+    /// Handles a failed poll of the endpoint list or the end of its watch.
     pub fn endpoint_poll_failed(&mut self, now: Duration) {
         self.policy.endpoint_poll_failed(now);
         self.publish(now, UpdateCause::EndpointsChanged);
     }
 
-    /// A health check has ended.
+    /// Handles the result of a health check.
     pub fn health_check_finished(&mut self, now: Duration, server: ServerId, result: HealthCheckResult) {
         if let (Some(sites), Some(zone)) = (&mut self.sites, self.endpoints.zone_of(server)) {
             // A server that rejects a health check is reachable.
--- a/crates/controller/src/controller/joins.rs
+++ b/crates/controller/src/controller/joins.rs
@@ -1,4 +1,4 @@
-//! Proxies that join, acknowledge updates, and leave.
+//! Handles proxies that join, acknowledge updates, and leave.
 
 use super::Controller;
 use crate::effects::Effects;
@@ -7,21 +7,22 @@
 use grebespool_wire::{CloseReason, UpdateAck, UpdateCause};
 use std::time::Duration;
 
-/// What a proxy says of itself when it asks to join.
+/// A proxy's request to join, as decoded from its handshake.
 #[derive(Debug, Clone, Copy)]
 pub struct JoinRequest<'a> {
-    /// Its name, unique in the fleet.
+    /// The proxy's name, unique in the fleet.
     pub name: &'a str,
-    /// Its zone, by name.
+    /// The name of the proxy's zone.
     pub zone: &'a str,
-    /// Calls a second that it usually gets; rough.
+    /// Requests a second that the proxy usually receives; a rough estimate.
     pub calls_per_s: f32,
-    /// Whether it holds only the table that it started with.
+    /// True if the proxy holds only the weight table from its start.
     pub initial_table_only: bool,
 }
 
 impl<E: Effects> Controller<E> {
-    /// A proxy that has shown the fleet's key asks to join. Gives whether it has joined; if not, it was told why.
+    /// Handles the join request of a proxy that has proved that it holds the fleet's key. Returns true if the proxy
+    /// joined; otherwise its stream is closed with the reason.
     pub fn proxy_joined(&mut self, now: Duration, stream: StreamId, request: JoinRequest) -> bool {
         let Some(zone) = self.endpoints.zone(request.zone) else {
             let text = format!("no zone {:?}", request.zone);
@@ -48,19 +49,19 @@
         let calls_per_s = f64::from(request.calls_per_s.max(0.0));
         self.policy.proxy_joined(now, proxy, zone, request.initial_table_only, calls_per_s);
         self.publish(now, UpdateCause::ProxyJoined);
-        // Its update may not have fitted into the channel.
+        // The stream is closed already if the proxy's first update did not fit into the channel.
         self.sessions.of_stream(stream).is_some()
     }
 
-    /// The texts go to the proxy. On the wire: do not rename.
+    /// Closes the stream of a rejected join. The proxy receives `text`: do not reword the callers' texts.
     fn reject_join(&mut self, stream: StreamId, reason: CloseReason, text: String) -> bool {
         self.effects.close(stream, reason, &text);
         self.effects.report(ControllerEvent::JoinRejected { stream, reason: text });
         false
     }
 
-    /// The proxy has all updates up to the acknowledged one in force. Acknowledgements of another incarnation or stream
-    /// are ignored.
+    /// Handles an acknowledgement: the proxy has applied all updates up to the acknowledged one. Acknowledgements of
+    /// another incarnation or stream are ignored.
     pub fn update_acknowledged(&mut self, now: Duration, stream: StreamId, ack: &UpdateAck) {
         if ack.incarnation != self.incarnation.id || ack.stream != stream {
             return;
@@ -74,11 +75,11 @@
         self.publish(now, UpdateCause::Interval);
     }
 
-    /// The stream ended, for whatever reason.
+    /// Handles the end of a stream, whatever its reason.
     pub fn stream_closed(&mut self, stream: StreamId) {
         let Some((proxy, session)) = self.sessions.close(stream) else { return };
         if let Some(sites) = &mut self.sites {
-            // The last time that a timer fired is near enough: an end is one sign of several.
+            // The time of the last timer is accurate enough: the end of a stream is only one of several signs.
             sites.proxy_left(self.last_timer_at, session.zone);
         }
         self.assignments.remove_proxy(proxy);
@@ -87,7 +88,7 @@
         self.policy.proxy_left(proxy);
     }
 
-    /// Closes a stream from this side.
+    /// Closes a stream from the controller's side.
     pub(super) fn disconnect(&mut self, stream: StreamId, reason: CloseReason, text: &str) {
         self.effects.close(stream, reason, text);
         self.stream_closed(stream);
--- a/crates/controller/src/controller/publishing.rs
+++ b/crates/controller/src/controller/publishing.rs
@@ -1,4 +1,4 @@
-//! What a turn changed, as one update for each proxy concerned.
+//! Publishes the changes of a turn as one update for each affected proxy.
 
 use super::Controller;
 use crate::effects::Effects;
@@ -11,7 +11,7 @@
 };
 use std::time::Duration;
 
-/// An update for one stream, and how many table entries of the channel it takes.
+/// An update for one stream, and the number of table entries that it occupies in the channel.
 struct OutgoingUpdate {
     stream: StreamId,
     update: Update,
@@ -19,8 +19,8 @@
 }
 
 impl<E: Effects> Controller<E> {
-    /// Ends a turn: queues one update for each proxy concerned, and starts the health checks and the poll that the policy
-    /// asked for.
+    /// Ends a turn: queues one update for each affected proxy, and starts the health checks and the poll that the policy
+    /// requested.
     pub(super) fn publish(&mut self, now: Duration, cause: UpdateCause) {
         for outgoing in self.take_updates(now, cause) {
             self.enqueue(now, outgoing);
@@ -39,7 +39,7 @@
         let mut updates = vec![];
         assignments.publish(|proxy, proxy_update| {
             let Some(session) = sessions.of_proxy_mut(proxy) else { return };
-            let (changes, entries) = changes(proxy_update, servers);
+            let (changes, entries) = wire_changes(proxy_update, servers);
             session.last_sequence += 1;
             let update = Update {
                 term: incarnation.term,
@@ -56,7 +56,7 @@
         updates
     }
 
-    /// Queues an update; a proxy whose update does not fit has to join anew.
+    /// Queues an update. If the update does not fit into the channel, the proxy is disconnected and has to join again.
     fn enqueue(&mut self, now: Duration, outgoing: OutgoingUpdate) {
         let OutgoingUpdate { stream, update, entries } = outgoing;
         if let Err(limit) = self.channel.enqueue(now, stream, update, entries) {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends the updates that have left the channel by now.
+    /// Sends the updates that have left the channel by `now`.
     pub(super) fn send_due_updates(&mut self, now: Duration) {
         while let Some((stream, update)) = self.channel.dequeue(now) {
             self.acks.sent(now, stream, update.sequence);
@@ -74,8 +74,8 @@
     }
 }
 
-/// The changes of an update, and how many table entries of the channel they take.
-fn changes(update: &ProxyUpdate, servers: &ServerIndices<ServerId>) -> (Vec<Change>, usize) {
+/// Returns the changes of an update, and the number of table entries that they occupy in the channel.
+fn wire_changes(update: &ProxyUpdate, servers: &ServerIndices<ServerId>) -> (Vec<Change>, usize) {
     let mut changes = match update.bound_routes {
         Some(routes) => vec![Change::BindTable(table_binding(update, routes, servers))],
         None => single_changes(update, servers),
--- a/crates/controller/src/controller/reports.rs
+++ b/crates/controller/src/controller/reports.rs
@@ -1,16 +1,16 @@
-//! Load reports of proxies.
+//! Handles the load reports of proxies.
 
 use super::Controller;
 use crate::effects::Effects;
 use crate::event::ControllerEvent;
-use crate::metrics_validation::{MAX_CALLS_PER_LINE, is_plausible};
+use crate::metrics_validation::{MAX_REQUESTS_PER_LINE, is_plausible};
 use crate::stream_id::StreamId;
 use grebespool::host::{ProxyId, ZoneId};
 use grebespool_wire::{ProxyReport, RouteLoad, ServerLoad};
 use std::time::Duration;
 
 impl<E: Effects> Controller<E> {
-    /// A proxy reports what it measured. It goes to the policy with the next flush.
+    /// Adds a proxy's load report to the sums that go to the policy with the next flush.
     pub fn load_reported(&mut self, stream: StreamId, report: &ProxyReport) {
         let Some((proxy, session)) = self.sessions.of_stream(stream) else { return };
         let zone = session.zone;
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Gives whether the line is plausible. Lines of servers that are not listed are left out.
+    /// Adds a line of a report, and returns true unless its values are implausible. Lines of servers that are not on the
+    /// endpoint list are ignored.
     fn add_server_load(&mut self, zone: ZoneId, load: &ServerLoad) -> bool {
         let Some(server) = self.listed_server(&load.server) else { return true };
         if !is_plausible(load) {
@@ -41,15 +42,15 @@
         true
     }
 
-    /// Routes that the settings do not have are left out.
+    /// Adds the requests of one route. Routes that the settings do not define are ignored.
     fn add_route_load(&mut self, proxy: ProxyId, load: &RouteLoad) {
         let route = usize::from(load.route);
         if route < self.routes {
-            self.aggregator.add_calls(proxy, route, load.calls.min(MAX_CALLS_PER_LINE));
+            self.aggregator.add_requests(proxy, route, load.calls.min(MAX_REQUESTS_PER_LINE));
         }
     }
 
-    /// Hands the sums of all reports since the last flush to the policy.
+    /// Passes the sums of all reports since the last flush to the policy.
     pub(super) fn flush_reports(&mut self, now: Duration) {
         for load in self.aggregator.take_loads() {
             let report = load.report();
@@ -59,12 +60,12 @@
             }
             self.policy.load_reported(now, load.server, &report);
         }
-        for calls in self.aggregator.take_calls() {
-            let session = self.sessions.of_proxy(calls.proxy);
+        for requests in self.aggregator.take_requests() {
+            let session = self.sessions.of_proxy(requests.proxy);
             if let (Some(sites), Some(session)) = (&mut self.sites, session) {
                 sites.zone_reported(now, session.zone);
             }
-            self.policy.requests_received(now, calls.proxy, calls.route, calls.calls);
+            self.policy.requests_received(now, requests.proxy, requests.route, requests.count);
         }
     }
 }
--- a/crates/controller/src/controller/sites.rs
+++ b/crates/controller/src/controller/sites.rs
@@ -1,4 +1,4 @@
-//! Whole sites, and operators' commands on them.
+//! Watches whole sites, and carries out operators' commands on them.
 
 use super::Controller;
 use crate::effects::Effects;
@@ -15,29 +15,29 @@
     /// Sites are not watched in this deployment.
     #[error("sites are not watched")]
     NotWatched,
-    /// The command cannot be carried out as things are.
+    /// The command cannot be carried out in the current state of the sites.
     #[error("{0}")]
     Refused(OrderError),
 }
 
 impl<E: Effects> Controller<E> {
-    /// Watches for the loss of whole sites from here on (`docs/design/site-failover.md`). Without it nothing of that is
-    /// done.
+    /// Starts to watch for the loss of whole sites (`docs/design/site-failover.md`). Until this is called, sites are not
+    /// watched.
     pub fn watch_sites(&mut self, routes: &[Route], parameters: FailoverParameters) {
         self.sites = Some(SiteWatch::new(self.endpoints.zones().to_vec(), routes, parameters));
     }
 
-    /// The status of each site, by its name; empty where sites are not watched.
+    /// Returns the name and status of each site, in the order of the zones' ids; empty if sites are not watched.
     pub fn site_statuses(&self, now: Duration) -> Vec<(String, SiteStatus)> {
         let statuses = self.sites.iter().flat_map(|sites| sites.statuses(now));
         self.endpoints.zones().iter().cloned().zip(statuses).collect()
     }
 
-    /// What would be done with a site out beside those that are out already.
+    /// Returns the plan that would be in force if this site were out in addition to those that are out already.
     ///
     /// # Errors
     ///
-    /// The capacity of some site is unknown, or no site would be left.
+    /// Returns the reason if the capacity of some site is unknown, if no site would be left, or if sites are not watched.
     pub fn plan_without_site(&self, zone: ZoneId) -> Result<CapacityPlan, PlanError> {
         match &self.sites {
             Some(sites) => sites.plan_without(zone),
@@ -45,11 +45,11 @@
         }
     }
 
-    /// Carries out an operator's command. Gives the plan that is in force with it.
+    /// Carries out an operator's command, and returns the plan that is in force afterwards.
     ///
     /// # Errors
     ///
-    /// Why it is not carried out.
+    /// Returns the reason if the command is not carried out.
     pub fn command_site(
         &mut self,
         now: Duration,
@@ -62,7 +62,7 @@
         plan.map_err(SiteCommandError::Refused)
     }
 
-    /// Looks at the evidence on sites, if that is due.
+    /// Evaluates the evidence on sites, if an evaluation is due.
     pub(super) fn evaluate_sites(&mut self, now: Duration) {
         let Controller { sites, policy, effects, .. } = self;
         let evaluated = sites.as_mut().is_some_and(|sites| sites.evaluate(now, policy, effects));
--- a/crates/controller/src/controller/snapshot.rs
+++ b/crates/controller/src/controller/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the next leader is to know, and what a former one knew.
+//! Exports the state that the next leader needs, and restores the state of a former leader.
 
 use super::Controller;
 use crate::effects::Effects;
@@ -7,36 +7,36 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A pool: the servers that some proxies of a zone share.
+/// The servers of one pool, which some proxies of a zone share.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PoolSnapshot {
-    /// The zone of its proxies, by name.
+    /// The name of the zone of the pool's proxies.
     pub zone: String,
-    /// Its servers.
+    /// The pool's servers.
     pub servers: Vec<ServerId>,
 }
 
-/// A proxy's pool.
+/// The pool that a proxy is bound to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProxyPool {
     /// The proxy's name.
     pub proxy: String,
-    /// The place of its pool among the pools.
+    /// The position of the pool in [`FleetPools::pools`].
     pub pool: usize,
 }
 
-/// Which servers each pool holds, and which pool each proxy has.
+/// The servers of each pool, and the pool of each proxy.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetPools {
     /// All pools.
     pub pools: Vec<PoolSnapshot>,
-    /// All proxies that have a pool, by name.
+    /// All proxies that have a pool, ordered by name.
     pub proxies: Vec<ProxyPool>,
 }
 
 impl<E: Effects> Controller<E> {
-    /// Begins with the weights that a former leader had learned, each as a multiple of its pool's mean. To be called
-    /// after the first endpoint list and before any join.
+    /// Restores the weights that a former leader had learned, each as a multiple of its pool's mean. Call this after the
+    /// first endpoint list and before any join.
     pub fn restore_weights(&mut self, weights: &BTreeMap<ServerId, f64>) {
         for (id, weight) in weights {
             if let Some(server) = self.listed_server(id) {
@@ -45,14 +45,14 @@
         }
     }
 
-    /// Begins with the pools of a former leader. To be called after the first endpoint list, before
-    /// [`Controller::restore_weights`] and any join.
+    /// Restores the pools of a former leader. Call this after the first endpoint list, and before
+    /// [`Controller::restore_weights`] and any join. Does nothing if a pool's zone is unknown.
     pub fn restore_pools(&mut self, assignment: &FleetPools) {
         let pool = |pool: &PoolSnapshot| {
             let servers = pool.servers.iter().filter_map(|id| self.listed_server(id)).collect();
             Some(PoolSubset { zone: self.endpoints.zone(&pool.zone)?, servers })
         };
-        // With a zone less, the pools' places would not be those that proxies had.
+        // `ProxyPool::pool` is a position: leaving out the pools of an unknown zone would shift the positions of others.
         let Some(pools) = assignment.pools.iter().map(pool).collect::<Option<Vec<_>>>() else { return };
         let mut proxies = BTreeMap::new();
         for ProxyPool { proxy, pool } in &assignment.proxies {
@@ -65,7 +65,7 @@
         self.policy.restore_pool_assignments(&pools, &proxies);
     }
 
-    /// What each pool holds, and which pool each proxy has.
+    /// Returns the servers of each pool, and the pool of each proxy.
     pub fn fleet_pools(&self) -> FleetPools {
         let PoolAssignments { pools, pool_by_proxy } = self.policy.pool_assignments();
         let pools = pools.iter().map(|pool| PoolSnapshot {
@@ -82,7 +82,7 @@
         self.endpoints.zones().get(usize::from(zone)).cloned().unwrap_or_default()
     }
 
-    /// The weights that were learned of listed servers, each as a multiple of its pool's mean.
+    /// Returns the learned weights of the servers on the endpoint list, each as a multiple of its pool's mean.
     pub fn learned_weights(&self) -> Vec<(ServerId, f64)> {
         let weights = self.policy.learned_weights().into_iter();
         weights
@@ -91,7 +91,7 @@
             .collect()
     }
 
-    /// The whole endpoint list in force, as its own service would send it now.
+    /// Returns the complete endpoint list in force, with its clock advanced to `now`.
     pub fn endpoint_list(&self, now: Duration) -> EndpointList {
         let elapsed_ms = now.saturating_sub(self.list_time.received_at).as_millis() as u64;
         let now_ms = if self.list_time.sent_ms == 0 { 0 } else { self.list_time.sent_ms + elapsed_ms };
@@ -103,12 +103,13 @@
         }
     }
 
-    /// Servers that drain, and since when this controller has known.
+    /// Returns the draining servers, and when this controller first learned of each drain.
     pub fn draining_servers(&self) -> impl Iterator<Item = (ServerId, Duration)> {
         self.draining.iter().map(|(server, since)| (*server, *since))
     }
 
-    /// Joined proxies by name, and the sequence number of the last update that each has acknowledged; 0 for none.
+    /// Returns the joined proxies by name, and the sequence number of the last update that each has acknowledged; 0 if it
+    /// has acknowledged none.
     pub fn acknowledged_sequences(&self) -> Vec<(String, u64)> {
         let sequence = |(name, proxy): (&str, ProxyId)| {
             Some((name.to_string(), self.sessions.of_proxy(proxy)?.acknowledged_sequence))
@@ -116,7 +117,7 @@
         self.proxies.iter().filter_map(sequence).collect()
     }
 
-    /// The index of a server that the endpoint list has.
+    /// Returns the index of a server if the server is on the endpoint list.
     pub(super) fn listed_server(&self, id: &ServerId) -> Option<ServerIndex> {
         self.servers.index(id).filter(|_| self.endpoints.contains(*id))
     }
--- a/crates/controller/src/endpoint_registry.rs
+++ b/crates/controller/src/endpoint_registry.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the controller believes it.
+//! The endpoint list in force, and the checks that a received list has to pass.
 
 use grebespool::host::{self, ServerIndex, ZoneId};
 use grebespool_wire::{EndpointEntry, EndpointList, EndpointState, ServerId};
@@ -7,78 +7,79 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why an endpoint list is rejected. The one before it stays in force.
+/// The reason to reject an endpoint list. The previous list stays in force.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum EndpointListError {
-    /// It is not newer than the one in force.
-    #[error("list {version} is no newer than list {known}, which is known")]
+    /// The list is not newer than the one in force.
+    #[error("endpoint list {version} is not newer than list {known}, which is in force")]
     NotNewer {
-        /// Its version.
+        /// The version of the rejected list.
         version: u64,
         /// The version in force.
         known: u64,
     },
-    /// It changes a version that is not in force: changes were missed.
-    #[error("list {version} changes list {base}, but list {known} is known")]
+    /// The list is incremental and based on a version that is not in force: changes were missed.
+    #[error("endpoint list {version} changes list {base}, but list {known} is in force")]
     MissedChanges {
-        /// Its version.
+        /// The version of the rejected list.
         version: u64,
-        /// The version that it changes.
+        /// The version that the rejected list changes.
         base: u64,
         /// The version in force.
         known: u64,
     },
-    /// It has a server twice.
-    #[error("list {version} names server {number} at {addr} twice")]
+    /// The list names a server twice.
+    #[error("endpoint list {version} names server {number} at {addr} twice")]
     DuplicateServer {
-        /// Its version.
+        /// The version of the rejected list.
         version: u64,
         /// The server's address.
         addr: SocketAddr,
         /// The server's number.
         number: u32,
     },
-    /// It has two servers at one address.
-    #[error("list {version} has two servers at {addr}")]
+    /// The list has two servers at one address.
+    #[error("endpoint list {version} has two servers at {addr}; expected one")]
     DuplicateAddress {
-        /// Its version.
+        /// The version of the rejected list.
         version: u64,
-        /// The address.
+        /// The address of both servers.
         addr: SocketAddr,
     },
-    /// It has a server in a zone that the settings do not have.
-    #[error("list {version} names zone {zone:?} at {addr}, which is not among the stated ones")]
+    /// The list has a server in a zone that the settings do not define.
+    #[error("endpoint list {version} has server {addr} in zone {zone:?}; expected a zone of the settings")]
     UnknownZone {
-        /// Its version.
+        /// The version of the rejected list.
         version: u64,
         /// The zone's name.
         zone: String,
         /// The server's address.
         addr: SocketAddr,
     },
-    /// More servers would be known than may.
-    #[error("list {version} would make {count} servers known; {max} are allowed")]
+    /// The list would exceed the limit of servers.
+    #[error("endpoint list {version} leads to {count} servers; expected at most {max}")]
     TooManyServers {
-        /// Its version.
+        /// The version of the rejected list.
         version: u64,
-        /// Servers with this list.
+        /// Number of servers if the list were accepted.
         count: usize,
-        /// Most servers allowed.
+        /// Maximum number of servers.
         max: usize,
     },
 }
 
-/// The age of a server, as it was first told.
+/// The age of a server when its current start was first listed.
 #[derive(Debug, Clone, Copy)]
-struct ToldAge {
-    told_at: Duration,
-    /// `None` where the start is long past.
+struct InitialAge {
+    listed_at: Duration,
+    /// `None` if the list states no start, because the start is long past.
     age: Option<Duration>,
 }
 
-impl ToldAge {
+impl InitialAge {
+    /// Returns the age at `now`.
     fn at(&self, now: Duration) -> Option<Duration> {
-        self.age.map(|age| age + (now - self.told_at))
+        self.age.map(|age| age + (now - self.listed_at))
     }
 }
 
@@ -86,40 +87,40 @@
     zone: ZoneId,
     state: EndpointState,
     started_ms: u64,
-    told_age: ToldAge,
+    initial_age: InitialAge,
 }
 
 /// A server's state in the list in force.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointSummary {
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// Its state.
+    /// The server's state.
     pub state: host::EndpointState,
-    /// Its start on the controller's clock, where that is known and lies after the controller's own start.
+    /// The server's start on the controller's clock; `None` if unknown or before the controller's own start.
     pub started_at: Option<Duration>,
 }
 
-/// What the check of a list found out.
+/// A list that has passed the checks, with the lookups that applying the list needs.
 struct CheckedList {
     /// The zone of each entry.
     zones: Vec<ZoneId>,
-    /// All servers of the entries.
-    named: BTreeSet<ServerId>,
-    /// The number of the server at each address, of the entries that are not removed.
+    /// The servers of all entries, including removed ones.
+    listed: BTreeSet<ServerId>,
+    /// The number of the server at each address, for the entries that are not removed.
     number_at: BTreeMap<SocketAddr, u32>,
 }
 
 impl CheckedList {
-    /// Whether the list removes a server that it does not name: as a whole list, or because another server has come to
-    /// its address.
-    fn removes(&self, server: &ServerId, is_whole: bool) -> bool {
+    /// Returns true if the list removes this server without an entry for it: a complete list removes every server that
+    /// it does not list, and any list removes a server whose address now belongs to another server.
+    fn removes(&self, server: &ServerId, is_complete: bool) -> bool {
         let is_replaced = self.number_at.get(&server.addr).is_some_and(|number| *number != server.number);
-        !self.named.contains(server) && (is_whole || is_replaced)
+        !self.listed.contains(server) && (is_complete || is_replaced)
     }
 }
 
-/// The endpoint list in force. Each message is accepted whole or rejected whole.
+/// The endpoint list in force. A received list is accepted or rejected as a whole.
 pub struct EndpointRegistry {
     zones: Vec<String>,
     max_servers: usize,
@@ -128,17 +129,17 @@
 }
 
 impl EndpointRegistry {
-    /// No list yet. `zones`: the names of the zones, in the order of their ids.
+    /// Creates a registry without a list. `zones` are the names of the zones, in the order of their ids.
     pub fn new(zones: Vec<String>, max_servers: usize) -> Self {
         EndpointRegistry { zones, max_servers, version: 0, known: BTreeMap::new() }
     }
 
-    /// The version in force; 0 for none.
+    /// Returns the version of the list in force; 0 before the first list.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The list in force, with starts by its own clock.
+    /// Returns the entries of the list in force, with start times by the list's own clock.
     pub fn entries(&self) -> Vec<EndpointEntry> {
         let entry = |(server, known): (&ServerId, &KnownEndpoint)| EndpointEntry {
             server: *server,
@@ -149,41 +150,42 @@
         self.known.iter().map(entry).collect()
     }
 
-    /// The id of a zone.
+    /// Returns the id of the zone with this name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        self.zones.iter().position(|zone| zone == name).map(|place| place as ZoneId)
+        self.zones.iter().position(|zone| zone == name).map(|position| position as ZoneId)
     }
 
-    /// The names of the zones, in the order of their ids.
+    /// Returns the names of the zones, in the order of their ids.
     pub fn zones(&self) -> &[String] {
         &self.zones
     }
 
-    /// The zone of a server that the list has.
+    /// Returns the zone of a server; `None` if the server is not listed.
     pub fn zone_of(&self, server: ServerId) -> Option<ZoneId> {
         self.known.get(&server).map(|known| known.zone)
     }
 
-    /// All servers of the list.
+    /// Returns the summaries of all listed servers, in the order of their ids.
     pub fn summaries(&self) -> impl Iterator<Item = EndpointSummary> {
         self.known.values().map(|known| EndpointSummary {
             zone: known.zone,
             state: policy_state(known.state),
-            started_at: known.told_age.age.and_then(|age| known.told_age.told_at.checked_sub(age)),
+            started_at: known.initial_age.age.and_then(|age| known.initial_age.listed_at.checked_sub(age)),
         })
     }
 
-    /// Whether the list has the server, be it ready or draining.
+    /// Returns true if the server is listed, whether ready or draining.
     pub fn contains(&self, server: ServerId) -> bool {
         self.known.contains_key(&server)
     }
 
-    /// Accepts a list, and calls `changed` for each server that it changes: first those that it removes without naming
-    /// them, in the order of their ids, then its entries in their order. The server index of the endpoints is unset.
+    /// Accepts a list, and calls `changed` for each changed server: first for the servers that the list removes without
+    /// an entry, in the order of their ids, then for the entries in their order. The server index of these endpoints is
+    /// not set.
     ///
     /// # Errors
     ///
-    /// Why it is rejected: nothing changes then.
+    /// Returns the reason if the list is rejected; the registry is then unchanged.
     pub fn accept(
         &mut self,
         now: Duration,
@@ -192,12 +194,12 @@
     ) -> Result<(), EndpointListError> {
         let checked = self.check(list)?;
         self.version = list.version;
-        self.remove_unnamed(&checked, list.base_version == 0, &mut changed);
+        self.remove_unlisted(&checked, list.base_version == 0, &mut changed);
         for (entry, zone) in list.entries.iter().zip(checked.zones) {
-            let told_age = self.told_age(now, list.now_ms, entry);
-            changed(entry.server, endpoint(zone, entry.state, told_age.at(now)));
+            let initial_age = self.initial_age(now, list.now_ms, entry);
+            changed(entry.server, endpoint(zone, entry.state, initial_age.at(now)));
             let started_ms = entry.started_ms;
-            let known = KnownEndpoint { zone, state: entry.state, started_ms, told_age };
+            let known = KnownEndpoint { zone, state: entry.state, started_ms, initial_age };
             self.known.insert(entry.server, known);
         }
         self.known.retain(|_, known| known.state != EndpointState::Removed);
@@ -207,10 +209,10 @@
     fn check(&self, list: &EndpointList) -> Result<CheckedList, EndpointListError> {
         self.check_version(list)?;
         let version = list.version;
-        let mut checked = CheckedList { zones: vec![], named: BTreeSet::new(), number_at: BTreeMap::new() };
+        let mut checked = CheckedList { zones: vec![], listed: BTreeSet::new(), number_at: BTreeMap::new() };
         for entry in &list.entries {
             let ServerId { addr, number } = entry.server;
-            if !checked.named.insert(entry.server) {
+            if !checked.listed.insert(entry.server) {
                 return Err(EndpointListError::DuplicateServer { version, addr, number });
             }
             let Some(zone) = self.zone(&entry.zone) else {
@@ -238,8 +240,8 @@
     }
 
     fn check_count(&self, list: &EndpointList, checked: &CheckedList) -> Result<(), EndpointListError> {
-        let stays = |server: &&ServerId| list.base_version != 0 && !checked.named.contains(server);
-        let count = self.known.keys().filter(stays).count() + checked.named.len();
+        let remains = |server: &&ServerId| list.base_version != 0 && !checked.listed.contains(server);
+        let count = self.known.keys().filter(remains).count() + checked.listed.len();
         if count > self.max_servers {
             let (version, max) = (list.version, self.max_servers);
             return Err(EndpointListError::TooManyServers { version, count, max });
@@ -247,14 +249,14 @@
         Ok(())
     }
 
-    fn remove_unnamed(
+    fn remove_unlisted(
         &mut self,
         checked: &CheckedList,
-        is_whole: bool,
+        is_complete: bool,
         changed: &mut impl FnMut(ServerId, host::Endpoint),
     ) {
         self.known.retain(|server, known| {
-            let removed = checked.removes(server, is_whole);
+            let removed = checked.removes(server, is_complete);
             if removed {
                 changed(*server, endpoint(known.zone, EndpointState::Removed, None));
             }
@@ -262,21 +264,21 @@
         });
     }
 
-    /// The age of an entry. The same start has the same age on every list: a list's clock that is read again a little
-    /// later or earlier must not look like a restart.
-    fn told_age(&self, now: Duration, list_now_ms: u64, entry: &EndpointEntry) -> ToldAge {
+    /// Returns the initial age of an entry. It is computed once for each start of a server: computing the age again from
+    /// a later list, whose clock may deviate a little, would look like a restart.
+    fn initial_age(&self, now: Duration, list_now_ms: u64, entry: &EndpointEntry) -> InitialAge {
         match self.known.get(&entry.server) {
-            Some(known) if known.started_ms == entry.started_ms => known.told_age,
+            Some(known) if known.started_ms == entry.started_ms => known.initial_age,
             _ => {
                 let age_ms = list_now_ms.saturating_sub(entry.started_ms);
                 let age = (entry.started_ms > 0).then(|| Duration::from_millis(age_ms));
-                ToldAge { told_at: now, age }
+                InitialAge { listed_at: now, age }
             }
         }
     }
 }
 
-/// The server's index is filled in by whoever knows it.
+/// Returns an endpoint without its server index, which the caller of [`EndpointRegistry::accept`] fills in.
 fn endpoint(zone: ZoneId, state: EndpointState, age: Option<Duration>) -> host::Endpoint {
     const UNSET: ServerIndex = 0;
     host::Endpoint { server: UNSET, zone, kind: 0, state: policy_state(state), age }
--- a/crates/controller/src/event.rs
+++ b/crates/controller/src/event.rs
@@ -1,4 +1,4 @@
-//! What operators want to know of.
+//! The events that the controller reports to operators.
 
 use crate::endpoint_registry::EndpointListError;
 use crate::stream_id::StreamId;
@@ -6,40 +6,40 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Something that operators want to know of, for logs.
+/// An event that the controller reports for the operators' log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ControllerEvent {
-    /// A proxy may not join, for this reason.
+    /// A proxy was not allowed to join.
     JoinRejected {
         /// The proxy's stream.
         stream: StreamId,
-        /// Why.
+        /// The reason, as sent to the proxy.
         reason: String,
     },
-    /// Some lines of a proxy's report cannot be true, and were left out.
+    /// Some lines of a proxy's report had implausible values and were ignored.
     ImplausibleReport {
         /// The proxy's stream.
         stream: StreamId,
-        /// How many.
+        /// Number of ignored lines.
         lines: usize,
     },
-    /// An endpoint list was rejected whole; the one before it stays in force.
+    /// An endpoint list was rejected; the previous one stays in force.
     EndpointListRejected(EndpointListError),
-    /// The controller itself did not run for this long: its machine was stalled, or it was stopped.
+    /// The controller itself did not run for this time: its machine was stalled, or its process was suspended.
     Stalled(Duration),
-    /// A proxy did not acknowledge its updates in time and is disconnected.
+    /// A proxy did not acknowledge its updates in time and was disconnected.
     AckOverdue {
         /// The proxy's stream.
         stream: StreamId,
     },
-    /// An update did not fit into the channel, and its proxy is disconnected.
+    /// An update did not fit into the channel, and its proxy was disconnected.
     UpdateNotQueued {
         /// The proxy's stream.
         stream: StreamId,
-        /// The limit that it exceeds.
+        /// The limit that the update would have exceeded.
         limit: ChannelFull,
     },
-    /// A verdict on a whole site, or a step of its return.
+    /// A change in the state of a whole site, described by this text.
     Site(String),
 }
 
@@ -47,20 +47,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ControllerEvent::JoinRejected { stream, reason } => {
-                write!(f, "stream {stream} may not join: {reason}")
+                write!(f, "rejecting the join on stream {stream}: {reason}")
             }
             ControllerEvent::ImplausibleReport { stream, lines } => {
-                write!(f, "stream {stream}: {lines} lines of its report cannot be true")
+                write!(f, "ignoring {lines} implausible lines of a load report on stream {stream}")
+            }
+            ControllerEvent::EndpointListRejected(error) => {
+                write!(f, "rejecting an endpoint list and keeping the previous one: {error}")
             }
-            ControllerEvent::EndpointListRejected(error) => write!(f, "{error}"),
             ControllerEvent::Stalled(duration) => {
-                write!(f, "the controller was stalled for {} ms", duration.as_millis())
+                write!(f, "resuming after a stall of the controller for {} ms", duration.as_millis())
             }
             ControllerEvent::AckOverdue { stream } => {
-                write!(f, "stream {stream} is closed: its updates stay unacknowledged")
+                write!(f, "closing stream {stream}: updates were not acknowledged in time")
             }
             ControllerEvent::UpdateNotQueued { stream, limit } => {
-                write!(f, "stream {stream} is closed: {limit}")
+                write!(f, "closing stream {stream}, whose update does not fit the channel: {limit}")
             }
             ControllerEvent::Site(text) => f.write_str(text),
         }
--- a/crates/controller/src/join_limiter.rs
+++ b/crates/controller/src/join_limiter.rs
@@ -1,13 +1,13 @@
-//! How often a proxy may join.
+//! Limits how often a proxy may join.
 
 use grebespool::host::ProxyId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Limits how often each proxy joins.
+/// A limit on how often each proxy joins.
 ///
-/// Each join costs a whole table of the channel, which all proxies share; two processes with one name would push each
-/// other out for ever. A proxy that is rejected goes on with the tables that it holds.
+/// Each join sends a whole table through the channel that all proxies share, and two processes with the same name would
+/// disconnect each other for ever. A rejected proxy continues with the tables that it holds.
 pub struct JoinLimiter {
     max_joins: usize,
     window: Duration,
@@ -15,16 +15,16 @@
 }
 
 impl JoinLimiter {
-    /// Allows each proxy `max_joins` within `window`.
+    /// Creates a limiter that admits up to `max_joins` of each proxy within `window`.
     pub fn new(max_joins: usize, window: Duration) -> Self {
         JoinLimiter { max_joins, window, joins: BTreeMap::new() }
     }
 
-    /// Counts a join and admits it.
+    /// Admits and counts a join.
     ///
     /// # Errors
     ///
-    /// The time until the next join would be admitted. A rejected join is not counted.
+    /// Returns the time until a join would be admitted if the limit is reached. A rejected join is not counted.
     pub fn admit(&mut self, now: Duration, proxy: ProxyId) -> Result<(), Duration> {
         let joins = self.joins.entry(proxy).or_default();
         while joins.front().is_some_and(|joined_at| now.saturating_sub(*joined_at) >= self.window) {
--- a/crates/controller/src/lib.rs
+++ b/crates/controller/src/lib.rs
@@ -1,12 +1,13 @@
-//! Everything between the wire's messages and the policy ([`grebespool::policy`]), free of I/O and clocks.
+//! The protocol-independent core of a planner: everything between the wire's messages and the policy
+//! ([`grebespool::policy`]), free of I/O and clocks.
 //!
-//! Here are the ids of servers and proxies, one update a turn for each proxy, the paced channel through which updates
-//! leave, acknowledgements, and the validation of endpoint lists and load reports. Weights, admission and bindings are
-//! the policy's; sockets, tasks and clocks are the host's. Times are spans since the controller's start.
+//! The controller assigns the ids of servers and proxies, builds the updates, sends them through a paced channel, tracks
+//! their acknowledgements, and validates endpoint lists and load reports. The policy decides on weights, admission and
+//! bindings; the host owns sockets, tasks and clocks. Times are counted from the controller's start.
 //!
-//! Call one method of [`Controller`] for each thing that happens; it acts by calling the [`Effects`] that it was
-//! created with, before it returns. Call [`Controller::timer_fired`] at [`Controller::next_timer`]; later does no harm
-//! beyond the delay.
+//! The host calls one method of [`Controller`] for each event. The handling of one event is a *turn*: its changes reach
+//! each proxy as at most one update. The controller acts by calling its [`Effects`] before the method returns. The host
+//! calls [`Controller::timer_fired`] at [`Controller::next_timer`]; a late call only delays what is due.
 
 mod acknowledgements;
 mod aggregation;
--- a/crates/controller/src/metrics_validation.rs
+++ b/crates/controller/src/metrics_validation.rs
@@ -1,39 +1,40 @@
-//! Which metrics of servers are believed.
+//! Rejects outdated and implausible metrics of servers.
 
 use grebespool::host::{LoadMetric, ServerIndex};
 use grebespool_wire::{ServerLoad, ServerMetrics};
 use std::collections::BTreeMap;
 
-/// Most that a server's utilization may be.
+/// Maximum plausible utilization of a server, as a fraction.
 const MAX_UTILIZATION: f32 = 2.0;
 
-/// Most that any other metric may be, in its own unit.
+/// Maximum plausible value of any other metric, in the metric's own unit.
 const MAX_METRIC: f32 = 1e7;
 
-/// Most attempts or calls that one line of a report may tell of.
-pub(crate) const MAX_CALLS_PER_LINE: u32 = 1 << 20;
+/// Maximum plausible number of attempts or requests in one line of a report.
+pub(crate) const MAX_REQUESTS_PER_LINE: u32 = 1 << 20;
 
-/// Whether a line of a report can be true.
+/// Returns true if the counts in a line of a report are plausible.
 pub(crate) fn is_plausible(load: &ServerLoad) -> bool {
-    load.dropped <= load.attempts && load.attempts <= MAX_CALLS_PER_LINE
+    load.dropped <= load.attempts && load.attempts <= MAX_REQUESTS_PER_LINE
 }
 
-/// The place of a report among those of its server.
+/// The position of a report among the reports of its server; the derived order is by incarnation, then by sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ReportOrder {
     incarnation: u64,
     sequence: u32,
 }
 
-/// Tells new metrics from old ones. Responses overtake each other, so an older report comes after a newer one; and
-/// what comes late from a server that was restarted tells of its former incarnation.
+/// A filter for outdated metrics. Responses overtake each other, so an older report can arrive after a newer one, and a
+/// late report of a restarted server can belong to the server's former incarnation.
 #[derive(Default)]
 pub struct MetricsValidator {
     newest: BTreeMap<ServerIndex, ReportOrder>,
 }
 
 impl MetricsValidator {
-    /// The values of a report that is no older than what is known, with those that cannot be true as NaN.
+    /// Returns the values of a report, with implausible ones replaced by NaN; `None` if a newer report of the server was
+    /// received before.
     pub fn validate(
         &mut self,
         server: ServerIndex,
@@ -50,8 +51,8 @@
         Some(values.map(|(field, value)| valid_or_nan(*field, *value)).collect())
     }
 
-    /// The server was removed from the endpoint list.
-    pub fn forget(&mut self, server: ServerIndex) {
+    /// Drops the state of a server that was removed from the endpoint list.
+    pub fn remove_server(&mut self, server: ServerIndex) {
         self.newest.remove(&server);
     }
 }
--- a/crates/controller/src/proxy_ids.rs
+++ b/crates/controller/src/proxy_ids.rs
@@ -1,16 +1,17 @@
-//! Names of proxies, and the small ids that stand for them inside.
+//! Maps the names of proxies to the small ids that the policy uses.
 
 use grebespool::host::ProxyId;
 use std::collections::BTreeMap;
 
-/// Proxies by id. A name keeps its id, as what the policy knows of a proxy outlives its streams.
+/// The ids of proxies by name. An id is never released, because the policy's state of a proxy outlives its streams.
 #[derive(Default)]
 pub(crate) struct ProxyIds {
     ids: BTreeMap<String, ProxyId>,
 }
 
 impl ProxyIds {
-    /// The id of a name, a new one if it has none. `None` where `max_proxies` names are known and this is none of them.
+    /// Returns the id of a name, assigning one to a new name. Returns `None` for a new name if `max_proxies` names have
+    /// ids already.
     pub(crate) fn get_or_add(&mut self, name: &str, max_proxies: usize) -> Option<ProxyId> {
         if let Some(&id) = self.ids.get(name) {
             return Some(id);
@@ -20,7 +21,7 @@
         Some(id)
     }
 
-    /// All names with their ids, by name.
+    /// Returns all names with their ids, ordered by name.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, ProxyId)> {
         self.ids.iter().map(|(name, id)| (name.as_str(), *id))
     }
--- a/crates/controller/src/site_watch.rs
+++ b/crates/controller/src/site_watch.rs
@@ -1,4 +1,4 @@
-//! Hands what the controller hears to site failover, and what that decides to the policy.
+//! Connects the controller to site failover: passes on observations, and applies the decisions to the policy.
 
 use crate::effects::Effects;
 use crate::endpoint_registry::EndpointSummary;
@@ -11,18 +11,18 @@
 };
 use std::time::Duration;
 
-/// How often within its window the evidence is evaluated.
+/// Number of evaluations of the evidence within one evidence window.
 const EVALUATIONS_PER_WINDOW: u32 = 8;
 
-/// What the endpoint list says of a site.
+/// The servers of a site, as summarized from the endpoint list.
 #[derive(Debug, Clone, Copy, Default)]
 struct ListedSite {
     ready_servers: usize,
-    /// Of the ready servers, on the controller's clock.
+    /// The latest start of a ready server, on the controller's clock.
     latest_start: Option<Duration>,
 }
 
-/// The sites as the controller watches them. A site is a zone, by its id.
+/// The watch over whole sites. A site is a zone; both have the same id.
 pub(crate) struct SiteWatch {
     failover: SiteFailover,
     names: Vec<String>,
@@ -34,29 +34,29 @@
 /// An operator's command on a site.
 #[derive(Debug, Clone, Copy)]
 pub struct SiteCommand {
-    /// The site's zone.
+    /// The zone that is the site.
     pub zone: ZoneId,
-    /// What is to be done.
+    /// The order to carry out.
     pub order: SiteOrder,
-    /// Whether it is to be done even if routes are throttled by it.
+    /// True if the order is to be carried out even if requests of some routes have to be shed.
     pub forced: bool,
 }
 
-/// What verdicts on sites act on.
-struct VerdictTarget<'a, H, E> {
+/// The host of site failover: applies its decisions to the policy and reports its events.
+struct FailoverAdapter<'a, H, E> {
     now: Duration,
     policy: &'a mut Policy<H>,
     effects: &'a mut E,
     names: &'a [String],
 }
 
-impl<H: PolicyHost, E: Effects> FailoverHost for VerdictTarget<'_, H, E> {
-    fn limit_site_weight(&mut self, site: usize, part: f64) {
-        self.policy.limit_zone_share(self.now, site as ZoneId, part);
+impl<H: PolicyHost, E: Effects> FailoverHost for FailoverAdapter<'_, H, E> {
+    fn limit_site_weight(&mut self, site: usize, fraction: f64) {
+        self.policy.limit_zone_share(self.now, site as ZoneId, fraction);
     }
 
-    fn limit_admission(&mut self, most: &[f64]) {
-        self.policy.limit_admission(self.now, most);
+    fn limit_admission(&mut self, limits: &[f64]) {
+        self.policy.limit_admission(self.now, limits);
     }
 
     fn log(&mut self, event: FailoverEvent) {
@@ -66,7 +66,7 @@
 }
 
 impl SiteWatch {
-    /// `names`: the names of the zones, in the order of their ids.
+    /// Creates a watch. `names` are the names of the zones, in the order of their ids.
     pub(crate) fn new(names: Vec<String>, routes: &[Route], parameters: FailoverParameters) -> SiteWatch {
         let demand = |route: &Route| RouteDemand {
             priority_weight: route.priority_weight,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Proxies of `report.client_zone` measured a server of `zone`.
+    /// Passes on what the proxies of `report.client_zone` measured at a server of `zone`.
     pub(crate) fn load_reported(&mut self, now: Duration, zone: ZoneId, report: &LoadReport) {
         let answered = f64::from(report.attempts.saturating_sub(report.failures));
         let latency_sum_s = report.latency.map_or(0.0, |latency| latency.as_secs_f64() * answered);
@@ -98,27 +98,27 @@
         self.failover.observations().attempts_reported(now, report);
     }
 
-    /// A proxy of the zone reported.
+    /// Passes on that a proxy of the zone sent a report.
     pub(crate) fn zone_reported(&mut self, now: Duration, zone: ZoneId) {
         self.failover.observations().clients_heard(now, usize::from(zone));
     }
 
-    /// A health check of a server of the zone ended.
+    /// Passes on whether a server of the zone answered a health check.
     pub(crate) fn health_check_finished(&mut self, now: Duration, zone: ZoneId, answered: bool) {
         self.failover.observations().health_check_finished(now, usize::from(zone), answered);
     }
 
-    /// A proxy of the zone joined.
+    /// Passes on that a proxy of the zone joined.
     pub(crate) fn proxy_joined(&mut self, now: Duration, zone: ZoneId) {
         self.failover.observations().proxy_joined(now, usize::from(zone));
     }
 
-    /// A proxy of the zone left.
+    /// Passes on that a proxy of the zone left.
     pub(crate) fn proxy_left(&mut self, now: Duration, zone: ZoneId) {
         self.failover.observations().proxy_left(now, usize::from(zone));
     }
 
-    /// The whole endpoint list in force.
+    /// Summarizes the complete endpoint list in force by site, and passes on the summaries.
     pub(crate) fn endpoints_changed(
         &mut self,
         now: Duration,
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Evaluates the evidence, unless that was done a short while ago. Gives whether it was done.
+    /// Evaluates the evidence if an evaluation is due, and returns true if so. Evaluations are due at most
+    /// [`EVALUATIONS_PER_WINDOW`] times in a window.
     pub(crate) fn evaluate<H: PolicyHost>(
         &mut self,
         now: Duration,
@@ -154,11 +155,11 @@
         for (zone, capacity) in policy.zone_capacity(now).into_iter().enumerate() {
             self.failover.capacity_reported(zone, capacity.capacity_per_s, capacity.received_per_s);
         }
-        self.failover.evaluate(now, &mut VerdictTarget { now, policy, effects, names: &self.names });
+        self.failover.evaluate(now, &mut FailoverAdapter { now, policy, effects, names: &self.names });
         true
     }
 
-    /// Carries out an operator's command.
+    /// Carries out an operator's command, and returns the plan that is in force afterwards.
     pub(crate) fn command<H: PolicyHost>(
         &mut self,
         now: Duration,
@@ -167,18 +168,18 @@
         effects: &mut impl Effects,
     ) -> Result<Option<CapacityPlan>, OrderError> {
         let SiteCommand { zone, order, forced } = command;
-        let mut target = VerdictTarget { now, policy, effects, names: &self.names };
+        let mut target = FailoverAdapter { now, policy, effects, names: &self.names };
         self.failover.execute(now, usize::from(zone), order, forced, &mut target)
     }
 
-    /// What would be done with the zone out beside those that are out already.
+    /// Returns the plan that would be in force if this zone were out in addition to those that are out already.
     pub(crate) fn plan_without(&self, zone: ZoneId) -> Result<CapacityPlan, PlanError> {
-        let mut lost = self.failover.unavailable_sites();
-        lost.insert(usize::from(zone));
-        self.failover.plan_without(&lost)
+        let mut unavailable = self.failover.unavailable_sites();
+        unavailable.insert(usize::from(zone));
+        self.failover.plan_without(&unavailable)
     }
 
-    /// The status of each site, in the order of their ids.
+    /// Returns the status of each site, in the order of their ids.
     pub(crate) fn statuses(&self, now: Duration) -> Vec<SiteStatus> {
         self.failover.statuses(now)
     }
--- a/crates/controller/src/update_channel.rs
+++ b/crates/controller/src/update_channel.rs
@@ -1,4 +1,4 @@
-//! The paced channel through which all updates leave.
+//! The paced channel through which all updates are sent.
 
 use crate::stream_id::StreamId;
 use grebespool::host::ControlChannelLimits;
@@ -7,41 +7,41 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// An update that waits for its turn.
+/// An update that waits in the channel.
 struct QueuedUpdate {
     stream: StreamId,
     update: Update,
-    /// In table entries, the message's own cost included.
+    /// The cost in table entries, including the cost of the message itself.
     cost: f64,
 }
 
-/// Why an update cannot be queued. The texts go to the proxy. On the wire: do not rename.
+/// The limit because of which an update cannot be queued. The proxy receives these texts: do not reword.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ChannelFull {
-    /// More table entries would wait than may.
+    /// The update would exceed the limit of queued table entries.
     #[error("the channel is full")]
     QueuedEntries,
-    /// More updates would go to this proxy within the window than may.
+    /// The update would exceed the limit of updates to one proxy within the window.
     #[error("as many messages were sent as may be")]
     UpdatesInWindow,
 }
 
-/// A first-in, first-out queue that updates leave one after another, each as long as its table entries take.
+/// A first-in, first-out queue of updates. Each takes time to leave in proportion to its cost in table entries.
 ///
-/// The policy keeps to the limits by what it can tell of the channel. Here they are enforced by count, as a last
-/// resort: what would exceed one is not queued, and its proxy has to join anew.
+/// The policy respects the limits by its own estimate of the channel's load. The channel enforces them by exact counts
+/// as a last resort: an update that would exceed a limit is not queued, and its proxy has to join again.
 pub struct UpdateChannel {
     limits: ControlChannelLimits,
     queue: VecDeque<QueuedUpdate>,
     queued_entries: f64,
-    /// When the update at the front may begin to leave.
+    /// The time at which the update at the front may begin to leave.
     free_at: Duration,
-    /// When updates were queued, by stream, no older than the window.
+    /// The times within the window at which updates were queued, by stream.
     queued_at: BTreeMap<StreamId, VecDeque<Duration>>,
 }
 
 impl UpdateChannel {
-    /// An empty channel.
+    /// Creates an empty channel.
     pub fn new(limits: ControlChannelLimits) -> Self {
         UpdateChannel {
             limits,
@@ -52,11 +52,11 @@
         }
     }
 
-    /// Queues an update of so many table entries.
+    /// Queues an update that occupies `entries` table entries.
     ///
     /// # Errors
     ///
-    /// The limit that it would exceed. Nothing is queued then.
+    /// Returns the limit if the update would exceed one. The update is not queued then.
     pub fn enqueue(
         &mut self,
         now: Duration,
@@ -65,7 +65,7 @@
         entries: usize,
     ) -> Result<(), ChannelFull> {
         let cost = entries as f64 + self.limits.message_overhead;
-        self.forget_old_updates(now, stream);
+        self.evict_expired(now, stream);
         if self.queued_entries + cost > self.limits.max_queued_entries {
             return Err(ChannelFull::QueuedEntries);
         }
@@ -78,13 +78,15 @@
         Ok(())
     }
 
-    fn forget_old_updates(&mut self, now: Duration, stream: StreamId) {
+    /// Drops the times of a stream's updates that are older than the window.
+    fn evict_expired(&mut self, now: Duration, stream: StreamId) {
         let queued_at = self.queued_at.entry(stream).or_default();
         while queued_at.front().is_some_and(|at| now.saturating_sub(*at) > self.limits.window) {
             queued_at.pop_front();
         }
     }
 
+    /// Counts an update against the limit of its stream, if there is a limit.
     fn count_update(&mut self, now: Duration, stream: StreamId) -> Result<(), ChannelFull> {
         let max_updates = self.limits.max_messages;
         if max_updates == 0 {
@@ -98,13 +100,13 @@
         Ok(())
     }
 
-    /// When the next update leaves.
+    /// Returns the time at which the next update leaves; `None` if the channel is empty.
     pub fn next_departure(&self) -> Option<Duration> {
         let next = self.queue.front()?;
         Some(self.free_at + Duration::from_secs_f64(next.cost / self.limits.entries_per_s))
     }
 
-    /// Takes the next update that has left by now.
+    /// Takes the next update that has left by `now`.
     pub fn dequeue(&mut self, now: Duration) -> Option<(StreamId, Update)> {
         let departure = self.next_departure().filter(|departure| *departure <= now)?;
         let next = self.queue.pop_front()?;
@@ -116,7 +118,7 @@
         Some((next.stream, next.update))
     }
 
-    /// Drops what waits for a stream that has ended.
+    /// Drops the queued updates of a stream that has ended.
     pub fn drop_stream(&mut self, stream: StreamId) {
         self.queued_at.remove(&stream);
         for update in self.queue.iter().filter(|update| update.stream == stream) {
@@ -125,7 +127,7 @@
         self.queue.retain(|update| update.stream != stream);
     }
 
-    /// Table entries that wait, the cost of each message included.
+    /// Returns the number of queued table entries, including the cost of each message.
     pub fn queued_entries(&self) -> f64 {
         self.queued_entries
     }
