--- a/crates/controller/tests/helpers/mod.rs
+++ b/crates/controller/tests/helpers/mod.rs
@@ -1,4 +1,4 @@
-//! Effects that keep what they were asked, and a controller of a few servers that can be driven through time.
+//! Effects that record the controller's requests, and a controller with a few servers that tests drive through time.
 
 use grebespool::host::*;
 use grebespool_controller::*;
@@ -11,6 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// What the controller requested from its host.
 #[derive(Default)]
 pub struct Recorded {
     pub welcomed: Vec<StreamId>,
@@ -49,19 +50,22 @@
     Duration::from_millis(ms)
 }
 
+/// Returns the id of server `n`.
 pub fn id(n: u32) -> ServerId {
     ServerId { addr: ([127, 0, 0, 1], 9000 + n as u16).into(), number: n }
 }
 
-pub fn entry(n: u32, phase: grebespool_wire::EndpointState, started_ms: u64) -> EndpointEntry {
+/// Returns the list entry of server `n`. Even servers are in zone a, odd ones in zone b.
+pub fn entry(n: u32, state: grebespool_wire::EndpointState, started_ms: u64) -> EndpointEntry {
     EndpointEntry {
         server: id(n),
         zone: if n.is_multiple_of(2) { "a" } else { "b" }.into(),
-        state: phase,
+        state,
         started_ms,
     }
 }
 
+/// Returns the entries of `count` ready servers.
 pub fn ready(count: u32) -> Vec<EndpointEntry> {
     (0..count).map(|n| entry(n, grebespool_wire::EndpointState::Ready, 0)).collect()
 }
@@ -79,8 +83,9 @@
     pub controller: Controller<RecordingEffects>,
     pub recorded: Rc<RefCell<Recorded>>,
     pub now: Duration,
-    pub number: u32,
-    /// What each stream's table holds, as a proxy would have it.
+    /// The sequence number of the last metrics report.
+    pub metrics_sequence: u32,
+    /// The weight table of each stream, as its proxy would hold it after all updates.
     pub tables: BTreeMap<StreamId, BTreeMap<ServerId, f32>>,
 }
 
@@ -119,15 +124,15 @@
             observability,
         };
         let controller = Controller::new(effects, config)?;
-        Ok(Fixture { controller, recorded, now: ms(10), number: 0, tables: BTreeMap::new() })
+        Ok(Fixture { controller, recorded, now: ms(10), metrics_sequence: 0, tables: BTreeMap::new() })
     }
 
     pub fn with_servers(count: u32) -> Fixture {
         Fixture::with_limits(CHANNEL_LIMITS, count)
     }
 
-    /// A channel that does not take even the shortest tables for a hundred proxies at once.
-    pub fn narrow(count: u32) -> Fixture {
+    /// Creates a fixture whose channel cannot queue even the shortest tables for a hundred proxies at once.
+    pub fn with_narrow_channel(count: u32) -> Fixture {
         Fixture::with_limits(
             ControlChannelLimits { entries_per_s: 1000.0, max_queued_entries: 1000.0, ..CHANNEL_LIMITS },
             count,
@@ -136,34 +141,37 @@
 
     fn with_limits(limits: ControlChannelLimits, count: u32) -> Fixture {
         let mut fixture = Fixture::new(limits, 0).unwrap();
-        fixture.list((1, 0), 5000, ready(count));
+        fixture.receive_list((1, 0), 5000, ready(count));
         fixture
     }
 
-    /// Hands over an endpoint list. `of`: its version, and the version that it changes.
-    pub fn list(&mut self, of: (u64, u64), now_ms: u64, entries: Vec<EndpointEntry>) {
-        let list = EndpointList { version: of.0, base_version: of.1, now_ms, entries };
+    /// Passes an endpoint list to the controller. `versions`: the list's version, and the version that it changes.
+    pub fn receive_list(&mut self, versions: (u64, u64), now_ms: u64, entries: Vec<EndpointEntry>) {
+        let list = EndpointList { version: versions.0, base_version: versions.1, now_ms, entries };
         self.controller.endpoints_received(self.now, &list);
     }
 
-    pub fn join(&mut self, stream: StreamId, name: &str, bare: bool) {
+    /// Has a proxy join. Even streams are of zone a, odd ones of zone b.
+    pub fn join(&mut self, stream: StreamId, name: &str, initial_table_only: bool) {
         let zone = if stream.is_multiple_of(2) { "a" } else { "b" };
-        let request = JoinRequest { name, zone, calls_per_s: 5.0, initial_table_only: bare };
+        let request = JoinRequest { name, zone, calls_per_s: 5.0, initial_table_only };
         self.controller.proxy_joined(self.now, stream, request);
     }
 
-    /// Runs on, firing the timers when they are due, and acknowledges each update at once for the streams that do.
-    pub fn run(&mut self, length: Duration, answers: impl Fn(StreamId) -> bool) {
-        let end = self.now + length;
+    /// Advances the time, firing each timer when due. Applies all updates, and acknowledges each at once on the streams
+    /// for which `acknowledges` returns true.
+    pub fn advance(&mut self, duration: Duration, acknowledges: impl Fn(StreamId) -> bool) {
+        let end = self.now + duration;
         while self.controller.next_timer() <= end {
             self.now = self.controller.next_timer().max(self.now);
             self.controller.timer_fired(self.now);
-            self.apply(&answers);
+            self.apply(&acknowledges);
         }
         self.now = end;
     }
 
-    pub fn apply(&mut self, answers: impl Fn(StreamId) -> bool) {
+    /// Applies the updates that were sent, and acknowledges them on the streams for which `acknowledges` returns true.
+    pub fn apply(&mut self, acknowledges: impl Fn(StreamId) -> bool) {
         let sent: Vec<_> = std::mem::take(&mut self.recorded.borrow_mut().sent);
         for (stream, update) in sent {
             let mut token = None;
@@ -179,30 +187,29 @@
                     Change::SetWeight(WeightChange { server, .. }) => {
                         let _ = table.remove(&server);
                     }
-                    Change::RequestAck(asked) => token = Some(asked),
+                    Change::RequestAck(requested) => token = Some(requested),
                     _ => {}
                 }
             }
-            if answers(stream) {
-                let Update { incarnation, stream: of, sequence, .. } = update;
-                let ack = UpdateAck { incarnation, stream: of, sequence, token };
+            if acknowledges(stream) {
+                let Update { incarnation, stream: update_stream, sequence, .. } = update;
+                let ack = UpdateAck { incarnation, stream: update_stream, sequence, token };
                 self.controller.update_acknowledged(self.now, stream, &ack);
             }
         }
     }
 
-    /// Sums of one server, with a report of its load unless that is no number.
-    pub fn sums(&mut self, stream: StreamId, n: u32, tries: u32, dropped: u32, load: f32) {
-        self.number += 1;
-        let report = Some(grebespool_wire::ServerMetrics {
+    /// Reports attempts at server `n`, with the server's metric `load`, from the proxy of a stream.
+    pub fn report_load(&mut self, stream: StreamId, n: u32, attempts: u32, dropped: u32, load: f32) {
+        self.metrics_sequence += 1;
+        let metrics = Some(grebespool_wire::ServerMetrics {
             incarnation: 1,
-            sequence: self.number,
+            sequence: self.metrics_sequence,
             values: vec![load],
         });
-        let wait_us = if tries > dropped { 50_000 } else { 0 };
-        let met =
-            ServerLoad { server: id(n), attempts: tries, dropped, mean_latency_us: wait_us, metrics: report };
-        let routes = vec![grebespool_wire::RouteLoad { route: 0, calls: tries }];
-        self.controller.load_reported(stream, &ProxyReport { servers: vec![met], routes });
+        let mean_latency_us = if attempts > dropped { 50_000 } else { 0 };
+        let server_load = ServerLoad { server: id(n), attempts, dropped, mean_latency_us, metrics };
+        let routes = vec![grebespool_wire::RouteLoad { route: 0, calls: attempts }];
+        self.controller.load_reported(stream, &ProxyReport { servers: vec![server_load], routes });
     }
 }
