--- a/crates/controller-server/src/accept.rs
+++ b/crates/controller-server/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts connections.
+//! Accepts connections of proxies.
 
 use crate::session;
 use crate::shared::Shared;
@@ -10,21 +10,21 @@
 use tokio::task::{JoinError, JoinSet};
 use tracing::warn;
 
-/// Pause after an accept that failed, for want of descriptors say: the open streams go on meanwhile.
+/// Pause after a failed accept, for example because of a lack of file descriptors. Open streams continue meanwhile.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts connections and runs a task for each, beside the tasks that run already. A panic in any task ends this one.
+/// Accepts connections, and runs a task for each in `tasks`. A panic in any of the tasks is propagated.
 pub(crate) async fn run(shared: Rc<Shared>, listener: TcpListener, mut tasks: JoinSet<()>) {
     let allowed = shared.listen.allowed();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((_, peer)) if !allowed.holds(peer.ip()) => {
-                    warn!(%peer, "close a connection from outside the allowed networks");
+                    warn!(%peer, "closing a connection from outside the allowed networks");
                 }
                 Ok((_, peer)) if shared.unjoined.get() >= shared.listen.unjoined => {
                     let unjoined = shared.unjoined.get();
-                    warn!(%peer, unjoined, "close a connection: too many streams have not joined");
+                    warn!(%peer, unjoined, "closing a connection: too many streams have not joined");
                 }
                 Ok((socket, peer)) => spawn_session(&shared, &mut tasks, socket, peer),
                 Err(error) => back_off(error).await,
@@ -40,7 +40,7 @@
 }
 
 async fn back_off(error: io::Error) {
-    warn!(%error, "cannot accept a connection");
+    warn!(%error, "cannot accept a connection; retrying");
     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
--- a/crates/controller-server/src/connection.rs
+++ b/crates/controller-server/src/connection.rs
@@ -1,4 +1,4 @@
-//! The writing side of one stream, and who joined on it.
+//! The writing side of one stream, and the proxy that joined on the stream.
 
 use grebespool_controller::StreamId;
 use grebespool_wire::{Close, CloseReason, Message, Proof};
@@ -13,12 +13,12 @@
 /// All open connections by stream, shared by the tasks of one thread.
 pub(crate) type Connections = Rc<RefCell<BTreeMap<StreamId, Rc<Connection>>>>;
 
-/// A connection of a proxy, joined or not. Its session's task owns it; others hold it only to write.
+/// A connection of a proxy, joined or not. The session's task owns the connection; other tasks only write to it.
 pub(crate) struct Connection {
     queue: WriteQueue,
-    /// What the controller shows when it welcomes this stream; unset before the proxy's own proof was checked.
+    /// The controller's proof for the welcome message; all zeros until the proxy's own proof has been checked.
     pub(crate) proof: Cell<Proof>,
-    /// The name of the proxy that joined on it.
+    /// The name of the proxy that joined on the stream; `None` before the join.
     pub(crate) name: RefCell<Option<String>>,
 }
 
@@ -36,17 +36,17 @@
         self.queue.push(now, &message.to_frame());
     }
 
-    /// Queues the last message; it is written if the peer takes it in time.
+    /// Queues the last message of the stream, which is written if the peer reads it in time.
     pub(crate) fn close(&self, now: Duration, reason: CloseReason, text: &str) {
         self.send(now, &Message::Close(Close { reason, text: text.into() }));
         self.queue.close();
     }
 
-    /// Writes until the stream is closed.
+    /// Writes queued messages until the stream is closed.
     ///
     /// # Errors
     ///
-    /// Why the stream ends before all was written.
+    /// Returns the reason if the stream ends before everything was written.
     pub(crate) async fn write(&self, socket: OwnedWriteHalf, started_at: Instant) -> Result<(), CloseReason> {
         match self.queue.run(socket, started_at).await {
             WriteOutcome::Closed => Ok(()),
--- a/crates/controller-server/src/dial.rs
+++ b/crates/controller-server/src/dial.rs
@@ -1,4 +1,4 @@
-//! The dialing side of a stream: the handshake with whoever holds the same key.
+//! The dialing side of a stream: the handshake with a peer that holds the same key.
 
 use grebespool_wire::{
     Challenge, FleetKey, FrameDecoder, Hello, Join, MAX_BODY_BYTES, Message, Nonce, PROTOCOL_VERSION, Role,
@@ -7,45 +7,45 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Bytes that are read from a socket at once.
+/// Maximum number of bytes that one read takes from a socket.
 const READ_BUFFER_BYTES: usize = 4 << 10;
 
-/// The update that a proxy applied last.
+/// The last update that a proxy applied.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AppliedUpdate {
-    /// The incarnation of its controller; 0 for none.
+    /// The incarnation of the update's controller; 0 if no update was applied.
     pub incarnation: u64,
-    /// Its sequence number; 0 for none.
+    /// The sequence number of the update; 0 if no update was applied.
     pub sequence: u64,
 }
 
-/// Who dials, as it says in the handshake.
+/// The description of the dialing side that is sent in the handshake.
 pub struct Dialer<'a> {
-    /// What it wants to be.
+    /// The requested role.
     pub role: Role,
-    /// Its name.
+    /// The dialer's name.
     pub name: &'a str,
-    /// Its zone, by name; empty where it has none.
+    /// The name of the dialer's zone; empty if it has none.
     pub zone: &'a str,
-    /// Calls a second that it usually gets; rough.
+    /// Requests a second that the dialer usually receives; a rough estimate.
     pub calls_per_s: f32,
-    /// Whether it holds only the table that it started with.
+    /// True if the dialer holds only the weight table from its start.
     pub initial_table_only: bool,
-    /// The update that it applied last.
+    /// The last update that the dialer applied.
     pub applied: AppliedUpdate,
-    /// The newest term that it has seen.
+    /// The newest term of which the dialer has received an update.
     pub newest_term: u64,
 }
 
-/// A stream that was welcomed.
+/// A stream whose handshake succeeded.
 pub struct WelcomedStream {
-    /// The other side's incarnation.
+    /// The listening side's incarnation.
     pub incarnation: u64,
-    /// The stream's number.
+    /// The id of the stream.
     pub stream: u32,
-    /// The term of all updates on it.
+    /// The term of all updates on the stream.
     pub term: u64,
-    /// What came with the welcome and is not decoded yet.
+    /// The decoder, with any bytes received after the welcome message.
     pub decoder: FrameDecoder,
 }
 
@@ -53,7 +53,8 @@
 ///
 /// # Errors
 ///
-/// The socket's error, `UnexpectedEof` where the stream ended, `InvalidData` where what came is malformed.
+/// Returns the socket's error if reading fails, `UnexpectedEof` if the stream has ended, and `InvalidData` if the bytes
+/// are malformed.
 pub async fn read_message(
     socket: &mut (impl AsyncRead + Unpin),
     decoder: &mut FrameDecoder,
@@ -72,11 +73,12 @@
     }
 }
 
-/// Shakes hands over a new connection. `nonce` must not have been used before.
+/// Performs the handshake on a new connection. `nonce` must not have been used before.
 ///
 /// # Errors
 ///
-/// The socket's error; `PermissionDenied` where either side does not show the key or the other side rejects this one.
+/// Returns the socket's error if reading or writing fails, and `PermissionDenied` if the listening side rejects the
+/// dialer, for example because of a wrong key, sends an unexpected message, or does not prove that it holds the key.
 pub async fn handshake(
     socket: &mut (impl AsyncRead + AsyncWrite + Unpin),
     key: &FleetKey,
@@ -98,7 +100,7 @@
     socket.write_all(&Message::Join(join).to_frame()).await?;
     let welcome = expect_welcome(read_message(socket, &mut decoder).await?)?;
     if !welcome.proof.matches(&key.listener_proof(&transcript)) {
-        return Err(denied("it does not show the fleet's key"));
+        return Err(denied("the listening side has no proof of the fleet's key"));
     }
     let Welcome { stream, term, .. } = welcome;
     Ok(WelcomedStream { incarnation: challenge.incarnation, stream, term, decoder })
@@ -119,7 +121,10 @@
 fn expect_challenge(message: Message) -> io::Result<Challenge> {
     match message {
         Message::Challenge(challenge) if challenge.version == PROTOCOL_VERSION => Ok(challenge),
-        Message::Challenge(challenge) => Err(denied(format!("it speaks version {}", challenge.version))),
+        Message::Challenge(challenge) => Err(denied(format!(
+            "the listening side speaks version {}; expected {PROTOCOL_VERSION}",
+            challenge.version
+        ))),
         other => Err(rejected(&other, "a challenge")),
     }
 }
@@ -134,7 +139,7 @@
 fn rejected(message: &Message, expected: &str) -> io::Error {
     match message {
         Message::Close(close) => denied(format!("{:?}: {}", close.reason, close.text)),
-        other => denied(format!("{} in place of {expected}", other.name())),
+        other => denied(format!("received message {:?}; expected {expected}", other.name())),
     }
 }
 
--- a/crates/controller-server/src/effects.rs
+++ b/crates/controller-server/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the controller asks, handed to the streams and tasks concerned.
+//! Carries out the controller's requests on sockets, or passes them to the tasks that do.
 
 use crate::connection::{Connection, Connections};
 use crate::requests::{HealthCheckRequests, PollRequest};
@@ -10,18 +10,18 @@
 use tokio::time::Instant;
 use tracing::{Level, debug, warn};
 
-/// Where the controller's requests go; clones share them.
+/// The destinations of the controller's requests. Clones share the same destinations.
 #[derive(Clone, Default)]
 pub(crate) struct Requests {
     /// All open connections.
     pub(crate) connections: Connections,
-    /// Polls of the endpoint list.
+    /// The requested poll of the endpoint list.
     pub(crate) polls: Rc<PollRequest>,
-    /// Health checks.
+    /// The requested health checks.
     pub(crate) health_checks: Rc<HealthCheckRequests>,
 }
 
-/// The controller's effects on sockets.
+/// The implementation of the controller's effects on sockets.
 pub(crate) struct SocketEffects {
     started_at: Instant,
     incarnation: Incarnation,
@@ -86,22 +86,22 @@
 fn log_event(incarnation: u64, event: ControllerEvent) {
     match event {
         ControllerEvent::JoinRejected { stream, reason } => {
-            warn!(incarnation, stream, reason, "reject a join");
+            warn!(incarnation, stream, reason, "rejecting a join");
         }
         ControllerEvent::ImplausibleReport { stream, lines } => {
-            warn!(incarnation, stream, lines, "ignore lines of a load report that cannot be true");
+            warn!(incarnation, stream, lines, "ignoring implausible lines of a load report");
         }
         ControllerEvent::EndpointListRejected(error) => {
-            warn!(incarnation, %error, "reject an endpoint list and keep the one before it");
+            warn!(incarnation, %error, "rejecting an endpoint list and keeping the previous one");
         }
         ControllerEvent::Stalled(duration) => {
-            warn!(incarnation, ?duration, "resume after a stall of the controller itself");
+            warn!(incarnation, ?duration, "resuming after a stall of the controller itself");
         }
         ControllerEvent::AckOverdue { stream } => {
-            warn!(incarnation, stream, "close a stream whose updates stay unacknowledged");
+            warn!(incarnation, stream, "closing a stream whose updates were not acknowledged in time");
         }
         ControllerEvent::UpdateNotQueued { stream, limit } => {
-            warn!(incarnation, stream, %limit, "close a stream whose update does not fit the channel");
+            warn!(incarnation, stream, %limit, "closing a stream whose update does not fit the channel");
         }
         ControllerEvent::Site(text) => warn!(incarnation, "{text}"),
     }
@@ -118,20 +118,20 @@
     match change {
         Change::BindTable(binding) => {
             let (table, version, weights) = (binding.table, binding.version, binding.weights.len());
-            debug!(stream, table, version, ?cause, list, weights, "bind a table");
+            debug!(stream, table, version, ?cause, list, weights, "binding a table");
         }
         Change::SetWeight(change) => {
             let (table, version, weight) = (change.table, change.version, change.weight);
-            debug!(stream, table, version, ?cause, list, server = %change.server.addr, weight, "set a weight");
+            debug!(stream, table, version, ?cause, list, server = %change.server.addr, weight, "setting a weight");
         }
         Change::SetAdmission(rule) => {
             let (routes, admitted_fraction) = (rule.routes, rule.admitted_fraction);
-            debug!(stream, ?cause, routes, admitted_fraction, retry = ?rule.retry_policy, "set admission");
+            debug!(stream, ?cause, routes, admitted_fraction, retry = ?rule.retry_policy, "setting an admission level");
         }
         Change::Exclude(exclusion) => {
             let excluded = exclusion.excluded;
-            debug!(stream, ?cause, server = %exclusion.server.addr, excluded, "exclude a server");
+            debug!(stream, ?cause, server = %exclusion.server.addr, excluded, "changing the exclusion of a server");
         }
-        Change::RequestAck(token) => debug!(stream, ?cause, token, "request an acknowledgement"),
+        Change::RequestAck(token) => debug!(stream, ?cause, token, "requesting an acknowledgement"),
     }
 }
--- a/crates/controller-server/src/endpoint_watch.rs
+++ b/crates/controller-server/src/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! Watches the endpoint list.
+//! Watches the endpoint list of the discovery service.
 
 use crate::dial::{AppliedUpdate, Dialer, WelcomedStream, handshake, read_message};
 use crate::shared::Shared;
@@ -14,12 +14,15 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::{info, warn};
 
-/// Dials the endpoint list, watches it, and dials again whenever that ends, after the pause of the settings.
+/// Connects to the endpoint list and watches the list. After each failure, connects again after the pause from the
+/// settings.
 pub(crate) async fn run(shared: Rc<Shared>, source: ListSource) {
     loop {
         match watch(&shared, &source).await {
             Ok(never) => match never {},
-            Err(error) => warn!(address = %source.address, %error, "cannot reach the endpoint list"),
+            Err(error) => {
+                warn!(address = %source.address, %error, "cannot watch the endpoint list; reconnecting after a pause")
+            }
         }
         shared.call(|controller, now| controller.endpoint_poll_failed(now));
         sleep(source.redial.0).await;
@@ -34,17 +37,17 @@
         timeout(response_timeout, watcher_handshake(shared, &mut socket)).await??;
     let (mut reader, mut writer) = socket.into_split();
     let mut polls = Polls::new(response_timeout);
-    // Changes that were missed while it was out of reach come first.
-    let mut due = Some(shared.controller.borrow().endpoints_version());
+    // The first poll fetches the changes that were missed while the list was unreachable.
+    let mut due_poll = Some(shared.controller.borrow().endpoints_version());
     shared.polls.take();
     loop {
-        if let Some(known_version) = due.take() {
+        if let Some(known_version) = due_poll.take() {
             polls.send(&mut writer, known_version).await?;
         }
         tokio::select! {
             message = read_message(&mut reader, &mut decoder) => handle(shared, &mut polls, message?)?,
-            () = shared.polls.added() => due = shared.polls.take(),
-            () = polls.timed_out() => return Err(io::ErrorKind::TimedOut.into()),
+            () = shared.polls.wait_until_added() => due_poll = shared.polls.take(),
+            () = polls.wait_for_timeout() => return Err(io::ErrorKind::TimedOut.into()),
         }
     }
 }
@@ -57,7 +60,7 @@
     rand::rng().fill_bytes(&mut nonce);
     let dialer = Dialer {
         role: Role::Watcher,
-        // On the wire: do not rename.
+        // Sent in the handshake: do not reword.
         name: &format!("planner-{:x}", shared.incarnation.id),
         zone: "",
         calls_per_s: 0.0,
@@ -68,9 +71,10 @@
     handshake(socket, &shared.key, nonce, &dialer).await
 }
 
-/// Polls that wait for a response.
+/// The time-out of the polls that wait for a response.
 struct Polls {
     response_timeout: Duration,
+    /// The time at which the oldest unanswered poll was sent; `None` if no poll waits.
     unanswered_since: Option<Instant>,
 }
 
@@ -86,12 +90,13 @@
         Ok(())
     }
 
-    fn answered(&mut self) {
+    /// Records a response. One response counts for all polls before it.
+    fn mark_answered(&mut self) {
         self.unanswered_since = None;
     }
 
-    /// Waits until the oldest poll has waited for too long; for ever if none waits.
-    async fn timed_out(&self) {
+    /// Waits until the oldest unanswered poll times out; never returns if no poll waits.
+    async fn wait_for_timeout(&self) {
         match self.unanswered_since {
             Some(since) => sleep_until(since + self.response_timeout).await,
             None => std::future::pending().await,
@@ -102,26 +107,26 @@
 fn handle(shared: &Shared, polls: &mut Polls, message: Message) -> io::Result<()> {
     match message {
         Message::EndpointList(list) => {
-            polls.answered();
+            polls.mark_answered();
             handle_list(shared, &list);
         }
         Message::EndpointPollFailed(failed) => {
-            polls.answered();
-            warn!(text = failed.text, "endpoint list fails a poll");
+            polls.mark_answered();
+            warn!(text = failed.text, "cannot poll the endpoint list; keeping the previous one");
             shared.call(|controller, now| controller.endpoint_poll_failed(now));
         }
         Message::Close(close) => {
-            let text = format!("closed by the list: {:?} {}", close.reason, close.text);
+            let text = format!("the endpoint list closed the stream: {:?}: {}", close.reason, close.text);
             return Err(io::Error::other(text));
         }
-        other => return Err(io::Error::other(format!("{} does not belong here", other.name()))),
+        other => return Err(io::Error::other(format!("received unexpected message {:?}", other.name()))),
     }
     Ok(())
 }
 
 fn handle_list(shared: &Shared, list: &EndpointList) {
     let (version, base_version) = (list.version, list.base_version);
-    info!(version, base_version, entries = list.entries.len(), "endpoint list received");
+    info!(version, base_version, entries = list.entries.len(), "receiving an endpoint list");
     shared.observer.borrow_mut().endpoints_received(shared.now(), list);
     shared.call(|controller, now| controller.endpoints_received(now, list));
 }
--- a/crates/controller-server/src/health_checks.rs
+++ b/crates/controller-server/src/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of servers.
+//! Checks the health of servers.
 
 use crate::dial::read_message;
 use crate::shared::Shared;
@@ -14,11 +14,12 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
 
-/// Most health checks at once; the rest waits, so that checks of a large fleet take few descriptors.
+/// Maximum number of concurrent health checks. Further ones wait, so that the checks of a large fleet do not use up the
+/// file descriptors.
 const MAX_CONCURRENT_CHECKS: usize = 64;
 
-/// Carries out the health checks that the controller asks for. One without a response after `check_timeout` has failed;
-/// none is retried here.
+/// Carries out the health checks that the controller requests. A check fails if no response arrives within
+/// `check_timeout`. Failed checks are not retried.
 pub(crate) async fn run(shared: Rc<Shared>, check_timeout: Duration) {
     let mut checks = JoinSet::new();
     loop {
@@ -29,7 +30,7 @@
             continue;
         }
         tokio::select! {
-            () = shared.health_checks.added() => {}
+            () = shared.health_checks.wait_until_added() => {}
             Some(_) = checks.join_next() => {}
         }
     }
@@ -50,7 +51,7 @@
     socket.write_all(&Message::HealthCheck(check).to_frame()).await?;
     let mut decoder = FrameDecoder::new(MAX_BODY_BYTES_BEFORE_JOIN);
     match read_message(&mut socket, &mut decoder).await? {
-        // Another server that came to this address does not answer for this one.
+        // A response of another server that has taken over the address does not count.
         Message::HealthCheckResponse(HealthCheckResponse { server_number, status, .. })
             if server_number == server.number =>
         {
--- a/crates/controller-server/src/lib.rs
+++ b/crates/controller-server/src/lib.rs
@@ -1,9 +1,9 @@
-//! The controller on sockets: accepts proxies, watches the endpoint list, checks the health of servers, and carries out
-//! what the controller ([`grebespool_controller`]) asks.
+//! Runs the controller on sockets: accepts proxies, watches the endpoint list, checks the health of servers, and carries
+//! out the requests of the controller ([`grebespool_controller`]).
 //!
-//! Streams, timers and backpressure are here; all decisions are the controller's and the policy's. Everything runs on
-//! one thread, as tasks of a `LocalSet`. [`serve`] never returns while its future is polled; dropping that future ends
-//! the controller at once, as a kill would.
+//! This crate handles streams, timers and backpressure; the controller and the policy make all decisions. Everything
+//! runs on one thread, as tasks of a `LocalSet`. [`serve`] returns only an error, before it has begun to serve; dropping
+//! its future stops the controller immediately, as a kill would.
 
 mod accept;
 mod connection;
@@ -40,28 +40,28 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// What a controller is served with.
+/// The configuration of a controller on sockets.
 pub struct ServerConfig {
-    /// This run of the controller.
+    /// The identity of this run of the controller.
     pub incarnation: Incarnation,
-    /// The key that proxies and the endpoint list have to show.
+    /// The key that proxies and the endpoint list have to prove that they hold.
     pub key: FleetKey,
-    /// The deployment that is controlled.
+    /// The deployment to control.
     pub deployment: Deployment,
-    /// How proxies are listened to.
+    /// The settings for the connections of proxies.
     pub listen: Listen,
-    /// Where the endpoint list comes from.
+    /// The source of the endpoint list.
     pub endpoint_source: ListSource,
-    /// When a health check without a response has failed.
+    /// Time after which a health check without a response has failed.
     pub health_check_timeout: Duration,
 }
 
-/// Serves proxies on `listener` until the future is dropped. `filter` stands between the controller and the streams,
-/// and `observer` is told what happens.
+/// Serves proxies on `listener` until the future is dropped. Each update passes through `filter` before it is sent, and
+/// `observer` is notified of events.
 ///
 /// # Errors
 ///
-/// A deployment of a kind that the policy does not decide for; nothing is served then.
+/// Returns the unsupported property if the policy does not support the deployment. No proxy is served then.
 pub async fn serve(
     listener: TcpListener,
     config: ServerConfig,
@@ -93,7 +93,7 @@
         tasks.spawn_local(timers::send_heartbeats(shared.clone()));
     }
     if let Some(requests) = site_requests {
-        tasks.spawn_local(site_requests::answer(shared.clone(), requests));
+        tasks.spawn_local(site_requests::serve(shared.clone(), requests));
     }
     if let Some(interval) = snapshot_interval {
         tasks.spawn_local(snapshot::take_regularly(shared.clone(), interval));
--- a/crates/controller-server/src/observer.rs
+++ b/crates/controller-server/src/observer.rs
@@ -1,4 +1,4 @@
-//! What records a controller's day, or takes part in a group of controllers, is told here.
+//! The interface for code that records the events of a controller or makes the controller part of a group.
 
 use crate::site_request::SiteRequest;
 use grebespool_leader_election::Snapshot;
@@ -6,47 +6,49 @@
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Is told what happens, as it happens. It is called on the controller's own thread, and must not wait or call the
-/// controller.
+/// An observer of a controller's events. The methods are called on the controller's own thread, and must not block or
+/// call the controller.
 pub trait Observer: 'static {
-    /// An endpoint list came; it may still be rejected.
+    /// Notifies of a received endpoint list. The controller may still reject it.
     fn endpoints_received(&mut self, now: Duration, list: &EndpointList);
 
-    /// A proxy joined. `initial_table_only`: it holds only the table that it started with.
+    /// Notifies of a proxy that joined. `initial_table_only` is true if the proxy holds only the weight table from its
+    /// start.
     fn proxy_joined(&mut self, now: Duration, name: &str, zone: &str, initial_table_only: bool);
 
-    /// A proxy is without this controller from here on.
+    /// Notifies of a proxy that is no longer connected to this controller.
     fn proxy_left(&mut self, now: Duration, name: &str);
 
-    /// So many calls of each route came to a proxy within its last cycle.
+    /// Notifies of the number of requests of each route that a proxy received within its last report cycle.
     fn calls_reported(&mut self, now: Duration, name: &str, routes: &[RouteLoad]);
 
-    /// What a proxy measured at servers within its last cycle.
+    /// Notifies of what a proxy measured at servers within its last report cycle.
     fn load_reported(&mut self, _name: &str, _servers: &[ServerLoad]) {}
 
-    /// A proxy holds updates of a newer term than this controller's.
+    /// Notifies of a proxy that has applied updates of a newer term than this controller's.
     fn newer_term_seen(&mut self, term: u64);
 
-    /// What a former leader of the fleet knew, to begin with. Asked once, before any proxy is accepted.
+    /// Returns the snapshot of a former leader that the controller starts from, if there is one. Called once, before any
+    /// proxy is accepted.
     fn initial_snapshot(&mut self) -> Option<Snapshot> {
         None
     }
 
-    /// How often [`Observer::snapshot_taken`] is to be called, if at all.
+    /// Returns the interval at which [`Observer::snapshot_taken`] is to be called; `None` for never.
     fn snapshot_interval(&self) -> Option<Duration> {
         None
     }
 
-    /// Where operators' requests on sites come from, if any do. Asked once.
+    /// Returns the channel of the operators' requests on sites, if there is one. Called once.
     fn site_requests(&mut self) -> Option<UnboundedReceiver<SiteRequest>> {
         None
     }
 
-    /// What this controller knows now; its term and number are the observer's to set.
+    /// Notifies of a snapshot of this controller's state. The observer has to set the snapshot's term and number.
     fn snapshot_taken(&mut self, _snapshot: Snapshot) {}
 }
 
-/// Observes nothing.
+/// An observer that ignores all events.
 pub struct NoObserver;
 
 impl Observer for NoObserver {
--- a/crates/controller-server/src/redirect.rs
+++ b/crates/controller-server/src/redirect.rs
@@ -1,4 +1,4 @@
-//! What a controller tells proxies while it does not lead.
+//! Redirects proxies to the leader while this controller does not lead.
 
 use crate::dial::read_message;
 use grebespool_wire::{Close, CloseReason, FrameDecoder, MAX_BODY_BYTES_BEFORE_JOIN, Message};
@@ -8,16 +8,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// How long a proxy may take to send its first message.
+/// Time within which a proxy has to send its first message.
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Most connections at once. Proxies that look for the leader come all at once; the rest waits to be accepted.
+/// Maximum number of concurrent connections. All proxies look for the leader at the same time; further connections wait
+/// to be accepted.
 const MAX_CONNECTIONS: usize = 1000;
 
-/// Pause after an accept that failed, for want of descriptors say.
+/// Pause after a failed accept, for example because of a lack of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Redirects all proxies to the leader until the future is dropped. `leader` gives where that is, as far as is known.
+/// Redirects all proxies to the leader until the future is dropped. `leader` returns the leader's address; `None` if the
+/// leader is unknown.
 pub async fn redirect_to_leader(listener: TcpListener, leader: impl Fn() -> Option<String>) {
     let mut connections = JoinSet::new();
     loop {
@@ -33,7 +35,7 @@
     }
 }
 
-/// On the wire: do not rename.
+/// Returns the text of the close message, which the proxy receives: do not reword.
 fn leader_text(leader: Option<String>) -> String {
     match leader {
         Some(leader) => format!("{leader} leads"),
@@ -43,7 +45,8 @@
 
 async fn redirect(mut socket: TcpStream, text: String) {
     let mut decoder = FrameDecoder::new(MAX_BODY_BYTES_BEFORE_JOIN);
-    // If the connection were closed with bytes unread, the system would drop what is sent here.
+    // The proxy's first message is read because the system discards sent bytes if a connection is closed with received
+    // bytes unread.
     let _ = timeout(FIRST_MESSAGE_TIMEOUT, read_message(&mut socket, &mut decoder)).await;
     let close = Close { reason: CloseReason::NotLeader, text };
     let _ = socket.write_all(&Message::Close(close).to_frame()).await;
--- a/crates/controller-server/src/requests.rs
+++ b/crates/controller-server/src/requests.rs
@@ -1,11 +1,11 @@
-//! What the controller asked for and a task has to do.
+//! The controller's requests that wait for the tasks that carry them out.
 
 use grebespool_wire::ServerId;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use tokio::sync::Notify;
 
-/// Polls of the endpoint list that wait for its task; a newer replaces an older.
+/// The requested poll of the endpoint list. A newer request replaces an older one.
 #[derive(Default)]
 pub(crate) struct PollRequest {
     known_version: Cell<Option<u64>>,
@@ -22,13 +22,13 @@
         self.known_version.take()
     }
 
-    /// Waits until a request was added since this was last called.
-    pub(crate) async fn added(&self) {
+    /// Waits until a request has been added since the last call.
+    pub(crate) async fn wait_until_added(&self) {
         self.added.notified().await;
     }
 }
 
-/// Servers whose health is to be checked.
+/// The servers whose health has to be checked, in the order of the requests.
 #[derive(Default)]
 pub(crate) struct HealthCheckRequests {
     servers: RefCell<VecDeque<ServerId>>,
@@ -45,8 +45,8 @@
         self.servers.borrow_mut().pop_front()
     }
 
-    /// Waits until a request was added since this was last called.
-    pub(crate) async fn added(&self) {
+    /// Waits until a request has been added since the last call.
+    pub(crate) async fn wait_until_added(&self) {
         self.added.notified().await;
     }
 }
--- a/crates/controller-server/src/session.rs
+++ b/crates/controller-server/src/session.rs
@@ -1,4 +1,4 @@
-//! One proxy's stream: the handshake, then reports and acknowledgements in, updates out.
+//! Serves one proxy's stream: performs the handshake, then reads reports and acknowledgements while updates are written.
 
 use crate::connection::Connection;
 use crate::shared::Shared;
@@ -17,10 +17,10 @@
 use tokio::time::timeout;
 use tracing::{debug, info, warn};
 
-/// Bytes that are read from a socket at once.
+/// Maximum number of bytes that one read takes from a socket.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Why a stream ends, as the peer is told and the log says. The texts go to the peer. On the wire: do not rename.
+/// The reason for the end of a stream, as sent to the peer and logged. The peer receives all texts: do not reword.
 struct SessionEnd {
     reason: CloseReason,
     text: String,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Counts a stream among those that have not joined, until it is dropped.
+/// A guard that counts a stream as not joined until the guard is dropped.
 struct UnjoinedStream(Rc<Shared>);
 
 impl UnjoinedStream {
@@ -53,9 +53,9 @@
     }
 }
 
-/// Serves a connection until either side ends it.
+/// Serves a connection until either side closes it.
 pub(crate) async fn run(shared: Rc<Shared>, socket: TcpStream, peer: SocketAddr) {
-    let stream = shared.new_stream();
+    let stream = shared.new_stream_id();
     let (reader, writer) = socket.into_split();
     let limits = WriteLimits { max_wait: shared.listen.stall.0, max_bytes: shared.listen.stall_bytes };
     let connection = Rc::new(Connection::new(limits));
@@ -70,7 +70,7 @@
     tokio::pin!(reading, writing);
     let end = tokio::select! {
         end = &mut reading => {
-            // What the peer is told is written, if it takes it.
+            // Writes the close message, if the peer reads it in time.
             let _ = writing.await;
             end
         }
@@ -89,8 +89,8 @@
 
 fn log_end(stream: StreamId, peer: SocketAddr, end: &SessionEnd) {
     match end.reason {
-        CloseReason::ShuttingDown => info!(stream, %peer, why = end.text, "stream ended"),
-        reason => warn!(stream, %peer, ?reason, why = end.text, "close a stream"),
+        CloseReason::ShuttingDown => info!(stream, %peer, why = end.text, "ending a stream"),
+        reason => warn!(stream, %peer, ?reason, why = end.text, "closing a stream"),
     }
 }
 
@@ -115,7 +115,7 @@
         Session { shared, connection, stream, socket, decoder, buffer: vec![0; READ_BUFFER_BYTES] }
     }
 
-    /// Shakes hands, then reads messages until the stream ends.
+    /// Performs the handshake, then handles messages until the stream ends.
     async fn run(&mut self, peer: SocketAddr) -> SessionEnd {
         let handshake_timeout = self.shared.listen.handshake.0;
         let handshake = async {
@@ -123,7 +123,7 @@
             self.handshake().await
         };
         match timeout(handshake_timeout, handshake).await {
-            Ok(Ok(name)) => info!(stream = self.stream, %peer, name, "proxy joined"),
+            Ok(Ok(name)) => info!(stream = self.stream, %peer, name, "completing the handshake with a proxy"),
             Ok(Err(end)) => return end,
             Err(_) => return SessionEnd::new(CloseReason::TimedOut, "it did not join in time"),
         }
@@ -148,7 +148,7 @@
                     stream = self.stream,
                     sequence = ack.sequence,
                     token = ack.token,
-                    "update acknowledged"
+                    "handling an acknowledgement"
                 );
                 let stream = self.stream;
                 self.shared.call(|controller, now| controller.update_acknowledged(now, stream, &ack));
@@ -171,7 +171,8 @@
         self.shared.call(|controller, _| controller.load_reported(self.stream, report));
     }
 
-    /// Shakes hands and asks the controller whether the proxy may join. Gives the proxy's name.
+    /// Performs the handshake, passes the join request to the controller, and returns the proxy's name. The controller
+    /// may still reject the join; it then closes the stream.
     async fn handshake(&mut self) -> Result<String, SessionEnd> {
         let (name, dialer_nonce) = self.read_hello().await?;
         let listener_nonce = self.send_challenge();
@@ -220,7 +221,7 @@
         nonce
     }
 
-    /// A proxy that holds updates of a newer term must not get older ones.
+    /// Returns an error if the proxy has applied updates of a newer term: it must not receive updates of an older one.
     fn check_term(&self, join: &Join) -> Result<(), SessionEnd> {
         let own_term = self.shared.incarnation.term;
         if join.newest_term <= own_term {
@@ -239,7 +240,7 @@
             applied_incarnation = join.applied_incarnation,
             applied_sequence = join.applied_sequence,
             initial_table_only = join.initial_table_only,
-            "proxy asks to join"
+            "handling a join request"
         );
         let request = JoinRequest {
             name,
--- a/crates/controller-server/src/shared.rs
+++ b/crates/controller-server/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of one controller share.
+//! The state that the tasks of one controller share.
 
 use crate::connection::Connections;
 use crate::effects::{Requests, SocketEffects};
@@ -14,25 +14,26 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What the tasks of one controller share. All of it is on one thread, and no borrow lives over an await. The
-/// controller is never called while the observer is borrowed.
+/// The state that the tasks of one controller share. Invariants: all tasks run on one thread, no borrow is held across
+/// an await, and the controller is never called while the observer is borrowed.
 pub(crate) struct Shared {
     pub(crate) started_at: Instant,
     pub(crate) incarnation: Incarnation,
     pub(crate) key: FleetKey,
     pub(crate) listen: Listen,
     pub(crate) controller: RefCell<Controller<SocketEffects>>,
-    /// The controller was called, so its next timer may be due earlier.
+    /// Notified after each call of the controller, because its next timer may now be due earlier.
     pub(crate) controller_called: Notify,
     pub(crate) connections: Connections,
     pub(crate) polls: Rc<PollRequest>,
     pub(crate) health_checks: Rc<HealthCheckRequests>,
-    /// Streams that have not joined.
+    /// Number of streams that have not joined.
     pub(crate) unjoined: Cell<usize>,
     pub(crate) observer: RefCell<Box<dyn Observer>>,
     next_stream: Cell<StreamId>,
-    /// Each joined name's stream: when a stream ends whose name has joined on a newer one, the proxy has not left.
-    stream_of: RefCell<BTreeMap<String, StreamId>>,
+    /// The newest stream of each joined proxy, by the proxy's name. The end of an older stream does not mean that the proxy
+    /// has left.
+    stream_by_name: RefCell<BTreeMap<String, StreamId>>,
 }
 
 impl Shared {
@@ -58,41 +59,41 @@
             unjoined: Cell::new(0),
             observer: RefCell::new(Box::new(observer)),
             next_stream: Cell::new(1),
-            stream_of: RefCell::default(),
+            stream_by_name: RefCell::default(),
         }
     }
 
-    /// The time since the controller's start.
+    /// Returns the time since the controller's start.
     pub(crate) fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    /// Calls the controller at this moment, and has the timer task look again at when it is due.
-    pub(crate) fn call<T>(&self, f: impl FnOnce(&mut Controller<SocketEffects>, Duration) -> T) -> T {
-        let result = f(&mut self.controller.borrow_mut(), self.now());
+    /// Calls the controller with the current time, and wakes the timer task, which then reads the next timer again.
+    pub(crate) fn call<T>(&self, method: impl FnOnce(&mut Controller<SocketEffects>, Duration) -> T) -> T {
+        let result = method(&mut self.controller.borrow_mut(), self.now());
         self.controller_called.notify_one();
         result
     }
 
-    /// A number that no other stream of this controller has.
-    pub(crate) fn new_stream(&self) -> StreamId {
+    /// Returns a new stream id, unique for this controller.
+    pub(crate) fn new_stream_id(&self) -> StreamId {
         let stream = self.next_stream.get();
         self.next_stream.set(stream + 1);
         stream
     }
 
-    /// Tells the observer that a proxy has joined.
+    /// Notifies the observer of a proxy that has joined.
     pub(crate) fn proxy_joined(&self, stream: StreamId, name: &str, join: &Join) {
-        self.stream_of.borrow_mut().insert(name.into(), stream);
+        self.stream_by_name.borrow_mut().insert(name.into(), stream);
         let mut observer = self.observer.borrow_mut();
         observer.proxy_joined(self.now(), name, &join.zone, join.initial_table_only);
     }
 
-    /// Tells the observer that a proxy has left, unless it has joined on a newer stream.
+    /// Notifies the observer of a proxy that has left, unless the proxy has joined on a newer stream.
     pub(crate) fn proxy_left(&self, stream: StreamId, name: &str) {
-        let mut stream_of = self.stream_of.borrow_mut();
-        if stream_of.get(name) == Some(&stream) {
-            stream_of.remove(name);
+        let mut stream_by_name = self.stream_by_name.borrow_mut();
+        if stream_by_name.get(name) == Some(&stream) {
+            stream_by_name.remove(name);
             self.observer.borrow_mut().proxy_left(self.now(), name);
         }
     }
--- a/crates/controller-server/src/site_request.rs
+++ b/crates/controller-server/src/site_request.rs
@@ -1,49 +1,49 @@
-//! What operators request of whole sites. The texts are answers on the command socket: do not rename.
+//! The requests of operators on whole sites. The error texts are answers on the command socket: do not reword.
 
 use grebespool_controller::SiteOrder;
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// What an operator requests.
+/// The kind of an operator's request.
 pub enum SiteQuery {
-    /// Shows all sites.
+    /// Shows the status of all sites.
     Show,
-    /// Takes a site out, or back.
+    /// Takes a site out, or lets it return.
     Command {
         /// The site's name.
         site: String,
-        /// What is to be done.
+        /// The order to carry out.
         order: SiteOrder,
-        /// Whether it is to be done even if routes are throttled by it.
+        /// True if the order is to be carried out even if requests of some routes have to be shed.
         forced: bool,
-        /// Whether only to say what it would do.
+        /// True if the effect of the order is to be shown instead of carrying it out.
         dry_run: bool,
     },
 }
 
-/// Why a request is refused.
+/// The reason why a request is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SiteRequestError {
-    /// Sites are not watched by this deployment.
+    /// The deployment does not watch sites.
     #[error("sites are not watched: deployment.sites.watched is not set")]
     NotWatched,
-    /// There is no such site.
+    /// No site has the requested name.
     #[error("there is no site {site:?}; there are {known}")]
     UnknownSite {
-        /// The name that was given.
+        /// The requested name.
         site: String,
-        /// All sites' names.
+        /// The names of all sites, separated by commas.
         known: String,
     },
-    /// The command cannot be carried out as things are.
+    /// The command cannot be carried out in the current state of the sites.
     #[error("{0}")]
     Refused(String),
 }
 
-/// A request, and where its answer goes: lines for an operator, or why not.
+/// An operator's request, and the channel for its answer: lines for the operator, or the reason of a rejection.
 pub struct SiteRequest {
-    /// What is requested.
+    /// The request.
     pub query: SiteQuery,
-    /// Where the answer goes.
+    /// The channel for the answer.
     pub answer: oneshot::Sender<Result<Vec<String>, SiteRequestError>>,
 }
--- a/crates/controller-server/src/site_requests.rs
+++ b/crates/controller-server/src/site_requests.rs
@@ -1,4 +1,4 @@
-//! Answers operators' requests on whole sites. The texts are answers on the command socket: do not rename.
+//! Answers operators' requests on whole sites. The texts are answers on the command socket: do not reword.
 
 use crate::effects::SocketEffects;
 use crate::shared::Shared;
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Answers requests until nobody can make any more.
-pub(crate) async fn answer(shared: Rc<Shared>, mut requests: mpsc::UnboundedReceiver<SiteRequest>) {
+/// Answers requests until all senders are dropped.
+pub(crate) async fn serve(shared: Rc<Shared>, mut requests: mpsc::UnboundedReceiver<SiteRequest>) {
     while let Some(SiteRequest { query, answer }) = requests.recv().await {
         let result = shared.call(|controller, now| answer_query(controller, now, &query));
-        // Who asked may have gone meanwhile; what was commanded holds.
+        // The operator may have disconnected meanwhile; the command remains in force.
         let _ = answer.send(result);
     }
 }
@@ -49,7 +49,7 @@
     format!("{name}: {} for {seconds:.1} s ({})", status.state, status.evidence)
 }
 
-/// What a command would do.
+/// Returns the lines that describe the effect of a command without carrying it out.
 fn plan_lines(
     controller: &Controller<SocketEffects>,
     site: &str,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Carries out a command.
+/// Carries out a command, and returns the lines that describe the result.
 fn command_lines(
     controller: &mut Controller<SocketEffects>,
     now: Duration,
@@ -86,7 +86,8 @@
     Ok(lines(done, plan.as_ref(), names))
 }
 
-/// Site failover knows sites by their ids, operators by their names.
+/// Replaces site ids in a text by names, because site failover identifies sites by id and operators by name. This matches
+/// the words "site ID " in the texts of [`grebespool_controller::OrderError`]: change both together.
 fn with_site_names(text: &str, names: &[&str]) -> String {
     let mut named = text.to_string();
     for (id, name) in names.iter().enumerate() {
@@ -95,7 +96,7 @@
     named
 }
 
-/// What was done or would be, and the plan that goes with it.
+/// Returns the line about the command, followed by the lines about the plan.
 fn lines(done: String, plan: Option<&CapacityPlan>, names: &[&str]) -> Vec<String> {
     let mut lines = vec![done];
     let Some(plan) = plan else { return lines };
--- a/crates/controller-server/src/snapshot.rs
+++ b/crates/controller-server/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! What the next leader is to know of this controller, and what this one begins with.
+//! Takes snapshots of the controller for the next leader, and restores the snapshot of a former leader.
 
 use crate::effects::SocketEffects;
 use crate::shared::Shared;
@@ -13,8 +13,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Hands a former leader's snapshot to a controller that has just started: the endpoint list first, so that weights have
-/// servers to belong to. The list's own service is polled all the same.
+/// Restores a former leader's snapshot in a controller that has just started. The endpoint list comes first, because pools
+/// and weights refer to its servers. The discovery service is polled nevertheless. Does nothing if the snapshot has no
+/// endpoint list.
 pub(crate) fn restore(controller: &mut Controller<SocketEffects>, snapshot: &Snapshot) {
     if snapshot.list_version == 0 {
         return;
@@ -39,7 +40,7 @@
 }
 
 fn fleet_pools(snapshot: &Snapshot) -> FleetPools {
-    let server = |place: &u32| snapshot.endpoints.get(*place as usize).map(EndpointRecord::server);
+    let server = |position: &u32| snapshot.endpoints.get(*position as usize).map(EndpointRecord::server);
     let pool = |pool: &PoolRecord| PoolSnapshot {
         zone: pool.zone.clone(),
         servers: pool.endpoints.iter().filter_map(server).collect(),
@@ -52,15 +53,15 @@
     }
 }
 
-/// What the controller knows at this moment. Term and number are the observer's to set.
+/// Takes a snapshot of the controller. The observer has to set its term and number.
 fn take(controller: &Controller<SocketEffects>, now: Duration) -> Snapshot {
     let endpoints = controller.endpoint_list(now);
     let list: Vec<EndpointRecord> = endpoints.entries.into_iter().filter_map(record).collect();
-    let places: BTreeMap<ServerId, u32> =
-        list.iter().enumerate().map(|(place, listed)| (listed.server(), place as u32)).collect();
+    let positions: BTreeMap<ServerId, u32> =
+        list.iter().enumerate().map(|(position, listed)| (listed.server(), position as u32)).collect();
     let FleetPools { pools, proxies } = controller.fleet_pools();
     let pool = |pool: PoolSnapshot| {
-        let servers = pool.servers.iter().filter_map(|server| places.get(server).copied());
+        let servers = pool.servers.iter().filter_map(|server| positions.get(server).copied());
         PoolRecord { zone: pool.zone, endpoints: servers.collect() }
     };
     let acknowledged = controller.acknowledged_sequences().into_iter();
@@ -82,7 +83,7 @@
     ProxyBinding { proxy: proxy.proxy, pool: proxy.pool as u32 }
 }
 
-/// `None` for a server that was removed.
+/// Returns the record of an endpoint; `None` if the server was removed.
 fn record(entry: EndpointEntry) -> Option<EndpointRecord> {
     let phase = match entry.state {
         EndpointState::Ready => EndpointPhase::Ready,
@@ -102,7 +103,8 @@
     KnownDrain { addr: server.addr, number: server.number, known_for_ms }
 }
 
-/// Hands a snapshot to the observer again and again, between two turns of the controller.
+/// Passes a snapshot to the observer at every interval, between two turns of the controller. Skips the snapshot while the
+/// controller has no endpoint list.
 pub(crate) async fn take_regularly(shared: Rc<Shared>, interval: Duration) {
     let mut next = Instant::now() + interval;
     loop {
--- a/crates/controller-server/src/timers.rs
+++ b/crates/controller-server/src/timers.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait for time alone.
+//! The tasks that run at fixed times: the controller's timers and the heartbeats.
 
 use crate::connection::Connection;
 use crate::shared::Shared;
@@ -7,8 +7,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until};
 
-/// How often a leader among several controllers is heard; a proxy that hears nothing for three times as long looks for
-/// another.
+/// Interval of a leader's heartbeats. A proxy that receives none for three intervals looks for another leader.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Calls the controller when its next timer is due.
@@ -25,8 +24,9 @@
     }
 }
 
-/// Sends heartbeats to all joined proxies. Proxies of a leader that hangs with its streams open would else wait for it
-/// for ever while another leads. Only controllers that elect a leader send them; otherwise there is nobody to go to.
+/// Sends heartbeats to all joined proxies. Without heartbeats, the proxies of a leader that hangs with open streams would
+/// wait for it for ever while another controller leads. Only controllers that elect a leader send them: without an
+/// election, proxies have no other controller to join.
 pub(crate) async fn send_heartbeats(shared: Rc<Shared>) {
     loop {
         sleep(HEARTBEAT_INTERVAL).await;
--- a/crates/controller-server/src/update_filter.rs
+++ b/crates/controller-server/src/update_filter.rs
@@ -1,16 +1,16 @@
-//! What stands between the controller and the streams.
+//! The filter through which updates pass before they are sent.
 
 use grebespool_controller::StreamId;
 use grebespool_wire::Update;
 
-/// Stands between the controller and the streams: [`PassThrough`] but for tests, and for a controller that may send
-/// updates only while it leads.
+/// A filter between the controller and the streams. Use [`PassThrough`] except in tests and for a controller that may
+/// send updates only while it leads.
 pub trait UpdateFilter: 'static {
-    /// Gives what is to be sent in place of an update, if anything.
+    /// Returns the update to send instead of `update`; `None` to drop the update.
     fn filter(&mut self, stream: StreamId, update: Update) -> Option<Update>;
 }
 
-/// Sends all updates unchanged.
+/// A filter that sends all updates unchanged.
 pub struct PassThrough;
 
 impl UpdateFilter for PassThrough {
