--- a/crates/controller-server/tests/streams.rs
+++ b/crates/controller-server/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Peers that say what they must not: each is close_reason why and closed, and the others go on.
+//! Peers that violate the protocol: the stream of each is closed with a reason, and other streams remain open.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -19,18 +19,18 @@
 const KEY: &[u8] = b"the key of these tests";
 const SOON: Duration = Duration::from_secs(5);
 
-/// Runs `what` against a planner that listens on loopback, with a list that nobody serves.
-fn with_planner<F: Future<Output = ()>>(what: impl FnOnce(SocketAddr) -> F) {
+/// Runs a test body against a planner that listens on loopback and whose endpoint list is unreachable.
+fn with_planner<F: Future<Output = ()>>(body: impl FnOnce(SocketAddr) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
         let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/serve.ncl");
-        let deployment = Planned::read(&example).unwrap_or_else(|bad| panic!("{bad}")).deployment;
+        let deployment = Planned::read(&example).unwrap_or_else(|error| panic!("{error}")).deployment;
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut listen = Listen::new(address, PathBuf::new(), SOON, SOON);
         listen.handshake = Span(Duration::from_millis(500));
-        let nowhere = ([127, 0, 0, 1], 1).into();
-        let source = ListSource::new(nowhere, ListMode::Pushed, Span(SOON));
+        let unreachable = ([127, 0, 0, 1], 1).into();
+        let source = ListSource::new(unreachable, ListMode::Pushed, Span(SOON));
         let incarnation = Incarnation { id: 9, seed: 1, term: 0 };
         let config = ServerConfig {
             incarnation,
@@ -42,18 +42,19 @@
         };
         let serving = serve(listener, config, PassThrough, NoObserver);
         spawn_local(async move { serving.await.unwrap() });
-        what(address).await;
+        body(address).await;
     });
 }
 
+/// Connects and joins as a proxy.
 async fn join(
-    to: SocketAddr,
+    planner: SocketAddr,
     key: &[u8],
     name: &str,
     zone: &str,
 ) -> std::io::Result<(TcpStream, WelcomedStream)> {
-    let mut socket = TcpStream::connect(to).await?;
-    let peer = Dialer {
+    let mut socket = TcpStream::connect(planner).await?;
+    let dialer = Dialer {
         role: Role::Proxy,
         name,
         zone,
@@ -62,15 +63,15 @@
         applied: AppliedUpdate::default(),
         newest_term: 0,
     };
-    let dialled = handshake(&mut socket, &FleetKey::derive(key), [3; 16], &peer).await?;
-    Ok((socket, dialled))
+    let welcomed = handshake(&mut socket, &FleetKey::derive(key), [3; 16], &dialer).await?;
+    Ok((socket, welcomed))
 }
 
-/// What a stream is close_reason before it is closed.
+/// Reads until the stream is closed, and returns the reason from the close message, if one was received.
 async fn close_reason(socket: &mut TcpStream) -> Option<CloseReason> {
-    let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
+    let mut decoder = FrameDecoder::new(MAX_BODY_BYTES);
     loop {
-        match timeout(SOON, read_message(socket, &mut inbox)).await.expect("the stream stays open") {
+        match timeout(SOON, read_message(socket, &mut decoder)).await.expect("the stream remains open") {
             Ok(Message::Close(Close { reason, .. })) => return Some(reason),
             Ok(_) => {}
             Err(_) => return None,
@@ -83,25 +84,25 @@
 }
 
 #[rstest]
-#[case::oversized(vec![0x7f, 0xff, 0xff, 0xff], CloseReason::Malformed)]
-#[case::over_what_an_unjoined_one_may(vec![0, 0, 0x20, 0], CloseReason::Malformed)]
+#[case::frame_too_long(vec![0x7f, 0xff, 0xff, 0xff], CloseReason::Malformed)]
+#[case::frame_too_long_before_join(vec![0, 0, 0x20, 0], CloseReason::Malformed)]
 #[case::unknown_kind(vec![0, 0, 0, 1, 200], CloseReason::Malformed)]
-#[case::empty(vec![0, 0, 0, 0], CloseReason::Malformed)]
-#[case::another_version(hello(PROTOCOL_VERSION + 1, Role::Proxy, "p"), CloseReason::VersionMismatch)]
-#[case::no_name(hello(PROTOCOL_VERSION, Role::Proxy, ""), CloseReason::Rejected)]
-#[case::another_role(hello(PROTOCOL_VERSION, Role::Watcher, "p"), CloseReason::Rejected)]
-#[case::sums_before_it_joined(Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }).to_frame(), CloseReason::UnexpectedMessage)]
+#[case::empty_frame(vec![0, 0, 0, 0], CloseReason::Malformed)]
+#[case::version_mismatch(hello(PROTOCOL_VERSION + 1, Role::Proxy, "p"), CloseReason::VersionMismatch)]
+#[case::empty_name(hello(PROTOCOL_VERSION, Role::Proxy, ""), CloseReason::Rejected)]
+#[case::watcher_role(hello(PROTOCOL_VERSION, Role::Watcher, "p"), CloseReason::Rejected)]
+#[case::report_before_join(Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }).to_frame(), CloseReason::UnexpectedMessage)]
 #[case::hello_twice([hello(PROTOCOL_VERSION, Role::Proxy, "p"), hello(PROTOCOL_VERSION, Role::Proxy, "p")].concat(), CloseReason::UnexpectedMessage)]
-#[case::silence(vec![], CloseReason::TimedOut)]
-#[case::silence_in_mid_frame(vec![0, 0, 0, 9, 1, 0], CloseReason::TimedOut)]
-fn closes_only_the_stream_that_breaks_the_protocol(#[case] bytes: Vec<u8>, #[case] reason: CloseReason) {
-    with_planner(|to| async move {
-        let (mut good, dialled) = join(to, KEY, "good", "east").await.unwrap();
-        let mut bad = TcpStream::connect(to).await.unwrap();
+#[case::no_bytes(vec![], CloseReason::TimedOut)]
+#[case::incomplete_frame(vec![0, 0, 0, 9, 1, 0], CloseReason::TimedOut)]
+fn only_the_stream_that_violates_the_protocol_is_closed(#[case] bytes: Vec<u8>, #[case] reason: CloseReason) {
+    with_planner(|planner| async move {
+        let (mut good, welcomed) = join(planner, KEY, "good", "east").await.unwrap();
+        let mut bad = TcpStream::connect(planner).await.unwrap();
         bad.write_all(&bytes).await.unwrap();
         assert_eq!(close_reason(&mut bad).await, Some(reason));
-        // The good one is still joined: what does not belong there is what it is close_reason of next.
-        assert_eq!(dialled.incarnation, 9);
+        // The good proxy is still joined: its report is accepted, and only its unexpected message closes the stream.
+        assert_eq!(welcomed.incarnation, 9);
         good.write_all(&Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }).to_frame())
             .await
             .unwrap();
@@ -112,30 +113,33 @@
 
 #[rstest]
 #[case::another_key(b"some other key, long enough", "east")]
-#[case::an_unknown_zone(KEY, "nowhere")]
-fn rejects_another_key_and_an_unknown_zone(#[case] key: &'static [u8], #[case] zone: &'static str) {
-    with_planner(|to| async move {
-        let error = join(to, key, "p", zone).await.map(|_| ()).unwrap_err();
+#[case::unknown_zone(KEY, "nowhere")]
+fn a_join_with_another_key_or_an_unknown_zone_is_rejected(
+    #[case] key: &'static [u8],
+    #[case] zone: &'static str,
+) {
+    with_planner(|planner| async move {
+        let error = join(planner, key, "p", zone).await.map(|_| ()).unwrap_err();
         assert_eq!(error.kind(), std::io::ErrorKind::PermissionDenied, "{error}");
     });
 }
 
 #[rstest]
-fn rejects_a_replayed_proof() {
-    with_planner(|to| async move {
-        // A proof for one challenge, shown for the next.
-        let mut first = TcpStream::connect(to).await.unwrap();
+fn a_replayed_proof_is_rejected() {
+    with_planner(|planner| async move {
+        // The proof for the first stream's challenge is sent on the second stream.
+        let mut first = TcpStream::connect(planner).await.unwrap();
         first.write_all(&hello(PROTOCOL_VERSION, Role::Proxy, "p")).await.unwrap();
-        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
-        let Ok(Message::Challenge(Challenge { incarnation: start, nonce, .. })) =
-            read_message(&mut first, &mut inbox).await
+        let mut decoder = FrameDecoder::new(MAX_BODY_BYTES);
+        let Ok(Message::Challenge(Challenge { incarnation, nonce, .. })) =
+            read_message(&mut first, &mut decoder).await
         else {
-            panic!("no challenge");
+            panic!("the planner sent no challenge");
         };
         let proof = FleetKey::derive(KEY).dialer_proof(&Transcript {
             dialer_nonce: &[1; 16],
             listener_nonce: &nonce,
-            incarnation: start,
+            incarnation,
             name: "p",
             zone: "east",
         });
@@ -148,7 +152,7 @@
             newest_term: 0,
             proof,
         };
-        let mut second = TcpStream::connect(to).await.unwrap();
+        let mut second = TcpStream::connect(planner).await.unwrap();
         second.write_all(&hello(PROTOCOL_VERSION, Role::Proxy, "p")).await.unwrap();
         second.write_all(&Message::Join(join).to_frame()).await.unwrap();
         assert_eq!(close_reason(&mut second).await, Some(CloseReason::Rejected));
@@ -156,24 +160,24 @@
 }
 
 #[rstest]
-fn closes_the_older_stream_of_a_name() {
-    with_planner(|to| async move {
-        let (mut older, _) = join(to, KEY, "p", "east").await.unwrap();
-        let (_newer, dialled) = join(to, KEY, "p", "east").await.unwrap();
+fn the_older_stream_of_a_name_that_joins_again_is_closed() {
+    with_planner(|planner| async move {
+        let (mut older, _) = join(planner, KEY, "p", "east").await.unwrap();
+        let (_newer, welcomed) = join(planner, KEY, "p", "east").await.unwrap();
         assert_eq!(close_reason(&mut older).await, Some(CloseReason::Superseded));
-        assert!(dialled.stream > 1);
+        assert!(welcomed.stream > 1);
     });
 }
 
 #[rstest]
-fn closes_connections_from_outside_the_allowed_networks() {
+fn a_connection_from_outside_the_allowed_networks_is_closed() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/serve.ncl");
-        let Planned { deployment, mut listen, list, .. } = Planned::read(&folder).unwrap();
+        let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/serve.ncl");
+        let Planned { deployment, mut listen, list, .. } = Planned::read(&example).unwrap();
         listen.allow_only(&["10.0.0.0/8".parse().unwrap()]);
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
-        let to = listener.local_addr().unwrap();
+        let planner = listener.local_addr().unwrap();
         let incarnation = Incarnation { id: 9, seed: 1, term: 0 };
         let config = ServerConfig {
             incarnation,
@@ -185,9 +189,9 @@
         };
         let serving = serve(listener, config, PassThrough, NoObserver);
         spawn_local(async move { serving.await.unwrap() });
-        let mut socket = TcpStream::connect(to).await.unwrap();
-        let mut heard = vec![];
-        let ended = timeout(SOON, socket.read_to_end(&mut heard)).await.expect("the stream stays open");
-        assert!(ended.is_err() || heard.is_empty());
+        let mut socket = TcpStream::connect(planner).await.unwrap();
+        let mut received = vec![];
+        let ended = timeout(SOON, socket.read_to_end(&mut received)).await.expect("the stream remains open");
+        assert!(ended.is_err() || received.is_empty());
     });
 }
