--- a/crates/assignments/src/assignments.rs
+++ b/crates/assignments/src/assignments.rs
@@ -1,4 +1,4 @@
-//! The policy's host.
+//! The policy's host, which collects what the policy commands.
 
 use crate::tables::{AdmissionRule, ProxyUpdate, Tables};
 use grebespool::host::{PolicyHost, ProxyId, RetryPolicy, RouteSet, ServerIndex, TableId, Timer};
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What the policy has assigned and asked for since the last turn.
+/// The current assignments, and the timers and requests that were not taken yet.
 #[derive(Default)]
 struct State {
     tables: Tables,
@@ -16,10 +16,10 @@
     poll_requested: bool,
 }
 
-/// What is assigned to which proxy. The policy writes it as its [`PolicyHost`]; whoever serves the proxies takes what
-/// each turn changed.
+/// The policy's assignments to proxies. The policy writes them through [`PolicyHost`]; the code that serves the proxies
+/// takes the changes of each turn.
 ///
-/// All clones share one state, which belongs to the thread that made it. No method calls the policy.
+/// All clones share one state and have to stay on one thread. No method calls the policy.
 #[derive(Clone, Default)]
 pub struct Assignments(Rc<RefCell<State>>);
 
@@ -54,27 +54,27 @@
 }
 
 impl Assignments {
-    /// A proxy has joined. It gets no update before the policy binds it to a table.
+    /// Adds a proxy that has joined. The proxy gets no update before the policy binds it to a table.
     pub fn add_proxy(&self, proxy: ProxyId) {
         self.0.borrow_mut().tables.add_proxy(proxy);
     }
 
-    /// A proxy has left.
+    /// Removes a proxy that has left.
     pub fn remove_proxy(&self, proxy: ProxyId) {
         self.0.borrow_mut().tables.remove_proxy(proxy);
     }
 
-    /// Whether some table holds the server, or has lost it in this turn.
+    /// Returns true if any table contains the server or has lost it in this turn.
     pub fn contains_server(&self, server: ServerIndex) -> bool {
         self.0.borrow().tables.contains_server(server)
     }
 
-    /// When the policy's next timer is due.
+    /// Returns the time at which the policy's next timer is due.
     pub fn next_timer(&self) -> Option<Duration> {
         self.0.borrow().timers.first().map(|(at, _)| *at)
     }
 
-    /// Takes the timers that are due by `now`, each once however late.
+    /// Takes the timers that are due by `now`. Timers of the same kind are merged into one.
     pub fn take_due_timers(&self, now: Duration) -> BTreeSet<Timer> {
         let timers = &mut self.0.borrow_mut().timers;
         let mut due = BTreeSet::new();
@@ -85,17 +85,17 @@
         due
     }
 
-    /// Takes the servers whose health is to be checked.
+    /// Takes the servers whose health the policy wants checked.
     pub fn take_health_checks(&self) -> BTreeSet<ServerIndex> {
         std::mem::take(&mut self.0.borrow_mut().health_checks)
     }
 
-    /// Takes whether the endpoint list is to be polled.
+    /// Takes the request to poll the endpoint list; returns true if there was one.
     pub fn take_poll_request(&self) -> bool {
         std::mem::take(&mut self.0.borrow_mut().poll_requested)
     }
 
-    /// Ends a turn: gives `send` one update for each proxy that it concerns.
+    /// Ends a turn: calls `send` with one update for each affected proxy, in the order of the proxies' ids.
     pub fn publish(&self, send: impl FnMut(ProxyId, &ProxyUpdate)) {
         self.0.borrow_mut().tables.publish(send);
     }
--- a/crates/assignments/src/lib.rs
+++ b/crates/assignments/src/lib.rs
@@ -1,8 +1,9 @@
-//! What the policy ([`grebespool::policy`]) has assigned to which proxy, and the indices that stand for servers.
+//! The state that the policy ([`grebespool::policy`]) assigns to proxies, and the indices of servers.
 //!
-//! [`Assignments`] is the policy's host: it takes weights, bindings, admission rules, timers and requests, and gives
-//! whoever carries them one update for each proxy and turn. [`ServerIndices`] maps the ids of servers to the small
-//! indices that the policy uses. Free of I/O and clocks, and of any protocol; nothing is decided here.
+//! [`Assignments`] is the policy's host: it collects weights, bindings, admission rules, timers and requests, and
+//! publishes the changes of each turn as one update for each proxy. A turn is the handling of one event; the crate that
+//! serves the proxies ends it with [`Assignments::publish`]. [`ServerIndices`] maps the ids of servers to the small
+//! indices that the policy uses. This crate is free of I/O, clocks and protocols, and makes no decisions.
 
 mod assignments;
 mod server_indices;
--- a/crates/assignments/src/server_indices.rs
+++ b/crates/assignments/src/server_indices.rs
@@ -1,13 +1,13 @@
-//! Ids of servers, and the small indices that stand for them inside.
+//! Maps the ids of servers to the small indices that the policy uses.
 
 use grebespool::host::ServerIndex;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Maps the ids of servers to indices.
+/// A map from the ids of servers to indices.
 ///
-/// An index goes to another server only long after its own was removed: nothing that is still under way may be taken
-/// for news of the other.
+/// The index of a removed server is reused only after a delay, so that a late report about the removed server is not
+/// attributed to another one.
 pub struct ServerIndices<Id> {
     indices: BTreeMap<Id, ServerIndex>,
     ids: Vec<Id>,
@@ -16,19 +16,19 @@
 }
 
 impl<Id: Ord + Clone> ServerIndices<Id> {
-    /// No servers yet. `reuse_after`: how long an index stays with a server that was removed.
+    /// Creates an empty map. `reuse_after` is the time for which the index of a removed server stays reserved.
     pub fn new(reuse_after: Duration) -> Self {
         ServerIndices { indices: BTreeMap::new(), ids: vec![], removed_at: BTreeMap::new(), reuse_after }
     }
 
-    /// The index of a server that is listed; a new one if it has none. `in_use` tells whether some table still holds
-    /// the server of an index.
+    /// Returns the index of a listed server, assigning one if it has none. `in_use` returns true if any table still
+    /// contains the server of an index.
     pub fn add(&mut self, now: Duration, id: &Id, in_use: impl Fn(ServerIndex) -> bool) -> ServerIndex {
         if let Some(&index) = self.indices.get(id) {
             self.removed_at.remove(&index);
             return index;
         }
-        let index = match self.reusable(now, in_use) {
+        let index = match self.first_reusable(now, in_use) {
             Some(index) => {
                 self.removed_at.remove(&index);
                 self.indices.remove(&self.ids[index]);
@@ -44,38 +44,38 @@
         index
     }
 
-    /// The first index whose server was removed long ago.
-    fn reusable(&self, now: Duration, in_use: impl Fn(ServerIndex) -> bool) -> Option<ServerIndex> {
+    /// Returns the first index whose reservation has expired and that is not in use.
+    fn first_reusable(&self, now: Duration, in_use: impl Fn(ServerIndex) -> bool) -> Option<ServerIndex> {
         let expired = |removed_at: &Duration| now.saturating_sub(*removed_at) >= self.reuse_after;
         let mut removed = self.removed_at.iter();
         removed.find(|(index, at)| expired(at) && !in_use(**index)).map(|(index, _)| *index)
     }
 
-    /// The server was removed from the list.
+    /// Starts the reservation of the index of a server that was removed from the endpoint list.
     pub fn remove(&mut self, now: Duration, server: ServerIndex) {
         self.removed_at.entry(server).or_insert(now);
     }
 
-    /// The index of a server, if it has one.
+    /// Returns the index of a server, if it has one.
     pub fn index(&self, id: &Id) -> Option<ServerIndex> {
         self.indices.get(id).copied()
     }
 
-    /// The server of an index.
+    /// Returns the id of the server that has an index.
     ///
     /// # Panics
     ///
-    /// If the index was not given out by [`ServerIndices::add`].
+    /// Panics if [`ServerIndices::add`] has not returned the index.
     pub fn id(&self, server: ServerIndex) -> &Id {
         &self.ids[server]
     }
 
-    /// How many indices are in use or held back.
+    /// Returns the number of indices that are assigned or reserved.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
 
-    /// Whether no index was given out yet.
+    /// Returns true if no index has been assigned yet.
     pub fn is_empty(&self) -> bool {
         self.ids.is_empty()
     }
--- a/crates/assignments/src/tables.rs
+++ b/crates/assignments/src/tables.rs
@@ -1,16 +1,16 @@
-//! Weight tables, admission rules and bindings, and what a turn changed of them.
+//! Weight tables, admission rules and bindings, and the changes of the current turn.
 
 use grebespool::host::{ProxyId, RetryPolicy, RouteSet, ServerIndex, TableId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How much of some routes' calls is admitted, and when they are retried.
+/// The admission level and retry policy of the requests of some routes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionRule {
-    /// The routes.
+    /// The routes that the rule applies to.
     pub routes: RouteSet,
-    /// The admission level, as the deployment's [`grebespool::host::AdmissionMode`] counts it.
+    /// The admission level, in the unit of the deployment's [`grebespool::host::AdmissionMode`].
     pub level: f32,
-    /// When the calls are retried.
+    /// The policy for retries of the routes' requests.
     pub retry_policy: RetryPolicy,
 }
 
@@ -19,29 +19,29 @@
 pub struct ServerWeight {
     /// The server.
     pub server: ServerIndex,
-    /// Its weight; 0 where it has left the table.
+    /// The server's weight; 0 if the server has left the table.
     pub weight: f32,
 }
 
-/// What changes for one proxy at the end of a turn.
+/// The changes of one turn for one proxy.
 #[derive(Debug)]
 pub struct ProxyUpdate<'a> {
     /// The table that the proxy is bound to.
     pub table: TableId,
-    /// How often the table has changed.
+    /// The number of turns in which the table has changed.
     pub version: u64,
-    /// Set where the proxy is bound to the table in this turn: the routes it is bound for. The update then holds all
-    /// of the table and all admission rules.
+    /// The routes for which the proxy was bound to the table in this turn; `None` if it was bound before. In the first
+    /// case, the update contains the whole table and all admission rules.
     pub bound_routes: Option<RouteSet>,
-    /// All weights of the table, or those that changed.
+    /// All weights of the table after a binding, otherwise the changed ones.
     pub weights: &'a [ServerWeight],
-    /// All admission rules, or those that changed.
+    /// All admission rules after a binding, otherwise the changed ones.
     pub admission: &'a [AdmissionRule],
-    /// Asks the proxy to acknowledge this update with the token.
+    /// The token with which the proxy has to acknowledge this update, if an acknowledgement is requested.
     pub ack_token: Option<u16>,
 }
 
-/// The weights that the proxies of a table share.
+/// The weights that all proxies bound to a table use.
 #[derive(Default)]
 struct WeightTable {
     version: u64,
@@ -72,28 +72,28 @@
     }
 }
 
-/// A proxy's table.
+/// The table that a proxy is bound to, and the routes for which it is.
 #[derive(Clone, Copy)]
 struct Binding {
     table: TableId,
     routes: RouteSet,
 }
 
-/// A joined proxy.
+/// The state of a joined proxy.
 #[derive(Default)]
-struct BoundProxy {
+struct JoinedProxy {
     binding: Option<Binding>,
-    /// Bound in this turn: a whole table is due.
+    /// True if the proxy was bound in this turn, so that its update has to contain the whole table.
     is_new: bool,
 }
 
-/// All tables, admission rules and bindings, with what has changed since the last turn.
+/// All tables, admission rules and bindings, with their changes in the current turn.
 #[derive(Default)]
 pub(crate) struct Tables {
     tables: BTreeMap<TableId, WeightTable>,
     admission: BTreeMap<RouteSet, AdmissionRule>,
     changed_admission: BTreeSet<RouteSet>,
-    proxies: BTreeMap<ProxyId, BoundProxy>,
+    proxies: BTreeMap<ProxyId, JoinedProxy>,
     ack_token: Option<u16>,
 }
 
@@ -102,10 +102,10 @@
         self.tables.entry(table).or_default().set(server, weight);
     }
 
-    /// Does nothing for a proxy that has not joined.
+    /// Binds a proxy to a table. Does nothing for a proxy that has not joined.
     pub(crate) fn bind_proxy(&mut self, proxy: ProxyId, table: TableId, routes: RouteSet) {
         if let Some(bound) = self.proxies.get_mut(&proxy) {
-            *bound = BoundProxy { binding: Some(Binding { table, routes }), is_new: true };
+            *bound = JoinedProxy { binding: Some(Binding { table, routes }), is_new: true };
         }
     }
 
@@ -119,7 +119,7 @@
     }
 
     pub(crate) fn add_proxy(&mut self, proxy: ProxyId) {
-        self.proxies.insert(proxy, BoundProxy::default());
+        self.proxies.insert(proxy, JoinedProxy::default());
     }
 
     pub(crate) fn remove_proxy(&mut self, proxy: ProxyId) {
@@ -132,18 +132,19 @@
             .any(|table| table.weights.contains_key(&server) || table.changed.contains(&server))
     }
 
-    /// Gives `send` one update for each proxy that the turn concerns, in the order of the proxies' ids.
+    /// Ends the turn: calls `send` with one update for each affected proxy, in the order of the proxies' ids. A requested
+    /// acknowledgement alone does not cause an update.
     pub(crate) fn publish(&mut self, mut send: impl FnMut(ProxyId, &ProxyUpdate)) {
-        self.raise_versions();
+        self.increment_versions();
         let all_rules: Vec<AdmissionRule> = self.admission.values().copied().collect();
         let changed_rules = self.changed_rules();
-        // Many proxies share a table: their weights are put together once.
-        let mut weights_of: BTreeMap<(TableId, bool), Vec<ServerWeight>> = BTreeMap::new();
+        // Many proxies share a table, so the weights of each table are collected only once.
+        let mut weights_by_table: BTreeMap<(TableId, bool), Vec<ServerWeight>> = BTreeMap::new();
         for (proxy, bound) in &mut self.proxies {
             let Some(Binding { table, routes }) = bound.binding else { continue };
             let is_new = std::mem::take(&mut bound.is_new);
             let weight_table = self.tables.entry(table).or_default();
-            let weights = weights_of.entry((table, is_new)).or_insert_with(|| {
+            let weights = weights_by_table.entry((table, is_new)).or_insert_with(|| {
                 if is_new { weight_table.all_weights() } else { weight_table.changed_weights() }
             });
             let admission = if is_new { &all_rules } else { &changed_rules };
@@ -159,10 +160,10 @@
                 send(*proxy, &update);
             }
         }
-        self.forget_changes();
+        self.clear_changes();
     }
 
-    fn raise_versions(&mut self) {
+    fn increment_versions(&mut self) {
         for table in self.tables.values_mut().filter(|table| !table.changed.is_empty()) {
             table.version += 1;
         }
@@ -173,7 +174,7 @@
         self.admission.values().filter(changed).copied().collect()
     }
 
-    fn forget_changes(&mut self) {
+    fn clear_changes(&mut self) {
         for table in self.tables.values_mut() {
             table.changed.clear();
         }
--- a/crates/assignments/tests/assignments.rs
+++ b/crates/assignments/tests/assignments.rs
@@ -1,4 +1,4 @@
-//! The updates that a turn makes of the policy's calls, and which index a server has.
+//! The updates that result from the policy's commands, and the assignment of indices to servers.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -7,9 +7,11 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// One proxy's update: whether it binds a table, its weights, how many admission rules, its acknowledgement token.
+/// One update: the proxy, true if the update binds a table, the weights, the number of admission rules, and the
+/// acknowledgement token.
 type Published = (u16, bool, Vec<(usize, f32)>, usize, Option<u16>);
 
+/// Ends the turn and returns its updates.
 fn published(assignments: &Assignments) -> Vec<Published> {
     let mut published = vec![];
     assignments.publish(|proxy, update| {
@@ -21,7 +23,7 @@
 }
 
 #[rstest]
-fn publishes_one_update_for_each_proxy_that_a_turn_concerns() {
+fn each_proxy_affected_by_a_turn_gets_one_update() {
     let (assignments, mut host) = (Assignments::default(), Assignments::default());
     host.clone_from(&assignments);
     for proxy in [1, 2, 3] {
@@ -35,7 +37,7 @@
     host.request_ack(5);
     let both = vec![(7, 1.0), (8, 0.5)];
     assert_eq!(published(&assignments), [(1, true, both, 0, Some(5)), (2, true, vec![(9, 1.0)], 0, Some(5))]);
-    // A token alone concerns nobody, and what was published is not published again.
+    // A requested acknowledgement alone causes no update, and published changes are not published again.
     host.request_ack(6);
     assert_eq!(published(&assignments), []);
     host.set_weight(0, 8, 0.0);
@@ -43,7 +45,7 @@
     host.request_ack(7);
     let rules_alone = (2, false, vec![], 1, Some(7));
     assert_eq!(published(&assignments), [(1, false, vec![(8, 0.0)], 1, Some(7)), rules_alone]);
-    // Bound anew it gets the whole table, with the admission rules that a binding resets.
+    // A proxy that is bound again gets the whole table and all admission rules, which a binding resets.
     assignments.add_proxy(1);
     host.bind_proxy(1, 0, 0);
     assert_eq!(published(&assignments), [(1, true, vec![(7, 1.0)], 1, None)]);
@@ -54,11 +56,11 @@
 }
 
 #[rstest]
-#[case::known_again(10, "a", false, 0)]
-#[case::too_soon(20, "c", false, 2)]
-#[case::after_long(70, "c", false, 0)]
-#[case::still_in_a_table(70, "c", true, 2)]
-fn reuses_an_index_only_long_after_its_server_was_removed(
+#[case::same_server_again(10, "a", false, 0)]
+#[case::before_expiry(20, "c", false, 2)]
+#[case::after_expiry(70, "c", false, 0)]
+#[case::after_expiry_but_in_use(70, "c", true, 2)]
+fn the_index_of_a_removed_server_is_reused_only_after_expiry(
     #[case] at_s: u64,
     #[case] id: &str,
     #[case] in_use: bool,
@@ -71,12 +73,12 @@
     servers.remove(Duration::from_secs(1), 0);
     assert_eq!(servers.add(Duration::from_secs(at_s), &id, |server| in_use && server == 0), index);
     assert_eq!(*servers.id(index), id);
-    // What still comes from the removed one is news of nobody.
+    // A late report about the removed server is not attributed to the server that reuses its index.
     assert_eq!(servers.index(&"a"), (id == "a" || index != 0).then_some(0));
 }
 
 #[rstest]
-fn keeps_indices_few_while_servers_are_replaced_for_ever() {
+fn the_number_of_indices_stays_bounded_while_servers_are_replaced() {
     let mut servers = ServerIndices::new(Duration::from_secs(30));
     for s in 0..5000u64 {
         let now = Duration::from_secs(s);
