--- a/crates/write-queue/src/backlog.rs
+++ b/crates/write-queue/src/backlog.rs
@@ -1,38 +1,39 @@
-//! When a connection that does not take its bytes is given up.
+//! Decides when a connection that does not read its bytes has to be closed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What may wait for one connection.
+/// The limits of the bytes that wait for one connection.
 #[derive(Debug, Clone, Copy)]
 pub struct WriteLimits {
-    /// How long a byte may wait.
+    /// Maximum time for which a byte may wait.
     pub max_wait: Duration,
-    /// How many bytes may wait; the message that exceeds it is still queued.
+    /// Maximum number of waiting bytes. The message that exceeds the limit is still queued.
     pub max_bytes: usize,
 }
 
-/// Whether a connection keeps to its limits.
+/// The state of a connection with respect to its limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BacklogStatus {
-    /// It does.
+    /// The connection is within its limits.
     WithinLimits,
-    /// Its oldest byte has waited for too long.
+    /// The oldest byte has waited for too long.
     Stalled,
-    /// Too many bytes wait.
+    /// Too many bytes are waiting.
     Full,
 }
 
-/// A queued message: when it was queued, and how many bytes had been queued by its end.
+/// A message that is not completely written.
 struct QueuedMessage {
     queued_at: Duration,
+    /// Total number of bytes ever queued, up to the end of this message.
     end: u64,
 }
 
-/// Counts the bytes that wait for one connection.
+/// A counter of the bytes that wait for one connection.
 ///
-/// A reader that takes a byte now and then never stalls entirely, so what counts is when the oldest waiting byte was
-/// queued, not when one was last taken.
+/// The time limit applies to the age of the oldest waiting byte, not to the time since the last read: a reader that takes
+/// a byte now and then would never exceed the latter.
 pub struct Backlog {
     limits: WriteLimits,
     messages: VecDeque<QueuedMessage>,
@@ -41,36 +42,36 @@
 }
 
 impl Backlog {
-    /// An empty backlog.
+    /// Creates an empty backlog.
     pub fn new(limits: WriteLimits) -> Self {
         Backlog { limits, messages: VecDeque::new(), queued_bytes: 0, written_bytes: 0 }
     }
 
-    /// A message of so many bytes was queued.
-    pub fn queued(&mut self, now: Duration, bytes: usize) {
+    /// Records a queued message of `bytes` bytes.
+    pub fn message_queued(&mut self, now: Duration, bytes: usize) {
         self.queued_bytes += bytes as u64;
         self.messages.push_back(QueuedMessage { queued_at: now, end: self.queued_bytes });
     }
 
-    /// The connection has taken so many bytes.
-    pub fn written(&mut self, bytes: usize) {
+    /// Records that `bytes` bytes were written to the connection.
+    pub fn bytes_written(&mut self, bytes: usize) {
         self.written_bytes += bytes as u64;
         while self.messages.front().is_some_and(|message| message.end <= self.written_bytes) {
             self.messages.pop_front();
         }
     }
 
-    /// When the oldest waiting message will have waited for as long as it may; `None` while nothing waits.
+    /// Returns the time at which the oldest waiting message reaches the time limit; `None` if no message waits.
     pub fn deadline(&self) -> Option<Duration> {
         self.messages.front().map(|message| message.queued_at + self.limits.max_wait)
     }
 
-    /// Whether more bytes wait than may.
+    /// Returns true if the waiting bytes exceed the limit.
     pub fn is_full(&self) -> bool {
         self.queued_bytes - self.written_bytes > self.limits.max_bytes as u64
     }
 
-    /// Whether the connection keeps to its limits now.
+    /// Returns the state of the connection at `now`.
     pub fn status(&self, now: Duration) -> BacklogStatus {
         match self.deadline() {
             Some(deadline) if now >= deadline => BacklogStatus::Stalled,
--- a/crates/write-queue/src/lib.rs
+++ b/crates/write-queue/src/lib.rs
@@ -1,8 +1,8 @@
-//! A bounded queue of bytes that wait to be written to one connection, whatever the protocol.
+//! A bounded queue of bytes to be written to one connection, independent of the protocol.
 //!
-//! One slow reader delays nobody else and holds no more memory than its limits allow. A reader that exceeds them is
-//! disconnected: what it was to receive is lost, and it has to connect again. The queue assumes that all its callers
-//! are on one thread, and never waits while it is borrowed.
+//! A slow reader does not delay other connections, and its queue takes no more memory than the limits allow. A reader
+//! that exceeds the limits is disconnected: the queued bytes are lost, and the reader has to connect again. All callers
+//! of a queue have to be on one thread; no borrow is held across an await.
 
 mod backlog;
 mod queue;
--- a/crates/write-queue/src/queue.rs
+++ b/crates/write-queue/src/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one connection, and the task that writes it.
+//! The queue of one connection, and the loop that writes the queued bytes.
 
 use crate::backlog::{Backlog, BacklogStatus, WriteLimits};
 use std::cell::{Cell, RefCell};
@@ -9,40 +9,41 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Bytes that are handed to the system at once. With a whole queue handed over, its progress could not be seen.
+/// Maximum number of bytes in one write. Writing a long queue at once would hide the progress of the reader.
 const MAX_WRITE_BYTES: usize = 16 << 10;
 
-/// Memory that an empty queue keeps: one long message leaves no more than this behind at each connection.
+/// Memory in bytes that an empty queue keeps allocated, so that a past long message does not occupy memory at every
+/// connection.
 const IDLE_CAPACITY_BYTES: usize = 4 << 10;
 
-/// Why writing ended.
+/// The reason for the end of writing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The queue was closed and all of it was written, or it was aborted.
+    /// The queue was closed and completely written, or it was aborted.
     Closed,
     /// The connection failed.
     ConnectionLost,
-    /// The reader did not take its bytes in time, or too many wait.
+    /// The reader did not read in time, or too many bytes were waiting.
     ReaderTooSlow,
 }
 
-/// Bytes that wait to be written to one connection.
+/// A queue of bytes to be written to one connection.
 ///
-/// Owned by the connection's task; whoever holds a reference may add to it. All of it is on one thread, and no borrow
-/// lives over an await.
+/// The connection's task owns the queue and calls [`WriteQueue::run`]; any holder of a reference may add messages. All
+/// callers are on one thread, and no borrow is held across an await.
 pub struct WriteQueue {
     bytes: RefCell<VecDeque<u8>>,
     backlog: RefCell<Backlog>,
-    /// Nothing more is taken; what waits is written if that goes in time.
+    /// True if the queue accepts no more messages. Waiting bytes are still written, unless the queue was aborted.
     closing: Cell<bool>,
-    /// Set where the queue was aborted because its reader is too slow.
+    /// True if the queue was aborted because its reader is too slow.
     too_slow: Cell<bool>,
     changed: Notify,
     aborted: Notify,
 }
 
 impl WriteQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(limits: WriteLimits) -> Self {
         WriteQueue {
             bytes: RefCell::default(),
@@ -56,8 +57,8 @@
 
     /// Queues a message. Does nothing once the queue is closed.
     ///
-    /// Where more bytes wait already than may, the reader is too slow and the queue is aborted: a reader that goes on
-    /// sending requests and takes no response would else make it grow until the oldest byte's deadline.
+    /// Aborts the queue if the waiting bytes exceed the limit already. Otherwise, a reader that keeps sending requests
+    /// without reading the responses would make the queue grow until the deadline of the oldest byte.
     pub fn push(&self, now: Duration, bytes: &[u8]) {
         if self.closing.get() {
             return;
@@ -66,30 +67,30 @@
             self.too_slow.set(true);
             return self.abort();
         }
-        self.backlog.borrow_mut().queued(now, bytes.len());
+        self.backlog.borrow_mut().message_queued(now, bytes.len());
         self.bytes.borrow_mut().extend(bytes);
         self.changed.notify_one();
     }
 
-    /// Takes no more messages; what waits is written.
+    /// Closes the queue: no more messages are accepted, and waiting bytes are still written.
     pub fn close(&self) {
         self.closing.set(true);
         self.changed.notify_one();
     }
 
-    /// Ends writing at once, whatever waits.
+    /// Ends writing immediately. Waiting bytes are not written.
     pub fn abort(&self) {
         self.closing.set(true);
         self.aborted.notify_one();
     }
 
-    /// Bytes that wait.
+    /// Returns the number of waiting bytes.
     pub fn queued_bytes(&self) -> usize {
         self.bytes.borrow().len()
     }
 
-    /// Writes until the queue is closed or aborted, the connection fails, or the reader is too slow. Times of
-    /// [`WriteQueue::push`] count from `epoch`.
+    /// Writes until the queue is closed or aborted, the connection fails, or the reader is too slow. The times passed to
+    /// [`WriteQueue::push`] are counted from `epoch`.
     pub async fn run(&self, connection: OwnedWriteHalf, epoch: Instant) -> WriteOutcome {
         tokio::select! {
             outcome = self.write_all(connection, epoch) => outcome,
@@ -114,7 +115,8 @@
                 continue;
             }
             let deadline = self.backlog.borrow().deadline().unwrap_or_else(|| epoch.elapsed());
-            // The connection is tried before the clock is read: after a stall of the machine it may well take all.
+            // The write is attempted before the deadline is checked: after a stall of the machine, the connection may accept
+            // all bytes although their deadline has passed.
             match tokio::time::timeout_at(epoch + deadline, connection.write(&chunk)).await {
                 Ok(Ok(written)) if written > 0 => self.take_written(written),
                 Ok(_) => return WriteOutcome::ConnectionLost,
@@ -132,6 +134,6 @@
 
     fn take_written(&self, written: usize) {
         self.bytes.borrow_mut().drain(..written);
-        self.backlog.borrow_mut().written(written);
+        self.backlog.borrow_mut().bytes_written(written);
     }
 }
--- a/crates/write-queue/tests/write_queue.rs
+++ b/crates/write-queue/tests/write_queue.rs
@@ -1,4 +1,4 @@
-//! When a reader has had long enough, and what its socket sees.
+//! When a slow reader is disconnected, and what it has received by then.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -14,13 +14,13 @@
 }
 
 #[rstest]
-#[case::takes_all(&[(0, 100, 100)], 5000, BacklogStatus::WithinLimits)]
-#[case::takes_nothing(&[(0, 100, 0)], 2000, BacklogStatus::Stalled)]
-#[case::in_time_still(&[(0, 100, 0)], 1999, BacklogStatus::WithinLimits)]
-#[case::a_byte_now_and_then(&[(0, 100, 10), (1000, 0, 10), (1900, 0, 10)], 2000, BacklogStatus::Stalled)]
-#[case::behind_but_moving(&[(0, 100, 50), (1500, 100, 60)], 2000, BacklogStatus::WithinLimits)]
-#[case::too_much(&[(0, 100, 100), (10, 1001, 0)], 20, BacklogStatus::Full)]
-fn a_connection_stalls_by_its_oldest_waiting_byte(
+#[case::reads_all(&[(0, 100, 100)], 5000, BacklogStatus::WithinLimits)]
+#[case::reads_nothing(&[(0, 100, 0)], 2000, BacklogStatus::Stalled)]
+#[case::just_before_the_deadline(&[(0, 100, 0)], 1999, BacklogStatus::WithinLimits)]
+#[case::reads_a_little_now_and_then(&[(0, 100, 10), (1000, 0, 10), (1900, 0, 10)], 2000, BacklogStatus::Stalled)]
+#[case::behind_but_within_the_deadline(&[(0, 100, 50), (1500, 100, 60)], 2000, BacklogStatus::WithinLimits)]
+#[case::too_many_bytes(&[(0, 100, 100), (10, 1001, 0)], 20, BacklogStatus::Full)]
+fn a_connection_is_stalled_when_its_oldest_byte_exceeds_the_deadline(
     #[case] steps: &[(u64, usize, usize)],
     #[case] at: u64,
     #[case] status: BacklogStatus,
@@ -28,60 +28,61 @@
     let mut backlog = Backlog::new(WriteLimits { max_wait: ms(2000), max_bytes: 1000 });
     for (at, queued, written) in steps {
         if *queued > 0 {
-            backlog.queued(ms(*at), *queued);
+            backlog.message_queued(ms(*at), *queued);
         }
-        backlog.written(*written);
+        backlog.bytes_written(*written);
     }
     assert_eq!(backlog.status(ms(at)), status);
 }
 
+/// Returns both ends of a connection: the accepted one and the dialed one.
 async fn pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let dialled = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-    (listener.accept().await.unwrap().0, dialled)
+    let dialed = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    (listener.accept().await.unwrap().0, dialed)
 }
 
 #[rstest]
-#[case::closed(|out: &WriteQueue| out.close(), 3, WriteOutcome::Closed)]
-#[case::too_much(|out: &WriteQueue| out.push(ms(0), &[7; 32 << 20]), 0, WriteOutcome::ReaderTooSlow)]
-#[case::aborted_amid_much(|out: &WriteQueue| { out.push(ms(0), &[7; 16 << 20]); out.abort() }, 0, WriteOutcome::Closed)]
+#[case::closed(|queue: &WriteQueue| queue.close(), 3, WriteOutcome::Closed)]
+#[case::too_many_bytes(|queue: &WriteQueue| queue.push(ms(0), &[7; 32 << 20]), 0, WriteOutcome::ReaderTooSlow)]
+#[case::aborted_amid_much(|queue: &WriteQueue| { queue.push(ms(0), &[7; 16 << 20]); queue.abort() }, 0, WriteOutcome::Closed)]
 #[tokio::test]
 async fn writing_ends_when_closed_aborted_or_too_slow(
-    #[case] then: fn(&WriteQueue),
-    #[case] read: usize,
-    #[case] with: WriteOutcome,
+    #[case] action: fn(&WriteQueue),
+    #[case] received_bytes: usize,
+    #[case] outcome: WriteOutcome,
 ) {
     let (near, mut far) = pair().await;
-    let out = WriteQueue::new(WriteLimits { max_wait: ms(300), max_bytes: 24 << 20 });
-    out.push(ms(0), b"abc");
-    then(&out);
-    let (_from, to) = near.into_split();
-    let ended = tokio::time::timeout(ms(5000), out.run(to, Instant::now())).await;
-    assert_eq!(ended, Ok(with));
-    if read > 0 {
-        let mut got = vec![];
-        drop(_from);
-        far.read_to_end(&mut got).await.unwrap();
-        assert_eq!(got, b"abc");
+    let queue = WriteQueue::new(WriteLimits { max_wait: ms(300), max_bytes: 24 << 20 });
+    queue.push(ms(0), b"abc");
+    action(&queue);
+    let (_reader, writer) = near.into_split();
+    let ended = tokio::time::timeout(ms(5000), queue.run(writer, Instant::now())).await;
+    assert_eq!(ended, Ok(outcome));
+    if received_bytes > 0 {
+        let mut received = vec![];
+        drop(_reader);
+        far.read_to_end(&mut received).await.unwrap();
+        assert_eq!(received, b"abc");
     }
 }
 
-/// One who goes on asking and takes no answer: what waits for it stays bounded, whatever it asks, and it is let go.
+/// Guards against a queue that grows without limit because its reader keeps sending requests and reads no response.
 #[rstest]
 #[tokio::test]
-async fn disconnects_a_reader_that_takes_nothing_before_its_queue_grows() {
+async fn a_reader_that_reads_nothing_is_disconnected_while_its_queue_is_still_bounded() {
     let (near, _far) = pair().await;
-    let out = WriteQueue::new(WriteLimits { max_wait: ms(20_000), max_bytes: 96 << 10 });
-    let (_from, to) = near.into_split();
-    let mut most = 0;
-    let asking = async {
+    let queue = WriteQueue::new(WriteLimits { max_wait: ms(20_000), max_bytes: 96 << 10 });
+    let (_reader, writer) = near.into_split();
+    let mut max_queued = 0;
+    let pushing = async {
         for _ in 0..4000 {
-            out.push(ms(0), &[7; 8 << 10]);
-            most = most.max(out.queued_bytes());
+            queue.push(ms(0), &[7; 8 << 10]);
+            max_queued = max_queued.max(queue.queued_bytes());
             tokio::task::yield_now().await;
         }
     };
-    let (ended, ()) = tokio::join!(out.run(to, Instant::now()), asking);
+    let (ended, ()) = tokio::join!(queue.run(writer, Instant::now()), pushing);
     assert_eq!(ended, WriteOutcome::ReaderTooSlow);
-    assert!(most <= (96 << 10) + (8 << 10), "{most}");
+    assert!(max_queued <= (96 << 10) + (8 << 10), "{max_queued}");
 }
