--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,26 +1,27 @@
-//! Calls and their responses, as the emulated callers, proxies and servers exchange them.
+//! Requests and their responses, as the emulated clients, proxies and servers exchange them. A request is named call in
+//! this protocol.
 
 use crate::codec::{enum_codec, struct_codec};
 use crate::server::ServerMetrics;
 
-/// One call, as a caller or a proxy sends it.
+/// One attempt of a request, as a client sends it to a proxy or a proxy to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
-    /// The caller's number for it, the same at all attempts.
+    /// The client's number for the request, the same for all attempts.
     pub id: u64,
-    /// The caller's attempt, from 0.
+    /// The number of the client's attempt, from 0.
     pub attempt: u8,
-    /// The proxy's retry within that attempt, from 0.
+    /// The number of the proxy's retry within the client's attempt, from 0.
     pub retry: u8,
-    /// The route's position in the settings.
+    /// The position of the route in the settings.
     pub route: u8,
-    /// What the call is about: calls with the same key use the same cached data.
+    /// The key of the data that the request needs: requests with the same key use the same cached data.
     pub key: u64,
-    /// The work that it takes, in microseconds of a core of speed 1.
+    /// The work of serving the request, in microseconds of a core of speed 1.
     pub work_us: u32,
-    /// How long the sender waits, in microseconds.
+    /// The time for which the sender waits, in microseconds.
     pub timeout_us: u32,
-    /// The proxy that sends it; 0 from a caller.
+    /// The number of the proxy that sends the request; 0 if a client sends it.
     pub proxy: u16,
 }
 
@@ -35,32 +36,32 @@
     proxy: u16("a proxy"),
 });
 
-/// What became of a call.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It ran and was answered.
+    /// The attempt was executed and answered.
     Answered,
-    /// It was rejected before it ran.
+    /// The attempt was rejected before its execution.
     Rejected,
-    /// It failed, after it may have run.
+    /// The attempt failed, and may have been executed.
     Failed,
-    /// It was discarded as a duplicate of one that was answered.
+    /// The attempt was discarded as a duplicate of an answered one.
     Duplicate,
 }
 
 // On the wire: do not renumber.
 enum_codec!(CallOutcome { 0 => Answered, 1 => Rejected, 2 => Failed, 3 => Duplicate });
 
-/// Response to a [`Call`].
+/// The response to a [`Call`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Response {
-    /// The call's number.
+    /// The client's number for the request.
     pub id: u64,
-    /// The caller's attempt, from 0.
+    /// The number of the client's attempt, from 0.
     pub attempt: u8,
-    /// The proxy's retry within that attempt, from 0.
+    /// The number of the proxy's retry within the client's attempt, from 0.
     pub retry: u8,
-    /// What became of it.
+    /// The outcome of the attempt.
     pub outcome: CallOutcome,
     /// The server's metrics, if it has any.
     pub metrics: Option<ServerMetrics>,
--- a/crates/wire/src/close.rs
+++ b/crates/wire/src/close.rs
@@ -1,31 +1,31 @@
-//! Why a stream is closed.
+//! The message that closes a stream.
 
 use crate::codec::{enum_codec, struct_codec};
 
-/// Why a stream is closed.
+/// The reason to close a stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The sender stops.
+    /// The sender shuts down.
     ShuttingDown,
     /// A message could not be decoded.
     Malformed,
-    /// The peer speaks another version.
+    /// The peer speaks another version of the protocol.
     VersionMismatch,
-    /// The peer may not join.
+    /// The peer is not allowed to join.
     Rejected,
-    /// The same name has joined on a newer stream.
+    /// A proxy of the same name has joined on a newer stream.
     Superseded,
-    /// Bytes were not taken in time, or updates not acknowledged.
+    /// The peer did not read bytes or acknowledge updates in time.
     TooSlow,
-    /// Nothing was received for too long.
+    /// No message was received for too long.
     TimedOut,
-    /// Too many joins, or too many updates; the peer is to come again later.
+    /// There were too many joins or updates. The peer should connect again later.
     Overloaded,
-    /// The message does not belong here.
+    /// The peer sent a message that is not expected in the current state of the stream.
     UnexpectedMessage,
-    /// Another controller leads the fleet; the text is where it is, if that is known.
+    /// Another controller leads the fleet. The text contains the leader's address, if the address is known.
     NotLeader,
-    /// The proxy has updates of a newer term than this controller's.
+    /// The proxy has received updates of a newer term than this controller's.
     StaleTerm,
 }
 
@@ -45,7 +45,7 @@
 });
 
 impl CloseReason {
-    /// The reason's name in the texts of [`Close`] messages. On the wire: do not rename.
+    /// Returns the reason's name in the texts of [`Close`] messages. On the wire: do not rename.
     pub fn wire_name(self) -> &'static str {
         match self {
             CloseReason::ShuttingDown => "Stopping",
@@ -63,12 +63,12 @@
     }
 }
 
-/// Last message of a stream, from either side.
+/// The last message of a stream, from either side.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Close {
-    /// Why.
+    /// The reason to close the stream.
     pub reason: CloseReason,
-    /// Details for logs; for [`CloseReason::NotLeader`] who leads.
+    /// Details for logs; for [`CloseReason::NotLeader`] the leader's address.
     pub text: String,
 }
 
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,7 +1,7 @@
-//! How the parts of a message are made of fields.
+//! Encodes and decodes the parts of a message, field by field.
 //!
-//! `struct_codec!` and `enum_codec!` list the fields and values of a type once, in their order on the wire, and derive
-//! both directions from the list.
+//! `struct_codec!` and `enum_codec!` take one list of a type's fields or values and implement both directions from the
+//! list.
 
 use crate::decode_error::DecodeError;
 use crate::reader::Reader;
@@ -9,31 +9,32 @@
 
 /// A part of a message that is encoded as a sequence of fields.
 pub(crate) trait Codec: Sized {
-    /// Reads the fields in their order.
+    /// Reads the fields in the order of the encoding.
     fn decode(reader: &mut Reader) -> Result<Self, DecodeError>;
 
-    /// Appends the fields in the same order.
+    /// Appends the fields in the order of the encoding.
     fn encode(&self, writer: &mut Writer);
 }
 
-/// An item of a list.
+/// A part of a message that occurs as an item of lists.
 pub(crate) trait ListItem: Codec {
-    /// Bytes of the shortest encoding. A list whose count times this exceeds the rest of the body is refused before
-    /// memory is allocated for it.
+    /// Number of bytes of the shortest encoding. A list whose count times this number exceeds the rest of the body is
+    /// rejected before memory is allocated for the list.
     const MIN_BYTES: usize;
 }
 
 /// An enum without fields, encoded as one byte.
 pub(crate) trait ByteEnum: Copy {
-    /// The value of a byte, if it has one.
+    /// Returns the value for a byte; `None` if no value has this byte.
     fn from_byte(byte: u8) -> Option<Self>;
 
-    /// The byte of this value.
+    /// Returns the byte of this value.
     fn to_byte(self) -> u8;
 }
 
-/// Implements [`Codec`] for a struct. Each field names the method of [`Reader`] and of [`Writer`] that transfers it,
-/// with the words by which a [`DecodeError`] calls the field. The order of the list is the order on the wire.
+/// Implements [`Codec`] for a struct. Each entry gives the method of [`Reader`] and [`Writer`] for a field, and the words
+/// for the field in a [`DecodeError`]. The order of the entries is the order on the wire: do not reorder. Peers receive
+/// the words in [`crate::Close`] texts: do not reword.
 macro_rules! struct_codec {
     ($name:ident { $($field:ident: $method:ident($($what:literal),*)),* $(,)? }) => {
         impl $crate::codec::Codec for $name {
@@ -48,7 +49,7 @@
     };
 }
 
-/// Implements [`ByteEnum`] for an enum from a table of its bytes on the wire.
+/// Implements [`ByteEnum`] for an enum, given the byte of each value on the wire.
 macro_rules! enum_codec {
     ($name:ident { $($byte:literal => $variant:ident),* $(,)? }) => {
         impl $crate::codec::ByteEnum for $name {
@@ -71,21 +72,24 @@
 pub(crate) use {enum_codec, struct_codec};
 
 impl Reader<'_> {
+    /// Reads a value of an enum.
     pub(crate) fn variant<T: ByteEnum>(&mut self, what: &'static str) -> Result<T, DecodeError> {
         let at = self.position();
         let byte = self.u8(what)?;
         T::from_byte(byte).ok_or(DecodeError::InvalidValue { what, at, value: byte.into() })
     }
 
+    /// Reads the fields of another part.
     pub(crate) fn nested<T: Codec>(&mut self) -> Result<T, DecodeError> {
         T::decode(self)
     }
 
-    /// A flag, and the value if the flag is set.
+    /// Reads a flag, and the value if the flag is set.
     pub(crate) fn optional<T: Codec>(&mut self, what: &'static str) -> Result<Option<T>, DecodeError> {
         if self.flag(what)? { T::decode(self).map(Some) } else { Ok(None) }
     }
 
+    /// Reads the count of a list and its items.
     pub(crate) fn list<T: ListItem>(&mut self, what: &'static str) -> Result<Vec<T>, DecodeError> {
         let count = self.count(what, T::MIN_BYTES)?;
         (0..count).map(|_| T::decode(self)).collect()
@@ -101,7 +105,7 @@
         value.encode(self);
     }
 
-    /// A kind, and the fields of that kind.
+    /// Writes the byte of a kind, and the fields of that kind.
     pub(crate) fn tagged<T: Codec>(&mut self, kind: u8, value: &T) {
         self.u8(&kind);
         value.encode(self);
--- a/crates/wire/src/decode_error.rs
+++ b/crates/wire/src/decode_error.rs
@@ -1,66 +1,66 @@
-//! Why bytes are no message.
+//! The errors of decoding a message.
 
 use thiserror::Error;
 
-/// Why bytes are no message. `at` counts from the first byte after the message kind.
+/// The reason why bytes cannot be decoded as a message. `at` is counted from the first byte after the message kind.
 ///
-/// The texts go to the peer in a [`crate::Close`] message. On the wire: do not rename.
+/// The peer receives the texts in a [`crate::Close`] message: do not reword.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The frame's length exceeds what its sender may send.
+    /// The length of the frame exceeds the limit for its sender.
     #[error("a frame of {length} bytes is over the limit of {limit}")]
     FrameTooLong {
-        /// Bytes of the body, as the frame states them.
+        /// Number of bytes of the body, as stated in the frame.
         length: usize,
-        /// Most bytes allowed.
+        /// Maximum number of bytes.
         limit: usize,
     },
-    /// The body has no byte, so no message kind either.
+    /// The body is empty and so has no message kind.
     #[error("an empty frame")]
     EmptyFrame,
-    /// No message has this kind.
+    /// The message kind is not defined.
     #[error("unknown message kind {0}")]
     UnknownKind(u8),
     /// The body ends inside a field.
     #[error("{what} at byte {at} is cut short")]
     Truncated {
-        /// The field.
+        /// The words for the field.
         what: &'static str,
-        /// Where it begins.
+        /// The position of the field's first byte.
         at: usize,
     },
-    /// A field has a value that it cannot have.
+    /// The value of a field is outside the field's range.
     #[error("{what} at byte {at} cannot be {value}")]
     InvalidValue {
-        /// The field.
+        /// The words for the field.
         what: &'static str,
-        /// Where it begins.
+        /// The position of the field's first byte.
         at: usize,
-        /// The value, or the bits of a floating-point value.
+        /// The value; of a floating-point value its bits.
         value: u64,
     },
     /// A text is not UTF-8.
     #[error("{what} at byte {at} is not text")]
     InvalidUtf8 {
-        /// The field.
+        /// The words for the field.
         what: &'static str,
-        /// Where it begins.
+        /// The position of the field's first byte.
         at: usize,
     },
-    /// A list states more items than the rest of the body can hold.
+    /// The stated number of items of a list does not fit into the rest of the body.
     #[error("{count} {what} at byte {at} are more than the frame holds")]
     CountTooLarge {
-        /// The list.
+        /// The words for the items of the list.
         what: &'static str,
-        /// Where it begins.
+        /// The position of the list's first byte.
         at: usize,
-        /// Items, as stated.
+        /// The stated number of items.
         count: usize,
     },
     /// The message ends before the body does.
     #[error("{left} bytes are left over after the message")]
     TrailingBytes {
-        /// Bytes after the message.
+        /// Number of bytes after the message.
         left: usize,
     },
 }
--- a/crates/wire/src/endpoint.rs
+++ b/crates/wire/src/endpoint.rs
@@ -1,32 +1,32 @@
-//! The endpoint list: which servers there are, as a discovery service tells a controller.
+//! The endpoint list: the servers of a deployment, as a discovery service sends them to a controller.
 
 use crate::codec::{ListItem, enum_codec, struct_codec};
 use crate::server::ServerId;
 
-/// What the endpoint list says of a server.
+/// The state of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EndpointState {
-    /// It is no longer there.
+    /// The server is no longer part of the deployment.
     Removed,
-    /// It takes calls.
+    /// The server accepts requests.
     Ready,
-    /// It finishes the calls in flight and takes no new ones.
+    /// The server finishes the requests in flight and accepts no new ones.
     Draining,
 }
 
 // On the wire: do not renumber.
 enum_codec!(EndpointState { 0 => Removed, 1 => Ready, 2 => Draining });
 
-/// A server in the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
     /// The server.
     pub server: ServerId,
-    /// Its zone, by name.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Its state.
+    /// The server's state.
     pub state: EndpointState,
-    /// When it started, in milliseconds since the Unix epoch by the list's clock; 0 if long past.
+    /// The server's start, in milliseconds since the Unix epoch by the list's clock; 0 if long past.
     pub started_ms: u64,
 }
 
@@ -38,31 +38,31 @@
 });
 
 impl ListItem for EndpointEntry {
-    // The server, an empty text, the state and the start.
+    // The server, an empty zone name, the state and the start.
     const MIN_BYTES: usize = ServerId::MIN_BYTES + 1 + 1 + 8;
 }
 
-/// Asks for the endpoint list.
+/// A request for the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointPoll {
-    /// The version that is known; 0 for none.
+    /// The version of the list that the sender knows; 0 if it knows none.
     pub known_version: u64,
-    /// Whether later changes are to be sent too.
+    /// True if later changes have to be sent as well.
     pub watch: bool,
 }
 
 struct_codec!(EndpointPoll { known_version: u64("a version"), watch: flag("whether to watch") });
 
-/// The endpoint list, whole or its changes.
+/// The endpoint list, either complete or as the changes to an older version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointList {
     /// The version of the list.
     pub version: u64,
-    /// The version that the entries change; 0 where they are the whole list.
+    /// The version that the entries change; 0 if the entries are the complete list.
     pub base_version: u64,
-    /// The time by the list's clock, in milliseconds since the Unix epoch.
+    /// The current time by the list's clock, in milliseconds since the Unix epoch.
     pub now_ms: u64,
-    /// Servers that changed, or all.
+    /// The changed entries, or all entries of a complete list.
     pub entries: Vec<EndpointEntry>,
 }
 
@@ -73,10 +73,10 @@
     entries: list("entries"),
 });
 
-/// Answers an [`EndpointPoll`] that failed.
+/// The answer to an [`EndpointPoll`] that failed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointPollFailed {
-    /// Why, for logs.
+    /// The reason, for logs.
     pub text: String,
 }
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,9 +1,10 @@
-//! Bytes, split anywhere, into messages.
+//! Decodes bytes, split anywhere, into messages.
 
 use crate::decode_error::DecodeError;
 use crate::message::{HEADER_BYTES, Message};
 
-/// Bytes that have come from one peer and are not decoded yet. Holds at most one frame and what came with it.
+/// A buffer of the received bytes of one peer, and the decoder of their messages. If all messages are taken after each
+/// [`FrameDecoder::push`], the buffer holds at most one incomplete frame.
 pub struct FrameDecoder {
     bytes: Vec<u8>,
     decoded: usize,
@@ -11,29 +12,29 @@
 }
 
 impl FrameDecoder {
-    /// A decoder for frames whose body has at most `max_body_bytes`.
+    /// Creates a decoder for frames with bodies of at most `max_body_bytes`.
     pub fn new(max_body_bytes: usize) -> Self {
         FrameDecoder { bytes: Vec::new(), decoded: 0, max_body_bytes }
     }
 
-    /// Allows longer or shorter frames from now on: a peer that has joined may send longer ones.
+    /// Sets the limit for all further frames: a peer that has joined may send longer ones.
     pub fn set_max_body_bytes(&mut self, max_body_bytes: usize) {
         self.max_body_bytes = max_body_bytes;
     }
 
-    /// Takes bytes as they came.
+    /// Appends received bytes, split anywhere.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.decoded);
         self.decoded = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole message; `None` until more bytes have come.
+    /// Returns the next complete message; `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// What is malformed stays so: the stream cannot be read on and is to be closed. A frame over the limit
-    /// is known by its first four bytes, before any of its body is kept.
+    /// Returns the reason if the bytes are malformed. The decoder cannot continue then, and the stream has to be closed. A
+    /// frame over the limit is detected by its first four bytes, before its body is buffered.
     pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         let rest = &self.bytes[self.decoded..];
         let Some(header) = rest.first_chunk::<HEADER_BYTES>() else {
@@ -51,7 +52,7 @@
         Ok(Some(message))
     }
 
-    /// Bytes of a frame that has begun and is not whole.
+    /// Returns the number of buffered bytes that are not decoded yet.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.len() - self.decoded
     }
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -6,24 +6,24 @@
 use crate::reader::Reader;
 use crate::writer::Writer;
 
-/// What a dialing peer wants to be.
+/// The role that a dialing peer requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// A proxy that wants to receive updates.
+    /// A proxy that receives updates.
     Proxy,
-    /// A controller that wants to watch an endpoint list.
+    /// A controller that watches an endpoint list.
     Watcher,
 }
 
 // On the wire: do not renumber.
 enum_codec!(Role { 0 => Proxy, 1 => Watcher });
 
-/// First message of the dialing side.
+/// The first message of the dialing side.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Hello {
     /// The protocol version of the sender.
     pub version: u16,
-    /// What the sender wants to be.
+    /// The role that the sender requests.
     pub role: Role,
     /// The sender's name, unique in the fleet.
     pub name: String,
@@ -38,12 +38,12 @@
     nonce: array("a nonce"),
 });
 
-/// Answer of the listening side to a [`Hello`].
+/// The answer of the listening side to a [`Hello`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Challenge {
     /// The protocol version of the sender.
     pub version: u16,
-    /// Identifies the run of the sender's process.
+    /// The sender's incarnation, which identifies one run of its process.
     pub incarnation: u64,
     /// The sender's nonce.
     pub nonce: Nonce,
@@ -51,22 +51,22 @@
 
 struct_codec!(Challenge { version: u16("a version"), incarnation: u64("a start"), nonce: array("a nonce") });
 
-/// Asks to join; proves that the sender holds the fleet's key.
+/// The request of the dialing side to join. It proves that the sender holds the fleet's key.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Join {
-    /// The sender's zone, by name.
+    /// The name of the sender's zone.
     pub zone: String,
-    /// Calls a second that the proxy usually gets; rough.
+    /// Requests a second that the proxy usually receives; a rough estimate.
     pub calls_per_s: f32,
-    /// Whether the proxy holds only the table that it started with.
+    /// True if the proxy holds only the weight table from its start.
     pub initial_table_only: bool,
-    /// Incarnation of the controller whose update was applied last; 0 for none.
+    /// The incarnation of the controller whose update the proxy applied last; 0 if it has applied none.
     pub applied_incarnation: u64,
-    /// Sequence number of the update that was applied last; 0 for none.
+    /// The sequence number of the update that the proxy applied last; 0 if it has applied none.
     pub applied_sequence: u64,
-    /// The newest term of which the proxy has seen an update.
+    /// The newest term of which the proxy has received an update.
     pub newest_term: u64,
-    /// What [`crate::FleetKey::dialer_proof`] gives.
+    /// The proof from [`crate::FleetKey::dialer_proof`].
     pub proof: Proof,
 }
 
@@ -80,14 +80,14 @@
     proof: nested(),
 });
 
-/// Accepts a [`Join`]; proves that the sender holds the fleet's key too.
+/// The acceptance of a [`Join`]. It proves that the listening side holds the fleet's key, too.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Welcome {
-    /// The number of this stream.
+    /// The id of this stream.
     pub stream: u32,
-    /// The term of all updates on this stream; 0 where controllers share nothing.
+    /// The term of all updates on this stream; 0 if controllers do not elect a leader.
     pub term: u64,
-    /// What [`crate::FleetKey::listener_proof`] gives.
+    /// The proof from [`crate::FleetKey::listener_proof`].
     pub proof: Proof,
 }
 
--- a/crates/wire/src/health_check.rs
+++ b/crates/wire/src/health_check.rs
@@ -1,39 +1,39 @@
-//! Health checks of servers by a controller.
+//! The health checks that a controller sends to servers.
 
 use crate::codec::{enum_codec, struct_codec};
 use crate::server::ServerMetrics;
 
-/// Asks a server how it is.
+/// A request for the status of a server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthCheck {
-    /// The number of the server that is meant; another one at its address gives its own.
+    /// The number of the server to check. Another server at the same address answers with its own number.
     pub server_number: u32,
 }
 
 struct_codec!(HealthCheck { server_number: u32("a number") });
 
-/// How a server says that it is.
+/// The status that a server reports about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// It takes calls.
+    /// The server accepts requests.
     Ready,
-    /// It takes no new calls.
+    /// The server accepts no new requests.
     Draining,
-    /// It has too many health checks in hand.
+    /// The server has too many health checks in progress.
     Busy,
 }
 
 // On the wire: do not renumber.
 enum_codec!(HealthStatus { 0 => Ready, 1 => Draining, 2 => Busy });
 
-/// Answer to a [`HealthCheck`].
+/// The response to a [`HealthCheck`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthCheckResponse {
     /// The number of the server that answers.
     pub server_number: u32,
-    /// Its status.
+    /// The server's status.
     pub status: HealthStatus,
-    /// Its metrics, if it has any.
+    /// The server's metrics, if it has any.
     pub metrics: Option<ServerMetrics>,
 }
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
 //! The controller's protocol (`docs/protocol.md`): frames and messages, free of I/O.
 //!
-//! [`FrameDecoder`] turns bytes, split anywhere, into messages; [`Message::write_frame`] appends one as a frame. It is
-//! assumed that the transport keeps bytes in order. Every count and length is checked against what the frame still
-//! holds before memory is allocated for it, so a peer that has not authenticated itself cannot make this crate
-//! allocate more than one frame. What a message means is up to its reader: nothing is judged here beyond its form.
+//! [`FrameDecoder`] decodes bytes, split anywhere, into messages; [`Message::write_frame`] appends a message as a frame.
+//! The transport has to keep bytes in order. Every count and length is checked against the remaining bytes of the frame
+//! before memory is allocated for it, so a peer that has not authenticated itself cannot make this crate allocate more
+//! than one frame. This crate checks only the form of a message; the receiver interprets its content.
 
 mod call;
 mod close;
@@ -21,6 +21,7 @@
 mod update;
 mod writer;
 
+// These types are printed in Debug form: do not rename types, variants or fields.
 pub use call::{Call, CallOutcome, Response};
 pub use close::{Close, CloseReason};
 pub use decode_error::DecodeError;
@@ -37,11 +38,13 @@
     UpdateCause, WeightChange,
 };
 
-/// The protocol version of this crate. A peer of another version is told so and disconnected.
+/// The protocol version of this crate. A peer of another version is disconnected with
+/// [`CloseReason::VersionMismatch`].
 pub const PROTOCOL_VERSION: u16 = 2;
 
-/// Most bytes of a frame's body on a stream that has joined.
+/// Maximum number of bytes of a frame's body on a stream that has joined.
 pub const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Most bytes of a frame's body before the peer has joined, that is before it has shown the fleet's key.
+/// Maximum number of bytes of a frame's body before the peer has joined, and so before the peer has proved that it holds
+/// the fleet's key.
 pub const MAX_BODY_BYTES_BEFORE_JOIN: usize = 4 << 10;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages, and how each is put into a frame.
+//! The messages of the protocol, and their encoding as frames.
 
 use crate::call::{Call, Response};
 use crate::close::Close;
@@ -11,47 +11,47 @@
 use crate::update::{Update, UpdateAck};
 use crate::writer::Writer;
 
-/// Bytes of a frame before its body: the length of the body.
+/// Number of bytes of a frame's header, which states the length of the body.
 pub(crate) const HEADER_BYTES: usize = 4;
 
 /// A message between a controller and a proxy, a server or an endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// Dialing side: begins a handshake.
+    /// Dialing side: starts a handshake.
     Hello(Hello),
     /// Listening side: answers a hello.
     Challenge(Challenge),
-    /// Dialing side: asks to join.
+    /// Dialing side: requests to join.
     Join(Join),
     /// Listening side: accepts a join.
     Welcome(Welcome),
-    /// Controller to proxy: what changes.
+    /// Controller to proxy: changes weights, admission and bindings.
     Update(Update),
-    /// Proxy to controller: an update is in force.
+    /// Proxy to controller: acknowledges an update.
     UpdateAck(UpdateAck),
-    /// Proxy to controller: what was measured.
+    /// Proxy to controller: reports what the proxy measured.
     ProxyReport(ProxyReport),
-    /// Either side: the stream ends.
+    /// Either side: closes the stream.
     Close(Close),
-    /// Controller to endpoint list: asks for it.
+    /// Controller to discovery service: requests the endpoint list.
     EndpointPoll(EndpointPoll),
-    /// Endpoint list to controller: the list or its changes.
+    /// Discovery service to controller: sends the endpoint list or its changes.
     EndpointList(EndpointList),
-    /// Endpoint list to controller: a poll failed.
+    /// Discovery service to controller: reports a failed poll.
     EndpointPollFailed(EndpointPollFailed),
-    /// Controller to server: asks how it is.
+    /// Controller to server: requests the server's status.
     HealthCheck(HealthCheck),
-    /// Server to controller: how it is.
+    /// Server to controller: reports the server's status.
     HealthCheckResponse(HealthCheckResponse),
-    /// Caller to proxy, proxy to server: a call.
+    /// Client to proxy, or proxy to server: sends an attempt of a request.
     Call(Call),
-    /// Server to proxy, proxy to caller: the response to a call.
+    /// Server to proxy, or proxy to client: answers an attempt.
     Response(Response),
-    /// Controller to proxy: the leader is there. It changes nothing and is not acknowledged.
+    /// Controller to proxy: shows that the leader is alive. A heartbeat changes nothing and is not acknowledged.
     Heartbeat,
 }
 
-/// Kinds of messages. On the wire: do not renumber.
+/// The kinds of messages. On the wire: do not renumber.
 mod kind {
     pub(super) const HELLO: u8 = 1;
     pub(super) const CHALLENGE: u8 = 2;
@@ -72,7 +72,7 @@
 }
 
 impl Message {
-    /// The message's name in the texts of [`Close`] messages and in logs. On the wire: do not rename.
+    /// Returns the message's name in the texts of [`Close`] messages and in logs. On the wire: do not rename.
     pub fn name(&self) -> &'static str {
         match self {
             Message::Hello(_) => "hello",
@@ -94,11 +94,11 @@
         }
     }
 
-    /// Decodes the body of one frame, which must hold one message and nothing after it.
+    /// Decodes the body of one frame, which must contain exactly one message.
     ///
     /// # Errors
     ///
-    /// What is malformed, and at which byte.
+    /// Returns the malformed field and its position if the body is not a valid message.
     pub fn decode(body: &[u8]) -> Result<Message, DecodeError> {
         let Some((kind, fields)) = body.split_first() else {
             return Err(DecodeError::EmptyFrame);
@@ -140,7 +140,7 @@
         out[start..start + HEADER_BYTES].copy_from_slice(&length.to_be_bytes());
     }
 
-    /// The message as one frame.
+    /// Returns the message as one frame.
     pub fn to_frame(&self) -> Vec<u8> {
         let mut out = Vec::new();
         self.write_frame(&mut out);
--- a/crates/wire/src/proof.rs
+++ b/crates/wire/src/proof.rs
@@ -1,28 +1,28 @@
-//! Proof that a peer holds the fleet's key, bound to the nonces of both sides so that none can be replayed.
+//! Proofs that a peer holds the fleet's key. A proof is bound to the nonces of both sides, so that it cannot be replayed.
 
 use std::fmt;
 
-/// Domain of the key derivation. Stored: do not rename.
+/// Domain of the key derivation. Changing this text changes all keys: do not reword.
 const KEY_CONTEXT: &str = "grebespool 2026 fleet key";
 
-/// Domain of the dialing side's proofs. On the wire: do not rename.
+/// Domain of the dialing side's proofs, hashed into each of them: do not reword.
 const DIALER_DOMAIN: &str = "peer";
 
-/// Domain of the listening side's proofs. On the wire: do not rename.
+/// Domain of the listening side's proofs, hashed into each of them: do not reword.
 const LISTENER_DOMAIN: &str = "planner";
 
-/// Random bytes that a peer uses for one handshake only.
+/// The random bytes that a peer uses in exactly one handshake.
 pub type Nonce = [u8; 16];
 
 /// The key that all processes of one fleet share.
 #[derive(Clone)]
 pub struct FleetKey([u8; 32]);
 
-/// What a peer shows for the key in one handshake.
+/// A peer's proof in one handshake that it holds the fleet's key.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Proof(pub [u8; 32]);
 
-/// What one handshake was about; both proofs of it are bound to all of this.
+/// The values of one handshake that both of its proofs are bound to.
 #[derive(Debug, Clone, Copy)]
 pub struct Transcript<'a> {
     /// The nonce of the dialing side.
@@ -33,7 +33,7 @@
     pub incarnation: u64,
     /// The name of the dialing side.
     pub name: &'a str,
-    /// The zone of the dialing side, by name; empty where it has none.
+    /// The name of the dialing side's zone; empty if it has none.
     pub zone: &'a str,
 }
 
@@ -50,23 +50,23 @@
 }
 
 impl FleetKey {
-    /// Derives the key from the bytes of its file.
+    /// Derives the key from the bytes of the key file.
     pub fn derive(bytes: &[u8]) -> FleetKey {
         FleetKey(blake3::derive_key(KEY_CONTEXT, bytes))
     }
 
-    /// What the dialing side shows in its join.
+    /// Returns the proof that the dialing side sends in its [`crate::Join`].
     pub fn dialer_proof(&self, transcript: &Transcript) -> Proof {
         self.proof(DIALER_DOMAIN, transcript)
     }
 
-    /// What the listening side shows in its welcome.
+    /// Returns the proof that the listening side sends in its [`crate::Welcome`].
     pub fn listener_proof(&self, transcript: &Transcript) -> Proof {
         self.proof(LISTENER_DOMAIN, transcript)
     }
 
     fn proof(&self, domain: &str, transcript: &Transcript) -> Proof {
-        // On the wire: the order and the lengths before the parts stay as they are.
+        // Peers compute the same hash: the order of the parts and the length before each part must not change.
         let parts: [&[u8]; 6] = [
             domain.as_bytes(),
             transcript.dialer_nonce,
@@ -84,7 +84,7 @@
 }
 
 impl Proof {
-    /// Whether both are the same, in a time that does not depend on where they differ.
+    /// Returns true if both proofs are equal, in a time that does not depend on where they differ.
     pub fn matches(&self, expected: &Proof) -> bool {
         blake3::Hash::from_bytes(self.0) == blake3::Hash::from_bytes(expected.0)
     }
--- a/crates/wire/src/proxy_report.rs
+++ b/crates/wire/src/proxy_report.rs
@@ -1,4 +1,4 @@
-//! What a proxy reports of its calls in each cycle.
+//! The report that a proxy sends in each cycle.
 
 use crate::codec::{ListItem, struct_codec};
 use crate::server::{ServerId, ServerMetrics};
@@ -8,11 +8,11 @@
 pub struct ServerLoad {
     /// The server.
     pub server: ServerId,
-    /// Attempts sent to it.
+    /// Number of attempts sent to the server.
     pub attempts: u32,
-    /// Attempts of these that were not answered.
+    /// Number of these attempts that were not answered.
     pub dropped: u32,
-    /// Mean latency of the answered ones in microseconds; 0 if none was.
+    /// Mean latency of the answered attempts, in microseconds; 0 if none was answered.
     pub mean_latency_us: u32,
     /// The newest metrics that the server reported.
     pub metrics: Option<ServerMetrics>,
@@ -31,12 +31,12 @@
     const MIN_BYTES: usize = ServerId::MIN_BYTES + 3 * 4 + 1;
 }
 
-/// Calls of one route that came to a proxy since its last report.
+/// The requests of one route that a proxy received since its last report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteLoad {
-    /// The route's position in the settings.
+    /// The position of the route in the settings.
     pub route: u8,
-    /// Calls, whether admitted or not.
+    /// Number of requests, whether admitted or not.
     pub calls: u32,
 }
 
@@ -46,12 +46,12 @@
     const MIN_BYTES: usize = 1 + 4;
 }
 
-/// What a proxy measured since its last report; sent every cycle, empty ones too.
+/// What a proxy measured since its last report. It is sent in every cycle, even if empty.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ProxyReport {
-    /// By server.
+    /// The measurements at each server.
     pub servers: Vec<ServerLoad>,
-    /// By route.
+    /// The requests of each route.
     pub routes: Vec<RouteLoad>,
 }
 
--- a/crates/wire/src/reader.rs
+++ b/crates/wire/src/reader.rs
@@ -1,15 +1,15 @@
-//! Reads the plain fields of a message body, big-endian.
+//! Reads the basic types of a message body, in big-endian order.
 
 use crate::decode_error::DecodeError;
 use std::net::{IpAddr, SocketAddr};
 
-/// First byte of an IPv4 address.
+/// The byte that precedes an IPv4 address.
 pub(crate) const ADDRESS_V4: u8 = 4;
 
-/// First byte of an IPv6 address.
+/// The byte that precedes an IPv6 address.
 pub(crate) const ADDRESS_V6: u8 = 6;
 
-/// Reads fields from a message body. The `what` of each method is what an error calls the field.
+/// A reader of the fields of a message body. The parameter `what` of the methods has the words for the field in an error.
 pub(crate) struct Reader<'a> {
     bytes: &'a [u8],
     position: usize,
@@ -58,7 +58,7 @@
         self.array(what).map(f32::from_be_bytes)
     }
 
-    /// A finite number that is not negative: a weight, a rate or a fraction.
+    /// Reads a finite number that is not negative, such as a weight, a rate or a fraction.
     pub(crate) fn non_negative(&mut self, what: &'static str) -> Result<f32, DecodeError> {
         let at = self.position;
         let value = self.f32(what)?;
@@ -101,7 +101,7 @@
         Ok(SocketAddr::new(ip, self.u16(what)?))
     }
 
-    /// A flag, and the number if the flag is set.
+    /// Reads a flag, and the number if the flag is set.
     pub(crate) fn optional_u16(
         &mut self,
         what_flag: &'static str,
@@ -110,7 +110,7 @@
         if self.flag(what_flag)? { self.u16(what).map(Some) } else { Ok(None) }
     }
 
-    /// The count of a list whose items have at least `min_bytes` each.
+    /// Reads the count of a list whose items have at least `min_bytes` each.
     pub(crate) fn count(&mut self, what: &'static str, min_bytes: usize) -> Result<usize, DecodeError> {
         let at = self.position;
         let count = self.u32(what)? as usize;
@@ -120,7 +120,7 @@
         Ok(count)
     }
 
-    /// Numbers of any value: what they are worth is judged by whoever uses them.
+    /// Reads a list of numbers of any value, including NaN and infinity. The receiver has to validate them.
     pub(crate) fn f32_list(
         &mut self,
         what: &'static str,
@@ -130,7 +130,7 @@
         (0..count).map(|_| self.f32(what_item)).collect()
     }
 
-    /// Checks that nothing is left.
+    /// Returns an error if any bytes are left.
     pub(crate) fn finish(self) -> Result<(), DecodeError> {
         match self.remaining() {
             0 => Ok(()),
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,35 +1,36 @@
-//! How servers are named, and the metrics that they report.
+//! The ids of servers, and the metrics that servers report.
 
 use crate::codec::{ListItem, struct_codec};
 use std::net::SocketAddr;
 
-/// A server: where it listens, and the number that the endpoint list gave it. Another server that comes to listen at
-/// the same address has another number.
+/// The id of a server: its address, and its number in the endpoint list. Another server that later listens at the same
+/// address has another number.
 ///
-/// The order of servers decides the order in which maps of them are walked: keep the order of the fields.
+/// The derived order determines the iteration order of maps and so decisions: do not reorder the fields.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId {
-    /// Where it listens.
+    /// The address at which the server listens.
     pub addr: SocketAddr,
-    /// Its number in the endpoint list.
+    /// The server's number in the endpoint list.
     pub number: u32,
 }
 
 struct_codec!(ServerId { addr: address("a server's address"), number: u32("a server's number") });
 
 impl ListItem for ServerId {
-    // The kind of address, an IPv4 address, a port and the number.
+    // The byte for the kind of address, an IPv4 address, a port and the number.
     const MIN_BYTES: usize = 1 + 4 + 2 + 4;
 }
 
-/// Metrics that a server reported with an answer. `incarnation` and `sequence` tell older reports from newer ones.
+/// The metrics that a server reported with a response. `incarnation` and `sequence` distinguish older reports from newer
+/// ones.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerMetrics {
-    /// Rises with each start of the server.
+    /// The server's incarnation, which increases with each start.
     pub incarnation: u64,
-    /// Rises with each report of one start.
+    /// The report's sequence number, which increases with each report within an incarnation.
     pub sequence: u32,
-    /// In the order of the settings' metric fields.
+    /// The values, in the order of the metric fields in the settings.
     pub values: Vec<f32>,
 }
 
--- a/crates/wire/src/update.rs
+++ b/crates/wire/src/update.rs
@@ -1,4 +1,4 @@
-//! Updates from a controller to a proxy, and their acknowledgement.
+//! The updates from a controller to a proxy, and their acknowledgements.
 
 use crate::codec::{Codec, ListItem, enum_codec, struct_codec};
 use crate::decode_error::DecodeError;
@@ -6,28 +6,28 @@
 use crate::server::ServerId;
 use crate::writer::Writer;
 
-/// When a proxy may retry a call at another server.
+/// The condition under which a proxy may retry a request at another server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Never.
+    /// No retries.
     Never,
-    /// Once, after proof that the first attempt never ran.
+    /// One retry, if the first attempt is known not to have been executed.
     IfNotExecuted,
-    /// Once, after any failure.
+    /// One retry after any failure.
     AfterFailure,
 }
 
 // On the wire: do not renumber.
 enum_codec!(RetryPolicy { 0 => Never, 1 => IfNotExecuted, 2 => AfterFailure });
 
-/// What part of some routes' calls a proxy admits, and when it retries them.
+/// The fraction of some routes' requests that a proxy admits, and the condition for their retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionRule {
-    /// The sum of 2^k over the positions k of the routes; 0 for all.
+    /// The routes as a bit mask: bit k is the route at position k in the settings; 0 means all routes.
     pub routes: u16,
-    /// The fraction of calls that is admitted, 0 to 1.
+    /// The fraction of requests to admit, 0 to 1.
     pub admitted_fraction: f32,
-    /// When they are retried.
+    /// The condition for retries of the requests.
     pub retry_policy: RetryPolicy,
 }
 
@@ -46,7 +46,7 @@
 pub struct ServerWeight {
     /// The server.
     pub server: ServerId,
-    /// Its weight, relative to the others of the table.
+    /// The server's weight, relative to the other weights of the table.
     pub weight: f32,
 }
 
@@ -56,17 +56,17 @@
     const MIN_BYTES: usize = ServerId::MIN_BYTES + 4;
 }
 
-/// A whole table for some routes. It replaces the tables of these routes; the proxy follows the table's changes until
-/// it leaves.
+/// A whole weight table for some routes. It replaces the previous table of each of these routes, and the proxy then
+/// receives the table's changes until the stream ends.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableBinding {
     /// The table.
     pub table: u16,
-    /// How often the table has changed.
+    /// The number of changes of the table so far.
     pub version: u64,
-    /// The sum of 2^k over the positions k of the routes; 0 for all.
+    /// The routes as a bit mask: bit k is the route at position k in the settings; 0 means all routes.
     pub routes: u16,
-    /// All servers of the table.
+    /// The weights of all servers in the table.
     pub weights: Vec<ServerWeight>,
     /// All admission rules in force.
     pub admission: Vec<AdmissionRule>,
@@ -85,11 +85,11 @@
 pub struct WeightChange {
     /// The table.
     pub table: u16,
-    /// How often the table has changed, this change included.
+    /// The number of changes of the table, including this one.
     pub version: u64,
     /// The server.
     pub server: ServerId,
-    /// Its weight; 0 removes it from the table.
+    /// The server's new weight; 0 removes the server from the table.
     pub weight: f32,
 }
 
@@ -100,12 +100,12 @@
     weight: non_negative("a weight"),
 });
 
-/// Takes a server out of all the proxy's tables, or back in.
+/// The exclusion of a server from all tables of a proxy, or the end of the exclusion.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Exclusion {
     /// The server.
     pub server: ServerId,
-    /// Whether it gets no calls from now on.
+    /// True to exclude the server, false to end the exclusion.
     pub excluded: bool,
 }
 
@@ -120,13 +120,13 @@
     SetWeight(WeightChange),
     /// Replaces the admission rule of some routes.
     SetAdmission(AdmissionRule),
-    /// Excludes a server, or takes it back.
+    /// Excludes a server, or ends its exclusion.
     Exclude(Exclusion),
-    /// Asks for an acknowledgement with this token once all changes up to here are in force.
+    /// Requests an acknowledgement with this token once the proxy has applied all changes up to this one.
     RequestAck(u16),
 }
 
-/// Kinds of changes. On the wire: do not renumber.
+/// The kinds of changes. On the wire: do not renumber.
 mod kind {
     pub(super) const BIND_TABLE: u8 = 1;
     pub(super) const SET_WEIGHT: u8 = 2;
@@ -167,38 +167,38 @@
     const MIN_BYTES: usize = 1 + 2;
 }
 
-/// Why an update was sent.
+/// The cause of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateCause {
     /// A proxy joined.
     ProxyJoined,
     /// The endpoint list changed.
     EndpointsChanged,
-    /// A timer fired, or anything else happened.
+    /// A timer fired, or any other event occurred.
     Interval,
 }
 
 // On the wire: do not renumber.
 enum_codec!(UpdateCause { 0 => ProxyJoined, 1 => EndpointsChanged, 2 => Interval });
 
-/// All changes that one turn of the controller makes for one proxy.
+/// All changes for one proxy that result from one turn of the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Update {
-    /// The leader's term where several controllers serve one fleet; 0 where controllers share nothing.
+    /// The leader's term; 0 if controllers do not elect a leader.
     pub term: u64,
-    /// The controller's incarnation, so that updates from before a restart are known.
+    /// The controller's incarnation, so that updates from before a restart can be recognized.
     pub incarnation: u64,
-    /// The stream's number, so that updates from before a disconnection are known.
+    /// The id of the stream, so that updates from before a disconnection can be recognized.
     pub stream: u32,
-    /// Rises by one with each update of a stream, from 1.
+    /// The sequence number of the update: 1 for the first of a stream, and one more for each further update.
     pub sequence: u64,
-    /// Microseconds since the controller's start at which the oldest change in here was made.
+    /// The time at which the oldest of the changes was made, in microseconds since the controller's start.
     pub created_us: u64,
-    /// The version of the endpoint list that the controller knew.
+    /// The version of the endpoint list on which the update is based.
     pub endpoints_version: u64,
-    /// Why it was sent.
+    /// The cause of the update.
     pub cause: UpdateCause,
-    /// The changes, to be applied together and in this order.
+    /// The changes, which have to be applied together and in this order.
     pub changes: Vec<Change>,
 }
 
@@ -213,7 +213,7 @@
     changes: list("orders"),
 });
 
-/// Acknowledges that all updates of the stream up to `sequence` are in force; sent for each update.
+/// The acknowledgement that the proxy has applied all updates of the stream up to `sequence`. It is sent for each update.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UpdateAck {
     /// The incarnation of the update.
@@ -222,7 +222,7 @@
     pub stream: u32,
     /// The sequence number of the update.
     pub sequence: u64,
-    /// The token, if the update asked for one with [`Change::RequestAck`].
+    /// The token of the update's [`Change::RequestAck`], if there is one.
     pub token: Option<u16>,
 }
 
--- a/crates/wire/src/writer.rs
+++ b/crates/wire/src/writer.rs
@@ -1,12 +1,12 @@
-//! Writes the plain fields of a message body, big-endian.
+//! Writes the basic types of a message body, in big-endian order.
 
 use crate::reader::{ADDRESS_V4, ADDRESS_V6};
 use std::net::{IpAddr, SocketAddr};
 
-/// Most bytes of a text; its length is one byte.
+/// Maximum number of bytes of a text, whose length is encoded in one byte.
 const MAX_TEXT_BYTES: usize = 255;
 
-/// Appends fields to a frame that is being written; its methods mirror those of [`Reader`].
+/// A writer that appends fields to a frame. Its methods mirror those of [`crate::reader::Reader`].
 pub(crate) struct Writer<'a> {
     out: &'a mut Vec<u8>,
 }
@@ -44,7 +44,7 @@
         self.u8(&u8::from(*value));
     }
 
-    /// A longer text than [`MAX_TEXT_BYTES`] is cut at a character.
+    /// Writes a text. A text of more than [`MAX_TEXT_BYTES`] bytes is truncated at a character boundary.
     pub(crate) fn text(&mut self, text: &str) {
         let cut = &text[..text.floor_char_boundary(MAX_TEXT_BYTES)];
         self.u8(&(cut.len() as u8));
