--- a/crates/wire/benches/frames.rs
+++ b/crates/wire/benches/frames.rs
@@ -1,4 +1,4 @@
-//! Frames parsed and written on one core, beside the same bytes copied plainly over loopback in the same run.
+//! Measures how fast frames are decoded and encoded on one core, compared with copying the same bytes over loopback.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -15,15 +15,16 @@
     divan::main();
 }
 
+/// Number of frames in each iteration.
 const FRAMES: usize = 1000;
 
-/// What a planner sends and hears most: small changes, and sums of a hundred servers.
-fn orders() -> Message {
+/// Returns the message that a planner sends most often: an update with a few changed weights.
+fn small_update() -> Message {
     let server = |n: u16| ServerId { addr: ([127, 0, 0, 1], n).into(), number: n.into() };
-    let line =
+    let set_weight =
         |n: u16| Change::SetWeight(WeightChange { table: 3, version: 9, server: server(n), weight: 1.25 });
-    let mut parts: Vec<Change> = (0..12).map(line).collect();
-    parts.push(Change::RequestAck(7));
+    let mut changes: Vec<Change> = (0..12).map(set_weight).collect();
+    changes.push(Change::RequestAck(7));
     Message::Update(Update {
         term: 3,
         incarnation: 1,
@@ -32,12 +33,13 @@
         created_us: 4,
         endpoints_version: 5,
         cause: UpdateCause::Interval,
-        changes: parts,
+        changes,
     })
 }
 
-fn sums() -> Message {
-    let met = |n: u16| ServerLoad {
+/// Returns the message that a planner receives most often: a report about a hundred servers.
+fn proxy_report() -> Message {
+    let load = |n: u16| ServerLoad {
         server: ServerId { addr: ([127, 0, 0, 1], n).into(), number: n.into() },
         attempts: 9,
         dropped: 1,
@@ -45,25 +47,27 @@
         metrics: Some(ServerMetrics { incarnation: 1, sequence: 2, values: vec![0.5, 3.0] }),
     };
     Message::ProxyReport(ProxyReport {
-        servers: (0..100).map(met).collect(),
+        servers: (0..100).map(load).collect(),
         routes: vec![RouteLoad { route: 0, calls: 900 }],
     })
 }
 
-fn bytes(message: &Message) -> Vec<u8> {
+/// Returns the bytes of [`FRAMES`] frames of a message.
+fn frames(message: &Message) -> Vec<u8> {
     let mut out = vec![];
     (0..FRAMES).for_each(|_| message.write_frame(&mut out));
     out
 }
 
+// The report of a run shows the names of the benchmarks and of their arguments: do not rename.
 #[divan::bench(args = ["orders", "sums"])]
 fn parse(bencher: Bencher, which: &str) {
-    let all = bytes(&if which == "orders" { orders() } else { sums() });
+    let all = frames(&if which == "orders" { small_update() } else { proxy_report() });
     bencher.counter(ItemsCount::new(FRAMES)).counter(BytesCount::new(all.len())).bench(|| {
-        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
-        for part in all.chunks(16 << 10) {
-            inbox.push(part);
-            while let Ok(Some(message)) = inbox.next_message() {
+        let mut decoder = FrameDecoder::new(MAX_BODY_BYTES);
+        for chunk in all.chunks(16 << 10) {
+            decoder.push(chunk);
+            while let Ok(Some(message)) = decoder.next_message() {
                 black_box(message);
             }
         }
@@ -72,27 +76,27 @@
 
 #[divan::bench(args = ["orders", "sums"])]
 fn write(bencher: Bencher, which: &str) {
-    let message = if which == "orders" { orders() } else { sums() };
-    let length = bytes(&message).len();
+    let message = if which == "orders" { small_update() } else { proxy_report() };
+    let length = frames(&message).len();
     bencher
         .counter(ItemsCount::new(FRAMES))
         .counter(BytesCount::new(length))
-        .bench(|| bytes(black_box(&message)));
+        .bench(|| frames(black_box(&message)));
 }
 
-/// The bytes of as many frames, written by one thread and read by another.
+/// Copies the bytes of the same frames: one thread writes and another reads.
 #[divan::bench(args = ["orders", "sums"])]
 fn copy_over_loopback(bencher: Bencher, which: &str) {
-    let all = bytes(&if which == "orders" { orders() } else { sums() });
+    let all = frames(&if which == "orders" { small_update() } else { proxy_report() });
     let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let mut to = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let (mut from, _) = listener.accept().unwrap();
+    let mut writer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    let (mut reader, _) = listener.accept().unwrap();
     bencher.counter(ItemsCount::new(FRAMES)).counter(BytesCount::new(all.len())).bench_local(|| {
         std::thread::scope(|scope| {
-            scope.spawn(|| to.write_all(&all).unwrap());
-            let (mut buffer, mut left) = (vec![0; 16 << 10], all.len());
-            while left > 0 {
-                left -= from.read(&mut buffer).unwrap();
+            scope.spawn(|| writer.write_all(&all).unwrap());
+            let (mut buffer, mut remaining) = (vec![0; 16 << 10], all.len());
+            while remaining > 0 {
+                remaining -= reader.read(&mut buffer).unwrap();
             }
         });
     });
--- a/crates/wire/examples/fuzz.rs
+++ b/crates/wire/examples/fuzz.rs
@@ -1,6 +1,6 @@
-//! Feeds altered frames to the parser for a stated time: `cargo run --release -p grebespool-wire --example fuzz
-//! -- SECONDS SEED`. A panic is a finding; so is a message that is not written as it was read. It says how many
-//! inputs were tried and how many of them were read whole.
+//! Feeds altered frames to the decoder for a given time: `cargo run --release -p grebespool-wire --example fuzz
+//! -- SECONDS SEED`. Panics if the decoder panics or if a decoded message does not survive another encoding and decoding.
+//! Prints the number of inputs and of decoded messages.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -12,10 +12,11 @@
 };
 use std::time::{Duration, Instant};
 
-/// Xorshift: the example brings no crate for chance.
-struct Chance(u64);
+/// A xorshift generator, so that the example needs no crate for random numbers.
+struct Random(u64);
 
-impl Chance {
+impl Random {
+    /// Returns a number below `n`; 0 if `n` is 0.
     fn below(&mut self, n: usize) -> usize {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -24,18 +25,19 @@
     }
 }
 
+/// Returns the frames of valid messages to alter.
 fn samples() -> Vec<Vec<u8>> {
     let server = ServerId { addr: ([127, 0, 0, 1], 80).into(), number: 4 };
-    let report = Some(ServerMetrics { incarnation: 1, sequence: 2, values: vec![0.5, 2.0] });
-    let levels =
+    let metrics = Some(ServerMetrics { incarnation: 1, sequence: 2, values: vec![0.5, 2.0] });
+    let admission =
         vec![AdmissionRule { routes: 3, admitted_fraction: 0.5, retry_policy: RetryPolicy::AfterFailure }];
-    let parts = vec![
+    let changes = vec![
         Change::BindTable(TableBinding {
             table: 1,
             version: 2,
             routes: 0,
             weights: vec![ServerWeight { server, weight: 1.5 }; 3],
-            admission: levels,
+            admission,
         }),
         Change::SetWeight(WeightChange { table: 1, version: 3, server, weight: 0.0 }),
         Change::Exclude(Exclusion { server, excluded: true }),
@@ -52,7 +54,7 @@
             created_us: 4,
             endpoints_version: 5,
             cause: UpdateCause::EndpointsChanged,
-            changes: parts,
+            changes,
         }),
         Message::ProxyReport(ProxyReport {
             servers: vec![
@@ -61,7 +63,7 @@
                     attempts: 2,
                     dropped: 1,
                     mean_latency_us: 3,
-                    metrics: report.clone()
+                    metrics: metrics.clone()
                 };
                 2
             ],
@@ -76,7 +78,7 @@
         Message::HealthCheckResponse(HealthCheckResponse {
             server_number: 1,
             status: HealthStatus::Busy,
-            metrics: report,
+            metrics,
         }),
         Message::Close(Close { reason: CloseReason::TooSlow, text: "slow".into() }),
     ]
@@ -86,19 +88,20 @@
 }
 
 fn main() {
-    let mut arguments = std::env::args().skip(1).map(|a| a.parse::<u64>().expect("a whole number"));
+    let mut arguments =
+        std::env::args().skip(1).map(|argument| argument.parse::<u64>().expect("a whole number"));
     let (seconds, seed) = (arguments.next().unwrap_or(10), arguments.next().unwrap_or(1));
-    let (mut chance, samples) = (Chance(seed | 1), samples());
-    let (end, mut tried, mut read) = (Instant::now() + Duration::from_secs(seconds), 0u64, 0u64);
+    let (mut random, samples) = (Random(seed | 1), samples());
+    let (end, mut tried, mut decoded) = (Instant::now() + Duration::from_secs(seconds), 0u64, 0u64);
     while Instant::now() < end {
         for _ in 0..1000 {
-            let mut frame = samples[chance.below(samples.len())].clone();
-            for _ in 0..chance.below(4) {
-                let at = chance.below(frame.len());
-                match chance.below(4) {
-                    0 => frame[at] = chance.below(256) as u8,
+            let mut frame = samples[random.below(samples.len())].clone();
+            for _ in 0..random.below(4) {
+                let at = random.below(frame.len());
+                match random.below(4) {
+                    0 => frame[at] = random.below(256) as u8,
                     1 => frame.truncate(at.max(1)),
-                    2 => frame.insert(at, chance.below(256) as u8),
+                    2 => frame.insert(at, random.below(256) as u8),
                     _ => drop(frame.remove(at)),
                 }
                 if frame.is_empty() {
@@ -106,27 +109,27 @@
                 }
             }
             tried += 1;
-            let mut inbox = FrameDecoder::new(1 << 12);
-            let cut = chance.below(frame.len());
-            inbox.push(&frame[..cut]);
+            let mut decoder = FrameDecoder::new(1 << 12);
+            let cut = random.below(frame.len());
+            decoder.push(&frame[..cut]);
             let mut messages = vec![];
-            while let Ok(Some(m)) = inbox.next_message() {
-                messages.push(m);
+            while let Ok(Some(message)) = decoder.next_message() {
+                messages.push(message);
             }
-            inbox.push(&frame[cut..]);
-            while let Ok(Some(m)) = inbox.next_message() {
-                messages.push(m);
+            decoder.push(&frame[cut..]);
+            while let Ok(Some(message)) = decoder.next_message() {
+                messages.push(message);
             }
-            for m in messages {
-                read += 1;
-                let again = m.to_frame();
+            for message in messages {
+                decoded += 1;
+                let encoded = message.to_frame();
                 assert_eq!(
-                    Message::decode(&again[4..]).map(|m| m.to_frame()),
-                    Ok(again),
-                    "written otherwise: {m:?}"
+                    Message::decode(&encoded[4..]).map(|message| message.to_frame()),
+                    Ok(encoded),
+                    "encoded differently after decoding: {message:?}"
                 );
             }
         }
     }
-    println!("{tried} inputs tried in {seconds} s, {read} messages read, none panicked");
+    println!("{tried} inputs tried in {seconds} s, {decoded} messages read, none panicked");
 }
--- a/crates/wire/tests/fixtures.rs
+++ b/crates/wire/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! The protocol's bytes as they were first fixed: `fixtures/messages.hex` has one frame of every message kind and of
-//! every enum value, `fixtures/proofs.hex` the key derivation and both proofs.
+//! Guards against unintended changes of the protocol's bytes. `fixtures/messages.hex` has a frame of every message kind
+//! and every enum value, `fixtures/proofs.hex` has proofs that depend on the key derivation and both domains.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -11,8 +11,8 @@
 const MESSAGES: &str = include_str!("fixtures/messages.hex");
 const PROOFS: &str = include_str!("fixtures/proofs.hex");
 
-// Every value of the enums in the order of its byte on the wire: the place in these tables, and nothing that the
-// crate says, is the byte that the fixtures are named by.
+// All values of each enum, in the order of their bytes on the wire. The fixtures are named by the position in these
+// tables, which is independent of the crate's own encoding.
 const ROLES: [Role; 2] = [Role::Proxy, Role::Watcher];
 const ENDPOINT_STATES: [EndpointState; 3] =
     [EndpointState::Removed, EndpointState::Ready, EndpointState::Draining];
@@ -47,18 +47,18 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// The lines of a fixture file: a name, a blank, hexadecimal bytes.
+/// Parses a fixture file. Each line is a name, a space and hexadecimal bytes.
 fn lines(file: &str) -> BTreeMap<String, Vec<u8>> {
     let mut lines = BTreeMap::new();
     for line in file.lines() {
         let (name, bytes) = line.split_once(' ').unwrap();
-        assert!(lines.insert(name.to_string(), unhex(bytes)).is_none(), "{name} is there twice");
+        assert!(lines.insert(name.to_string(), unhex(bytes)).is_none(), "duplicate name {name}");
     }
     lines
 }
 
 fn nonce(first: u8) -> [u8; 16] {
-    std::array::from_fn(|place| first + place as u8)
+    std::array::from_fn(|position| first + position as u8)
 }
 
 fn server_v4() -> ServerId {
@@ -111,23 +111,21 @@
     changes
 }
 
-fn entry(phase: EndpointState) -> EndpointEntry {
-    EndpointEntry {
-        server: server_v6(), zone: "östlich".into(), state: phase, started_ms: 1_700_000_000_123
-    }
+fn entry(state: EndpointState) -> EndpointEntry {
+    EndpointEntry { server: server_v6(), zone: "östlich".into(), state, started_ms: 1_700_000_000_123 }
 }
 
-/// The messages that the fixtures stand for, by the names of the fixtures.
+/// The messages that the fixtures decode to, by the names of the fixtures.
 #[derive(Default)]
 struct Messages(BTreeMap<String, Message>);
 
 impl Messages {
     fn put(&mut self, name: String, message: Message) {
-        assert!(self.0.insert(name.clone(), message).is_none(), "{name} is there twice");
+        assert!(self.0.insert(name.clone(), message).is_none(), "duplicate name {name}");
     }
 }
 
-/// Hello, challenge, join and welcome.
+/// Adds hello, challenge, join and welcome.
 fn put_handshake(messages: &mut Messages) {
     let mut put = |name: String, message: Message| messages.put(name, message);
     for (byte, role) in ROLES.into_iter().enumerate() {
@@ -139,47 +137,47 @@
         "challenge".into(),
         Message::Challenge(Challenge { version: 0x0102, incarnation: INCARNATION, nonce: nonce(0x30) }),
     );
-    for bare in [false, true] {
+    for initial_table_only in [false, true] {
         let join = Join {
             zone: "west".into(),
             calls_per_s: 120.5,
-            initial_table_only: bare,
+            initial_table_only,
             applied_incarnation: 0x0101_0202,
             applied_sequence: 0x0303,
             newest_term: 0x0404,
-            proof: Proof(std::array::from_fn(|place| 0xff - place as u8)),
+            proof: Proof(std::array::from_fn(|position| 0xff - position as u8)),
         };
-        put(format!("join-bare-{bare}"), Message::Join(join));
+        put(format!("join-bare-{initial_table_only}"), Message::Join(join));
     }
-    let proof = Proof(std::array::from_fn(|place| place as u8));
+    let proof = Proof(std::array::from_fn(|position| position as u8));
     put("welcome".into(), Message::Welcome(Welcome { stream: 0x3132_3334, term: 0x0a0b, proof }));
 }
 
-/// Updates with each kind of change, and their acknowledgements.
+/// Adds updates with each kind of change, and their acknowledgements.
 fn put_updates(messages: &mut Messages) {
     let mut put = |name: String, message: Message| messages.put(name, message);
     for (byte, cause) in CAUSES.into_iter().enumerate() {
         put(format!("orders-none-cause-{byte}"), update(cause, vec![]));
     }
-    for (name, part) in changes() {
-        put(format!("orders-{name}"), update(UpdateCause::Interval, vec![part]));
+    for (name, change) in changes() {
+        put(format!("orders-{name}"), update(UpdateCause::Interval, vec![change]));
     }
     put(
         "orders-all".into(),
-        update(UpdateCause::EndpointsChanged, changes().into_iter().map(|part| part.1).collect()),
+        update(UpdateCause::EndpointsChanged, changes().into_iter().map(|(_, change)| change).collect()),
     );
-    for mark in [None, Some(0xbeef)] {
-        let applied = Message::UpdateAck(UpdateAck {
+    for token in [None, Some(0xbeef)] {
+        let ack = Message::UpdateAck(UpdateAck {
             incarnation: INCARNATION,
             stream: 0x3132_3334,
             sequence: 0x4142,
-            token: mark,
+            token,
         });
-        put(format!("applied-mark-{}", mark.is_some()), applied);
+        put(format!("applied-mark-{}", token.is_some()), ack);
     }
 }
 
-/// What proxies report.
+/// Adds reports of proxies.
 fn put_proxy_reports(messages: &mut Messages) {
     let mut put = |name: String, message: Message| messages.put(name, message);
     let load = |server, metrics| ServerLoad {
@@ -199,7 +197,7 @@
     put("sums-empty".into(), Message::ProxyReport(ProxyReport { servers: vec![], routes: vec![] }));
 }
 
-/// Each reason to close a stream.
+/// Adds a close message for each reason.
 fn put_closes(messages: &mut Messages) {
     let mut put = |name: String, message: Message| messages.put(name, message);
     for (byte, reason) in CLOSE_REASONS.into_iter().enumerate() {
@@ -207,7 +205,7 @@
     }
 }
 
-/// Polls of the endpoint list, and their responses.
+/// Adds polls of the endpoint list, and their responses.
 fn put_endpoint_lists(messages: &mut Messages) {
     let mut put = |name: String, message: Message| messages.put(name, message);
     for watch in [false, true] {
@@ -226,27 +224,27 @@
     put("list-failed".into(), Message::EndpointPollFailed(EndpointPollFailed { text: "no answer".into() }));
 }
 
-/// Health checks and their responses.
+/// Adds health checks and their responses.
 fn put_health_checks(messages: &mut Messages) {
     let mut put = |name: String, message: Message| messages.put(name, message);
     put("probe".into(), Message::HealthCheck(HealthCheck { server_number: 0x0102_0304 }));
-    for (byte, state) in HEALTH_STATUSES.into_iter().enumerate() {
-        let probed = Message::HealthCheckResponse(HealthCheckResponse {
+    for (byte, status) in HEALTH_STATUSES.into_iter().enumerate() {
+        let response = Message::HealthCheckResponse(HealthCheckResponse {
             server_number: 0x0102_0304,
-            status: state,
+            status,
             metrics: Some(metrics()),
         });
-        put(format!("probed-{byte}"), probed);
+        put(format!("probed-{byte}"), response);
     }
-    let probed = Message::HealthCheckResponse(HealthCheckResponse {
+    let response = Message::HealthCheckResponse(HealthCheckResponse {
         server_number: 0x0102_0304,
         status: HealthStatus::Ready,
         metrics: None,
     });
-    put("probed-without-report".into(), probed);
+    put("probed-without-report".into(), response);
 }
 
-/// Calls and their responses.
+/// Adds requests and their responses.
 fn put_calls(messages: &mut Messages) {
     let mut put = |name: String, message: Message| messages.put(name, message);
     let call = Call {
@@ -262,12 +260,12 @@
     put("call".into(), Message::Call(call));
     for (byte, outcome) in OUTCOMES.into_iter().enumerate() {
         let metrics = (outcome == CallOutcome::Answered).then(metrics);
-        let answer = Response { id: 0x0102_0304_0506_0708, attempt: 2, retry: 1, outcome, metrics };
-        put(format!("answer-{byte}"), Message::Response(answer));
+        let response = Response { id: 0x0102_0304_0506_0708, attempt: 2, retry: 1, outcome, metrics };
+        put(format!("answer-{byte}"), Message::Response(response));
     }
 }
 
-/// Each fixture's name and the message that its bytes stand for.
+/// Returns the message that each fixture has to decode to, by the name of the fixture.
 fn expected() -> BTreeMap<String, Message> {
     let mut messages = Messages::default();
     put_handshake(&mut messages);
@@ -287,22 +285,23 @@
     for (name, message) in &expected {
         assert!(
             fixtures.contains_key(name),
-            "no fixture; today's line is\n{name} {}",
+            "no fixture for this message; its line would be\n{name} {}",
             hex(&message.to_frame())
         );
     }
     assert_eq!(fixtures.len(), expected.len());
     for (name, frame) in &fixtures {
-        let mut inbox = FrameDecoder::new(MAX_BODY_BYTES);
-        inbox.push(frame);
-        let decoded = inbox.next_message().unwrap_or_else(|error| panic!("{name}: {error}"));
+        let mut decoder = FrameDecoder::new(MAX_BODY_BYTES);
+        decoder.push(frame);
+        let decoded = decoder.next_message().unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(decoded.as_ref(), Some(&expected[name]), "{name}");
-        assert_eq!(inbox.buffered_bytes(), 0, "{name}");
+        assert_eq!(decoder.buffered_bytes(), 0, "{name}");
         assert_eq!(hex(&decoded.unwrap().to_frame()), hex(frame), "{name}");
     }
 }
 
-/// A frame is its body's length, the message kind, and the fields.
+/// A frame consists of the body's length (4 bytes), the message kind (1 byte), and the fields. In a frame of an update
+/// (kind 5), the kind of the first change is at byte 54.
 #[rstest]
 fn the_fixtures_have_a_frame_of_every_message_kind() {
     let kinds: BTreeSet<u8> = lines(MESSAGES).values().map(|frame| frame[4]).collect();
@@ -315,28 +314,28 @@
     assert_eq!(changes, (1..=5).collect());
 }
 
-/// The kind byte after the last one is no message: a new kind needs a fixture and a new bound here.
+/// A new message kind makes this test fail: it needs a fixture and a new bound here.
 #[rstest]
 #[case::before_the_first(0)]
 #[case::after_the_last(17)]
-fn kinds_beyond_those_of_the_fixtures_are_unknown(#[case] kind: u8) {
+fn kinds_outside_those_of_the_fixtures_are_unknown(#[case] kind: u8) {
     assert_eq!(Message::decode(&[kind]), Err(DecodeError::UnknownKind(kind)));
 }
 
-/// A key cannot be looked at, so its derivation is fixed by what it proves.
+/// A key is not readable, so the proofs made with it show that its derivation has not changed.
 #[rstest]
 fn the_proofs_of_a_fixed_key_and_fixed_nonces_stay_the_same() {
     let fixtures = lines(PROOFS);
-    let (own, theirs, start) = (nonce(0x10), nonce(0x30), 0x1112_1314_1516_1718);
+    let (dialer_nonce, listener_nonce, incarnation) = (nonce(0x10), nonce(0x30), 0x1112_1314_1516_1718);
     let key = FleetKey::derive(b"the key file of the fixtures\n");
     let empty = FleetKey::derive(b"");
     let proofs = [
         (
             "peer",
             key.dialer_proof(&Transcript {
-                dialer_nonce: &own,
-                listener_nonce: &theirs,
-                incarnation: start,
+                dialer_nonce: &dialer_nonce,
+                listener_nonce: &listener_nonce,
+                incarnation,
                 name: "proxy-1",
                 zone: "west",
             }),
@@ -344,9 +343,9 @@
         (
             "planner",
             key.listener_proof(&Transcript {
-                dialer_nonce: &own,
-                listener_nonce: &theirs,
-                incarnation: start,
+                dialer_nonce: &dialer_nonce,
+                listener_nonce: &listener_nonce,
+                incarnation,
                 name: "proxy-1",
                 zone: "west",
             }),
@@ -354,9 +353,9 @@
         (
             "peer-without-zone",
             key.dialer_proof(&Transcript {
-                dialer_nonce: &own,
-                listener_nonce: &theirs,
-                incarnation: start,
+                dialer_nonce: &dialer_nonce,
+                listener_nonce: &listener_nonce,
+                incarnation,
                 name: "planner-9",
                 zone: "",
             }),
@@ -364,9 +363,9 @@
         (
             "peer-of-the-empty-key",
             empty.dialer_proof(&Transcript {
-                dialer_nonce: &own,
-                listener_nonce: &theirs,
-                incarnation: start,
+                dialer_nonce: &dialer_nonce,
+                listener_nonce: &listener_nonce,
+                incarnation,
                 name: "proxy-1",
                 zone: "west",
             }),
