--- a/crates/controller-server/tests/streams.rs
+++ b/crates/controller-server/tests/streams.rs
@@ -17,7 +17,8 @@
 use tokio::time::timeout;
 
 const KEY: &[u8] = b"the key of these tests";
-const SOON: Duration = Duration::from_secs(5);
+/// Time limit of each step of a test.
+const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Runs a test body against a planner that listens on loopback and whose endpoint list is unreachable.
 fn with_planner<F: Future<Output = ()>>(body: impl FnOnce(SocketAddr) -> F) {
@@ -27,10 +28,10 @@
         let deployment = Planned::read(&example).unwrap_or_else(|error| panic!("{error}")).deployment;
         let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
         let address = listener.local_addr().unwrap();
-        let mut listen = Listen::new(address, PathBuf::new(), SOON, SOON);
+        let mut listen = Listen::new(address, PathBuf::new(), TIMEOUT, TIMEOUT);
         listen.handshake = Span(Duration::from_millis(500));
         let unreachable = ([127, 0, 0, 1], 1).into();
-        let source = ListSource::new(unreachable, ListMode::Pushed, Span(SOON));
+        let source = ListSource::new(unreachable, ListMode::Pushed, Span(TIMEOUT));
         let incarnation = Incarnation { id: 9, seed: 1, term: 0 };
         let config = ServerConfig {
             incarnation,
@@ -38,7 +39,7 @@
             deployment,
             listen,
             endpoint_source: source,
-            health_check_timeout: SOON,
+            health_check_timeout: TIMEOUT,
         };
         let serving = serve(listener, config, PassThrough, NoObserver);
         spawn_local(async move { serving.await.unwrap() });
@@ -71,7 +72,7 @@
 async fn close_reason(socket: &mut TcpStream) -> Option<CloseReason> {
     let mut decoder = FrameDecoder::new(MAX_BODY_BYTES);
     loop {
-        match timeout(SOON, read_message(socket, &mut decoder)).await.expect("the stream remains open") {
+        match timeout(TIMEOUT, read_message(socket, &mut decoder)).await.expect("the stream remains open") {
             Ok(Message::Close(Close { reason, .. })) => return Some(reason),
             Ok(_) => {}
             Err(_) => return None,
@@ -185,13 +186,14 @@
             deployment,
             listen,
             endpoint_source: list,
-            health_check_timeout: SOON,
+            health_check_timeout: TIMEOUT,
         };
         let serving = serve(listener, config, PassThrough, NoObserver);
         spawn_local(async move { serving.await.unwrap() });
         let mut socket = TcpStream::connect(planner).await.unwrap();
         let mut received = vec![];
-        let ended = timeout(SOON, socket.read_to_end(&mut received)).await.expect("the stream remains open");
+        let ended =
+            timeout(TIMEOUT, socket.read_to_end(&mut received)).await.expect("the stream remains open");
         assert!(ended.is_err() || received.is_empty());
     });
 }
