--- a/crates/leader-election/src/durable_outbox.rs
+++ b/crates/leader-election/src/durable_outbox.rs
@@ -1,4 +1,4 @@
-//! Messages that rest on a write and wait until it is durable.
+//! An outbox for messages that depend on a write and wait until that write is durable.
 
 use crate::membership::MemberId;
 
@@ -9,8 +9,8 @@
     message: M,
 }
 
-/// Holds messages back until the writes that they rest on are durable: a promise that a crash takes back was none.
-/// Writes are numbered by a revision that rises with each.
+/// Holds each message back until the write that it depends on is durable, so that a crash cannot undo what the message
+/// promises. Writes are numbered by a revision that rises with each write.
 #[derive(Debug, Clone)]
 pub struct DurableOutbox<M> {
     durable_revision: u64,
@@ -18,17 +18,18 @@
 }
 
 impl<M> DurableOutbox<M> {
-    /// Without messages; all is durable up to this revision.
+    /// Creates an empty outbox; all writes up to this revision are durable.
     pub fn new(durable_revision: u64) -> DurableOutbox<M> {
         DurableOutbox { durable_revision, pending: vec![] }
     }
 
-    /// Whether all is durable up to this revision.
+    /// Returns true if all writes up to this revision are durable.
     pub fn is_durable(&self, revision: u64) -> bool {
         self.durable_revision >= revision
     }
 
-    /// Takes a message that rests on this revision. Returns it if it may be sent at once.
+    /// Returns the message if the write of this revision is durable, so that the message may be sent at once. Otherwise
+    /// keeps the message until then.
     pub fn push(&mut self, revision: u64, to: MemberId, message: M) -> Option<M> {
         if self.is_durable(revision) {
             return Some(message);
@@ -37,7 +38,8 @@
         None
     }
 
-    /// Records that all is durable up to this revision. Returns the messages that may be sent now, in their order.
+    /// Records that all writes up to this revision are durable. Returns the messages that may be sent now, in the order in
+    /// which they were pushed.
     pub fn persisted(&mut self, revision: u64) -> Vec<(MemberId, M)> {
         self.durable_revision = self.durable_revision.max(revision);
         let durable = self.durable_revision;
@@ -47,7 +49,7 @@
         ready.into_iter().map(|pending| (pending.to, pending.message)).collect()
     }
 
-    /// Drops all messages: their writes failed.
+    /// Drops all messages; to be called when their writes have failed.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/leader-election/src/event.rs
+++ b/crates/leader-election/src/event.rs
@@ -1,20 +1,20 @@
-//! What a member reports for the log.
+//! The events that a member reports for the log.
 
 use crate::membership::MemberId;
 use std::fmt;
 
-/// Why a member stopped leading.
+/// The reason for which a member stopped leading.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepDownReason {
     /// No quorum acknowledged a heartbeat within the lease.
     LeaseExpired,
-    /// This newer term was seen at a member or a proxy.
+    /// Another member or a proxy reported this newer term.
     HigherTerm(u64),
-    /// An operator asked for it.
+    /// An operator requested the transfer of the leadership.
     Requested,
-    /// It is no voter any more.
+    /// The member is no longer a voter.
     Removed,
-    /// It cannot persist its hard state.
+    /// The member cannot persist its hard state.
     StorageFailed,
 }
 
@@ -33,32 +33,32 @@
     }
 }
 
-/// Something that an operator may want to read in the log.
+/// An event that is written to the log for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ElectionEvent {
     /// This member follows a new leader.
     FollowsLeader {
         /// The leader's name.
         leader: String,
-        /// Its term.
+        /// The leader's term.
         term: u64,
     },
     /// No heartbeat arrived within the election timeout.
     LeaderLost,
-    /// The leader handed its leadership over to this member.
+    /// The leader asked this member to take over.
     LeadershipOffered,
-    /// Another member leads in this member's own term: the stored state of a voter was set back.
+    /// Another member leads in this member's own term: a voter voted twice because its stored state was set back.
     DuplicateLeader {
         /// The other leader.
         other: MemberId,
-        /// The term of both.
+        /// The term in which both lead.
         term: u64,
     },
     /// The hard state can be persisted again.
     StorageRecovered,
     /// This member became a voter.
     BecameVoter,
-    /// This member is no voter any more.
+    /// This member is no longer a voter.
     LostVote,
     /// This leader removed a voter.
     VoterRemoved {
@@ -67,21 +67,27 @@
     },
 }
 
+// Logged as a whole: a participle phrase whose subject is this process.
 impl fmt::Display for ElectionEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ElectionEvent::FollowsLeader { leader, term } => {
-                write!(f, "follows leader {leader} in term {term}")
+                write!(f, "following leader {leader} in term {term}")
+            }
+            ElectionEvent::LeaderLost => f.write_str("receiving no heartbeats from the leader"),
+            ElectionEvent::LeadershipOffered => {
+                f.write_str("standing for election at the request of the leader, which is stepping down")
             }
-            ElectionEvent::LeaderLost => f.write_str("receives no heartbeats from the leader any more"),
-            ElectionEvent::LeadershipOffered => f.write_str("takes over from a leader that steps down"),
             ElectionEvent::DuplicateLeader { other, term } => {
-                write!(f, "finds a second leader {other:016x} in term {term}: a member's state was set back")
+                write!(
+                    f,
+                    "finding a second leader {other:016x} in term {term}: a voter's stored state was set back"
+                )
             }
-            ElectionEvent::StorageRecovered => f.write_str("persists its state again"),
-            ElectionEvent::BecameVoter => f.write_str("becomes a voter"),
-            ElectionEvent::LostVote => f.write_str("is no voter any more"),
-            ElectionEvent::VoterRemoved { name } => write!(f, "removes the voter {name}"),
+            ElectionEvent::StorageRecovered => f.write_str("persisting the hard state again"),
+            ElectionEvent::BecameVoter => f.write_str("becoming a voter"),
+            ElectionEvent::LostVote => f.write_str("leaving the set of voters"),
+            ElectionEvent::VoterRemoved { name } => write!(f, "removing the voter {name}"),
         }
     }
 }
--- a/crates/leader-election/src/lib.rs
+++ b/crates/leader-election/src/lib.rs
@@ -1,11 +1,12 @@
 //! Leader election among the controllers of one fleet (`docs/design/leader-election.md`): which member leads in which
 //! term, who may vote, and what state the next leader starts from.
 //!
-//! The crate does no I/O and reads no clock. A [`Member`] is told what happens and when by its own clock, and acts
-//! through its [`Host`].
+//! The crate does no I/O and reads no clock. The caller passes each event to a [`Member`], with the time by that member's
+//! clock; the member acts through its [`Host`].
 //!
-//! Guaranteed whatever the clocks do: a term has at most one leader, and proxies obey no term older than the newest one
-//! they have seen. Guaranteed while clocks keep within the stated drift: no two members hold the leader lease at once.
+//! Guaranteed regardless of the clocks: a term has at most one leader, and proxies reject orders of a term older than the
+//! newest one they have seen. Guaranteed while clocks stay within the configured drift: at most one member holds the
+//! leader lease at a time.
 
 mod durable_outbox;
 mod error;
--- a/crates/leader-election/src/member/election.rs
+++ b/crates/leader-election/src/member/election.rs
@@ -1,4 +1,4 @@
-//! Elections: a pre-vote round, then votes that are durable before they are granted.
+//! Elections: a round of pre-votes, then votes, each of which is made durable before it is granted.
 
 use super::Member;
 use super::role::{LeaderState, Role};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl<H: Host> Member<H> {
-    /// Whether a vote, or a pre-vote, for this member would be allowed now.
+    /// Returns true if this member may now grant a vote or a pre-vote to the candidate.
     fn may_vote_for(
         &self,
         now: Duration,
@@ -19,12 +19,12 @@
         leadership_transfer: bool,
     ) -> bool {
         let known = &self.hard_state.membership;
-        let made_no_promise = now >= self.promised_until || leadership_transfer;
-        let may_leave_lease = !self.holds_lease(now) || leadership_transfer;
+        let is_unpromised = now >= self.promised_until || leadership_transfer;
+        let is_not_leading = !self.holds_lease(now) || leadership_transfer;
         self.is_active_voter()
             && now >= self.silent_until
-            && made_no_promise
-            && may_leave_lease
+            && is_unpromised
+            && is_not_leading
             && version >= known.version
             && (known.contains(candidate) || version > known.version)
     }
@@ -40,7 +40,7 @@
             membership_version: self.hard_state.membership.version,
         });
         if self.hard_state.membership.has_quorum(|id| id == self.hard_state.id) {
-            self.stand_for_election(now, false);
+            self.become_candidate(now, false);
         }
     }
 
@@ -65,7 +65,7 @@
         let Role::PreCandidate { granted } = &mut self.role else { return };
         granted.insert(from);
         if self.hard_state.membership.has_quorum(|id| granted.contains(&id)) {
-            self.stand_for_election(now, false);
+            self.become_candidate(now, false);
         }
     }
 
@@ -73,12 +73,12 @@
         let may_stand = self.is_active_voter() && now >= self.silent_until;
         if self.follows(from) && term == self.hard_state.term && may_stand {
             self.host.log(ElectionEvent::LeadershipOffered);
-            self.stand_for_election(now, true);
+            self.become_candidate(now, true);
         }
     }
 
-    /// Votes for itself in the next term; the others' votes are requested once that is durable.
-    fn stand_for_election(&mut self, now: Duration, leadership_transfer: bool) {
+    /// Votes for this member itself in the next term. The votes of the others are requested once that vote is durable.
+    fn become_candidate(&mut self, now: Duration, leadership_transfer: bool) {
         self.hard_state.term += 1;
         self.hard_state.voted_for = Some(self.hard_state.id);
         self.role = Role::Candidate { leadership_transfer, requested_at: None, votes: BTreeSet::new() };
@@ -87,6 +87,7 @@
         self.request_votes(now);
     }
 
+    /// Requests the votes of the others, once, if this member is a candidate whose own vote is durable.
     pub(super) fn request_votes(&mut self, now: Duration) {
         if !self.is_durable() {
             return;
@@ -117,10 +118,11 @@
         if term < self.hard_state.term {
             return self.host.send(from, Message::NewerTerm { term: self.hard_state.term });
         }
-        let is_free = term > self.hard_state.term || self.hard_state.voted_for.is_none_or(|id| id == from);
-        // A candidate that gets no vote does not raise the term either: a member that returns from a partition would
-        // otherwise end the lease of a leader that all others hear.
-        if !is_free || !self.may_vote_for(now, from, version, leadership_transfer) {
+        let has_free_vote =
+            term > self.hard_state.term || self.hard_state.voted_for.is_none_or(|id| id == from);
+        // The term is adopted only together with a vote. Otherwise a member that returns from a partition would depose a
+        // leader whose heartbeats reach all other members.
+        if !has_free_vote || !self.may_vote_for(now, from, version, leadership_transfer) {
             return;
         }
         self.adopt_term(now, term);
@@ -148,7 +150,8 @@
         if !membership.has_quorum(|id| votes.contains(&id)) {
             return;
         }
-        // The voters promised, from the request on, to vote for no other for as long as the lease.
+        // Each voter promised to vote for no other member for at least the length of the lease. The promises began after
+        // the request was sent, so the lease may run from there.
         let lease_expires_at = *requested_at + self.parameters.lease;
         if now >= lease_expires_at && membership.voters.len() > 1 {
             return;
@@ -160,7 +163,8 @@
     fn start_leading(&mut self, now: Duration, leader: LeaderState) {
         self.role = Role::Leader(leader);
         self.step_down_reason = None;
-        // Published anew in this term, so that it supersedes one of an older term that only a few have.
+        // The membership is published again in this term, so that it supersedes one of an older term that only a minority
+        // of the members may have.
         self.hard_state.membership.version = MembershipVersion { term: self.hard_state.term, number: 0 };
         self.persist();
         self.host.become_leader(self.hard_state.term);
--- a/crates/leader-election/src/member/lease.rs
+++ b/crates/leader-election/src/member/lease.rs
@@ -1,5 +1,5 @@
-//! Heartbeats, and the leader lease that they renew: it runs from the sending of the newest heartbeat that a quorum
-//! acknowledged.
+//! Heartbeats and the leader lease. The lease runs from the time at which the leader sent the newest heartbeat that a
+//! quorum acknowledged.
 
 use super::Member;
 use super::role::{LeaderState, Role};
@@ -9,7 +9,7 @@
 use crate::message::Message;
 use std::time::Duration;
 
-/// The most heartbeats whose acknowledgements are waited for.
+/// The maximum number of heartbeats that may still be acknowledged.
 const MAX_UNACKNOWLEDGED_HEARTBEATS: usize = 64;
 
 impl<H: Host> Member<H> {
@@ -30,6 +30,8 @@
         self.renew_lease(now);
     }
 
+    /// Extends the lease from the newest heartbeat that a quorum acknowledged; the leader itself counts as acknowledging at
+    /// `now`.
     fn renew_lease(&mut self, now: Duration) {
         let own_id = self.hard_state.id;
         let Role::Leader(leader) = &mut self.role else { return };
@@ -38,8 +40,9 @@
         let mut newest_first: Vec<Duration> =
             voters.keys().map(|id| if *id == own_id { now } else { acknowledged(id) }).collect();
         newest_first.sort_unstable_by(|a, b| b.cmp(a));
-        if let Some(quorum_heard_at) = newest_first.get(voters.len() / 2) {
-            leader.lease_expires_at = leader.lease_expires_at.max(*quorum_heard_at + self.parameters.lease);
+        if let Some(quorum_acknowledged) = newest_first.get(voters.len() / 2) {
+            leader.lease_expires_at =
+                leader.lease_expires_at.max(*quorum_acknowledged + self.parameters.lease);
         }
     }
 
@@ -48,13 +51,13 @@
             return self.host.send(from, Message::NewerTerm { term: self.hard_state.term });
         }
         if term == self.hard_state.term && self.is_leader() {
-            // Possible only if a voter was set back to an older state and voted twice.
+            // Possible only if a voter's stored state was set back to an older one and the voter voted twice.
             self.host.log(ElectionEvent::DuplicateLeader { other: from, term });
             return self.stop_leading(now, StepDownReason::HigherTerm(term));
         }
         self.adopt_term(now, term);
         self.promised_until = now + self.parameters.lease_wait();
-        self.leader_heard_at = now;
+        self.last_heartbeat_at = now;
         self.follow(now, Some(from));
         let durable_version =
             if self.is_durable() { self.hard_state.membership.version } else { MembershipVersion::default() };
@@ -79,7 +82,7 @@
         }
         let newest = leader.durable_versions.entry(from).or_default();
         *newest = version.max(*newest);
-        // An expired lease is not renewed: the acknowledgement may be older than its end.
+        // An expired lease is not renewed: the acknowledgement may have been sent before the lease ended.
         if now < leader.lease_expires_at {
             self.renew_lease(now);
         }
@@ -91,6 +94,7 @@
         self.leave_if_removed(now);
     }
 
+    /// Returns the voters that have acknowledged no heartbeat within the lease.
     pub(super) fn unreachable_voters(&self, leader: &LeaderState, now: Duration) -> Vec<MemberId> {
         let is_silent = |id: &MemberId| {
             let acknowledged = leader.acknowledged.get(id);
--- a/crates/leader-election/src/member/membership_change.rs
+++ b/crates/leader-election/src/member/membership_change.rs
@@ -1,4 +1,4 @@
-//! Changes of the voters: published by the leader, one voter at a time.
+//! Changes of the set of voters, which the leader publishes one voter at a time.
 
 use super::Member;
 use super::role::{LeaderState, Role};
@@ -14,8 +14,8 @@
     ///
     /// # Errors
     ///
-    /// [`MembershipError::NotLeader`], [`MembershipError::ChangePending`], or [`MembershipError::AlreadyMember`] if the
-    /// name or the id is taken.
+    /// Returns [`MembershipError::NotLeader`] if this member does not lead, [`MembershipError::ChangePending`] if the
+    /// previous change is not committed, and [`MembershipError::AlreadyMember`] if the name or the id is taken.
     pub fn add_voter(&mut self, now: Duration, id: MemberId, voter: Voter) -> Result<(), MembershipError> {
         self.check_change_allowed()?;
         let membership = &mut self.hard_state.membership;
@@ -32,8 +32,9 @@
     ///
     /// # Errors
     ///
-    /// [`MembershipError::NotLeader`], [`MembershipError::ChangePending`], [`MembershipError::UnknownMember`], or
-    /// [`MembershipError::LastMember`].
+    /// Returns [`MembershipError::NotLeader`] if this member does not lead, [`MembershipError::ChangePending`] if the
+    /// previous change is not committed, [`MembershipError::UnknownMember`] if no voter has the name, and
+    /// [`MembershipError::LastMember`] if the voter is the only one.
     pub fn remove_voter(&mut self, now: Duration, name: &str) -> Result<(), MembershipError> {
         self.check_change_allowed()?;
         let voters = &mut self.hard_state.membership.voters;
@@ -47,7 +48,8 @@
         self.publish_membership(now);
         if id != self.hard_state.id {
             self.host.log(ElectionEvent::VoterRemoved { name: name.into() });
-            // Told too, so that it stops standing for election; nothing depends on whether it receives this.
+            // The removed voter receives the membership too, so that it stops standing for election. Safety does not depend
+            // on whether this message arrives.
             let update = self.membership_update();
             self.send_when_durable(id, update);
         }
@@ -58,7 +60,8 @@
     ///
     /// # Errors
     ///
-    /// [`MembershipError::NotLeader`], or [`MembershipError::LastMember`] if there is no other voter.
+    /// Returns [`MembershipError::NotLeader`] if this member does not lead, and [`MembershipError::LastMember`] if it is the
+    /// only voter.
     pub fn step_down(&mut self, now: Duration) -> Result<(), MembershipError> {
         let Role::Leader(leader) = &self.role else { return Err(self.not_leader()) };
         let peers = self.hard_state.membership.peers_of(self.hard_state.id);
@@ -68,7 +71,8 @@
         };
         let term = self.hard_state.term;
         self.stop_leading(now, StepDownReason::Requested);
-        // The successor's voters may vote at once; this member stands again only if none is elected.
+        // Voters may vote for the successor at once, this member included. This member's own election timer still runs, so
+        // it becomes a candidate again only if nobody is elected.
         self.promised_until = now;
         self.host.send(successor, Message::TransferLeadership { term });
         Ok(())
@@ -98,13 +102,14 @@
         self.send_when_durable(from, Message::HeartbeatAck { term, number: 0, membership_version: version });
     }
 
-    /// Whether a quorum has the newest membership on disk.
+    /// Returns true if a quorum has the newest membership on disk.
     pub(super) fn is_membership_committed(&self, leader: &LeaderState) -> bool {
         let newest = self.hard_state.membership.version;
         let has_newest = |id| leader.durable_versions.get(&id).is_some_and(|version| *version == newest);
         self.hard_state.membership.has_quorum(has_newest)
     }
 
+    /// Stops leading if this leader removed itself and a quorum of the others has the new membership.
     pub(super) fn leave_if_removed(&mut self, now: Duration) {
         if let Role::Leader(leader) = &self.role
             && !self.hard_state.membership.contains(self.hard_state.id)
@@ -131,7 +136,7 @@
         Message::MembershipUpdate { term: self.hard_state.term, membership }
     }
 
-    /// Sends the changed membership at once, not with the next acknowledgement of a heartbeat.
+    /// Publishes the changed membership to all voters at once, without waiting for the next acknowledgement of a heartbeat.
     fn publish_membership(&mut self, now: Duration) {
         self.hard_state.membership.version.number += 1;
         self.persist();
--- a/crates/leader-election/src/member/mod.rs
+++ b/crates/leader-election/src/member/mod.rs
@@ -1,7 +1,7 @@
-//! One member: dispatches messages and timers, and keeps the state that all roles share.
+//! The state machine of one member. This module dispatches messages and timers, and holds the state that all roles share.
 //!
-//! Votes are in `election`, heartbeats and the leader lease in `lease`, changes of the voters in `membership_change`,
-//! durable writes in `persistence`.
+//! Votes are in `election`, heartbeats and the leader lease in `lease`, changes of the set of voters in
+//! `membership_change`, durable writes in `persistence`.
 
 mod election;
 mod lease;
@@ -23,11 +23,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The largest random part of the election timeout, as a multiple of [`LeaseParameters::lease_wait`]: it makes two
-/// members unlikely to stand at once.
+/// The maximum random part of the election timeout, as a multiple of [`LeaseParameters::lease_wait`]. The random part
+/// makes it unlikely that two members become candidates at the same time.
 const ELECTION_JITTER: f64 = 0.6;
 
-/// One member of a fleet. All times are by its own clock.
+/// One member of a fleet. All times are by the member's own clock.
 #[derive(Debug, Clone)]
 pub struct Member<H> {
     host: H,
@@ -36,23 +36,24 @@
     parameters: LeaseParameters,
     rng: Pcg64Mcg,
     role: Role,
-    /// It votes for nobody but the leader that it heard, until then.
+    /// The time until which the member grants no vote, since it voted or received a heartbeat; a candidate to which the
+    /// leader transfers its leadership is exempt.
     promised_until: Duration,
-    /// It votes for nobody until then: it may have made a promise before it was restarted.
+    /// The time until which the member grants no vote to anyone: it may have made a promise before it was restarted.
     silent_until: Duration,
     election_at: Duration,
     /// Messages that wait for a revision of the hard state to be durable.
     outbox: DurableOutbox<Message>,
-    leader_heard_at: Duration,
+    last_heartbeat_at: Duration,
     step_down_reason: Option<StepDownReason>,
-    /// The newest revision that each other member reported.
+    /// The newest revision of its hard state that each other member reported.
     peer_revisions: BTreeMap<MemberId, u64>,
 }
 
 impl<H: Host> Member<H> {
-    /// Starts with the state that was found on disk. The member votes for nobody within its first
-    /// [`LeaseParameters::lease_wait`], since it does not know what it promised before it was restarted. `seed` seeds
-    /// the election jitter.
+    /// Creates a member from the state that was found on disk. Unless it is the only voter, the member grants no vote
+    /// within its first [`LeaseParameters::lease_wait`], since it does not know what it promised before it was restarted.
+    /// `seed` seeds the election jitter.
     pub fn new(
         host: H,
         hard_state: HardState,
@@ -73,7 +74,7 @@
             promised_until: now,
             silent_until,
             election_at: silent_until,
-            leader_heard_at: now,
+            last_heartbeat_at: now,
             step_down_reason: None,
             peer_revisions: BTreeMap::new(),
         };
@@ -83,17 +84,17 @@
         member
     }
 
-    /// The host.
+    /// Returns the host.
     pub fn host(&mut self) -> &mut H {
         &mut self.host
     }
 
-    /// The newest hard state, which may not be durable yet.
+    /// Returns the newest hard state, which may not be durable yet.
     pub fn hard_state(&self) -> &HardState {
         &self.hard_state
     }
 
-    /// When [`Member::timer_fired`] is to be called next.
+    /// Returns the time at which [`Member::timer_fired`] must be called next.
     pub fn next_deadline(&self) -> Duration {
         match &self.role {
             Role::Leader(leader) => leader.next_heartbeat_at.min(leader.lease_expires_at),
@@ -101,13 +102,13 @@
         }
     }
 
-    /// Whether an order may be sent at this moment. `now` must have been read just before: after a stall the lease has
-    /// expired, whatever this member was doing.
+    /// Returns true if this member may send an order at this moment. `now` must be read right before the call: the lease may
+    /// have expired during a stall, whatever the member was doing.
     pub fn holds_lease(&self, now: Duration) -> bool {
         matches!(&self.role, Role::Leader(leader) if now < leader.lease_expires_at)
     }
 
-    /// When its lease as leader expires; zero if it does not lead.
+    /// Returns the time at which this member's lease as leader expires; zero if it does not lead.
     pub fn lease_expires_at(&self) -> Duration {
         match &self.role {
             Role::Leader(leader) => leader.lease_expires_at,
@@ -115,17 +116,17 @@
         }
     }
 
-    /// Whether it leads, as far as it knows; its lease may have expired since.
+    /// Returns true if this member leads as far as it knows; its lease may have expired meanwhile.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The newest term that it has seen.
+    /// Returns the newest term that this member has seen.
     pub fn term(&self) -> u64 {
         self.hard_state.term
     }
 
-    /// The leader, as far as this member knows.
+    /// Returns the leader, as far as this member knows.
     pub fn leader(&self) -> Option<MemberId> {
         match &self.role {
             Role::Follower { leader } => *leader,
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The state for operators.
+    /// Returns the state that is reported to operators.
     pub fn status(&self, now: Duration) -> Status {
         let (role, since) = self.reported_role(now);
         let leader = match &self.role {
@@ -161,15 +162,15 @@
             _ if now < self.silent_until => MemberRole::NonVoting,
             _ => MemberRole::NoLeader,
         };
-        (role, self.leader_heard_at)
+        (role, self.last_heartbeat_at)
     }
 
-    /// Another member connected and reported the revision of its hard state.
+    /// Handles the connection of another member, which reported the revision of its hard state.
     ///
     /// # Errors
     ///
-    /// [`MembershipError::NotAMember`] if it is no voter, [`MembershipError::StaleState`] if it reported a newer
-    /// revision before.
+    /// Returns [`MembershipError::NotAMember`] if this member is a voter and the other is not, and
+    /// [`MembershipError::StaleState`] if the other member reported a newer revision before.
     pub fn peer_connected(&mut self, id: MemberId, revision: u64) -> Result<(), MembershipError> {
         let membership = &self.hard_state.membership;
         if !membership.contains(id) && membership.contains(self.hard_state.id) {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Handles the passing of [`Member::next_deadline`].
+    /// Handles the expiry of [`Member::next_deadline`].
     pub fn timer_fired(&mut self, now: Duration) {
         match &self.role {
             Role::Leader(leader) if now >= leader.lease_expires_at => {
@@ -225,13 +226,13 @@
         }
     }
 
-    /// Handles a newer term that a proxy reports: another leader was elected, or the fleet was set up anew and has to
-    /// count on from that term.
+    /// Handles a newer term that a proxy reports: another leader was elected, or the fleet was set up again and its terms
+    /// must continue from that one.
     pub fn higher_term_seen(&mut self, now: Duration, term: u64) {
         self.adopt_term(now, term);
     }
 
-    /// Takes up a term that is newer than its own.
+    /// Adopts the term if it is newer than this member's own, which ends this member's leadership.
     fn adopt_term(&mut self, now: Duration, term: u64) {
         if term > self.hard_state.term {
             self.stop_leading(now, StepDownReason::HigherTerm(term));
--- a/crates/leader-election/src/member/persistence.rs
+++ b/crates/leader-election/src/member/persistence.rs
@@ -1,4 +1,4 @@
-//! Durable writes: a message that rests on a write is sent once that write is durable.
+//! Durable writes: a message that depends on a write is sent once that write is durable.
 
 use super::{Member, Role};
 use crate::event::{ElectionEvent, StepDownReason};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 impl<H: Host> Member<H> {
-    /// Handles that the hard state is durable up to this revision.
+    /// Handles the completion of the writes of the hard state up to this revision, which are now durable.
     pub fn persisted(&mut self, now: Duration, revision: u64) {
         if std::mem::take(&mut self.storage_failed) {
             self.host.log(ElectionEvent::StorageRecovered);
@@ -22,11 +22,12 @@
         }
     }
 
-    /// Handles that a write failed: it is not durable, and may never be.
+    /// Handles the failure of a write, which is not durable and may never be.
     pub fn storage_failed(&mut self, now: Duration) {
         self.storage_failed = true;
         self.outbox.clear();
-        // Its lease rests on votes that are on others' disks, but it can keep no promise from here on.
+        // The lease is still valid, as it depends on votes on other members' disks. But this member can make no durable
+        // promise until a write succeeds.
         self.stop_leading(now, StepDownReason::StorageFailed);
         self.reset_election_timer(now);
     }
@@ -40,7 +41,7 @@
         self.outbox.is_durable(self.hard_state.revision)
     }
 
-    /// Sends the message once all that was written so far is durable.
+    /// Sends the message once all writes requested before this call are durable.
     pub(super) fn send_when_durable(&mut self, to: MemberId, message: Message) {
         if let Some(message) = self.outbox.push(self.hard_state.revision, to, message) {
             self.host.send(to, message);
--- a/crates/leader-election/src/member/role.rs
+++ b/crates/leader-election/src/member/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a member, with the state that each has.
+//! The roles of a member and the state of each role.
 
 use crate::membership::{MemberId, MembershipVersion};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,37 +7,37 @@
 /// The role of a member.
 #[derive(Debug, Clone)]
 pub(super) enum Role {
-    /// It follows the leader, if it knows one.
+    /// The member follows the leader, if it knows one.
     Follower { leader: Option<MemberId> },
-    /// It asks whether others would vote for it.
+    /// The member asks the others whether they would vote for it; `granted` are those that would.
     PreCandidate { granted: BTreeSet<MemberId> },
-    /// It stands for election. Votes are requested once its own vote is durable.
+    /// The member stands for election. It requests votes once its own vote is durable.
     Candidate { leadership_transfer: bool, requested_at: Option<Duration>, votes: BTreeSet<MemberId> },
-    /// It leads while its lease lasts.
+    /// The member leads until its lease expires.
     Leader(LeaderState),
 }
 
 /// The state of a leader.
 #[derive(Debug, Clone)]
 pub(super) struct LeaderState {
-    /// When it was elected.
+    /// The time of the election.
     pub(super) since: Duration,
     /// The number of the newest heartbeat.
     pub(super) heartbeat_number: u64,
-    /// When the heartbeats that may still be acknowledged were sent, by number.
+    /// The sending times of the heartbeats that may still be acknowledged, by heartbeat number.
     pub(super) heartbeats_sent: BTreeMap<u64, Duration>,
-    /// When the newest heartbeat was sent that each voter acknowledged.
+    /// The sending time of the newest heartbeat that each member acknowledged.
     pub(super) acknowledged: BTreeMap<MemberId, Duration>,
-    /// The membership that each voter reported to have on disk.
+    /// The version of the membership that each member reported to have on disk.
     pub(super) durable_versions: BTreeMap<MemberId, MembershipVersion>,
-    /// When its lease expires.
+    /// The time at which the leader's lease expires.
     pub(super) lease_expires_at: Duration,
-    /// When the next heartbeat is to be sent.
+    /// The time at which the next heartbeat must be sent.
     pub(super) next_heartbeat_at: Duration,
 }
 
 impl LeaderState {
-    /// The state right after an election, in which the voters were asked at `requested_at`.
+    /// Creates the state of a leader that has just been elected by `votes`, which it requested at `requested_at`.
     pub(super) fn new(
         now: Duration,
         requested_at: Duration,
--- a/crates/leader-election/src/membership.rs
+++ b/crates/leader-election/src/membership.rs
@@ -3,20 +3,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A member, by its state folder: a member that lost its disk comes back under another id.
+/// The identifier of a member, stored in its state folder: a member that lost its disk returns under another id.
 pub type MemberId = u64;
 
 /// A member that may vote.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Voter {
-    /// Its name in the settings.
+    /// The member's name in the settings.
     pub name: String,
-    /// The address that it listens at, as host and port.
+    /// The address that the member listens at, as host and port.
     pub address: String,
 }
 
-/// Orders the memberships of a fleet: a later term is newer, then a later change within the term.
+/// The version of a membership, which orders the memberships of a fleet: first by term, then by the number of the change
+/// within the term.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct MembershipVersion {
@@ -31,24 +32,24 @@
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Which membership this is.
+    /// The version of this membership.
     pub version: MembershipVersion,
     /// The voters.
     pub voters: BTreeMap<MemberId, Voter>,
 }
 
 impl Membership {
-    /// Whether the member may vote.
+    /// Returns true if the member may vote.
     pub fn contains(&self, id: MemberId) -> bool {
         self.voters.contains_key(&id)
     }
 
-    /// Whether more than half of the voters satisfy the predicate.
+    /// Returns true if more than half of the voters satisfy the predicate.
     pub fn has_quorum(&self, predicate: impl Fn(MemberId) -> bool) -> bool {
         self.voters.keys().filter(|id| predicate(**id)).count() * 2 > self.voters.len()
     }
 
-    /// All voters but this one.
+    /// Returns all voters except this one.
     pub fn peers_of(&self, id: MemberId) -> Vec<MemberId> {
         self.voters.keys().copied().filter(|other| *other != id).collect()
     }
--- a/crates/leader-election/src/message.rs
+++ b/crates/leader-election/src/message.rs
@@ -7,10 +7,10 @@
 // On the wire by the order of variants and fields: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether the receiver would vote for the sender in this term. Sent before a vote request, so that a member
-    /// that alone misses the leader does not raise the term again and again.
+    /// Asks whether the receiver would vote for the sender in this term. Sent before a vote request, so that a member that
+    /// alone is cut off from the leader does not raise the term repeatedly.
     PreVoteRequest {
-        /// The term that the sender would stand in.
+        /// The term in which the sender would be a candidate.
         term: u64,
         /// The newest membership that the sender knows.
         membership_version: MembershipVersion,
@@ -22,14 +22,14 @@
     },
     /// Asks for a vote.
     VoteRequest {
-        /// The term that the sender stands in.
+        /// The term in which the sender is a candidate.
         term: u64,
         /// The newest membership that the sender knows.
         membership_version: MembershipVersion,
-        /// Whether the leader handed its leadership over, so that its lease need not be waited for.
+        /// True if the leader transferred its leadership to the sender, so that voters need not wait for the leader's lease.
         leadership_transfer: bool,
     },
-    /// Grants a vote; sent once the vote is durable.
+    /// Grants a vote; sent only once the vote is durable.
     VoteGranted {
         /// The term of the request.
         term: u64,
@@ -38,7 +38,7 @@
     Heartbeat {
         /// The leader's term.
         term: u64,
-        /// Rises with each heartbeat of the term.
+        /// The number of the heartbeat, which rises with each heartbeat of the term.
         number: u64,
         /// The membership that the leader has published.
         membership_version: MembershipVersion,
@@ -52,7 +52,7 @@
         /// The membership that the sender has on disk.
         membership_version: MembershipVersion,
     },
-    /// Tells the receiver that its term is out of date.
+    /// Informs the receiver that its term is out of date.
     NewerTerm {
         /// The newest term that the sender has seen.
         term: u64,
@@ -64,7 +64,7 @@
         /// The set of voters.
         membership: Membership,
     },
-    /// Asks the receiver to take over: the leader of this term has stepped down in its favour.
+    /// Asks the receiver to take over: the leader of this term has stepped down in favour of the receiver.
     TransferLeadership {
         /// The term that the sender led in.
         term: u64,
@@ -72,7 +72,7 @@
 }
 
 impl Message {
-    /// The term that the message is about.
+    /// Returns the term of the message.
     pub fn term(&self) -> u64 {
         match self {
             Message::PreVoteRequest { term, .. }
--- a/crates/leader-election/src/snapshot.rs
+++ b/crates/leader-election/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot that the next leader starts from: taken by the leader, replicated to all members.
+//! The snapshot that the next leader starts from: the leader takes it and replicates it to all members.
 
 use grebespool_wire::ServerId;
 use serde::{Deserialize, Serialize};
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The most bytes of an encoded snapshot; a larger one is neither sent nor read.
+/// The maximum size of an encoded snapshot in bytes; a larger one is neither sent nor read.
 pub const MAX_SNAPSHOT_BYTES: usize = 8 << 20;
 
-// Stored: the version is the first two bytes, big-endian, and a change of the layout has to change it.
+// Stored in the first two bytes, big-endian; every change of the layout needs a new version.
 const FORMAT_VERSION: u16 = 2;
 const VERSION_BYTES: usize = 2;
 const CHECKSUM_BYTES: usize = 16;
@@ -22,30 +22,30 @@
 // Stored by the order of variants: do not reorder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EndpointPhase {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes its requests and takes no new ones.
+    /// The server completes its requests and accepts no new ones.
     Draining,
 }
 
-/// A server as the newest endpoint list has it.
+/// A server, as listed in the newest endpoint list.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRecord {
-    /// Its address.
+    /// The server's address.
     pub addr: SocketAddr,
-    /// Which of the servers that have had this address.
+    /// The number that distinguishes the servers that have had this address.
     pub number: u32,
-    /// Its zone.
+    /// The server's zone.
     pub zone: String,
-    /// Its phase.
+    /// The server's phase.
     pub phase: EndpointPhase,
-    /// When it was started, in milliseconds of the list's clock.
+    /// The time of the server's start, in milliseconds of the list's clock.
     pub started_ms: u64,
 }
 
 impl EndpointRecord {
-    /// The server that this is.
+    /// Returns the id of the server.
     pub fn server(&self) -> ServerId {
         ServerId { addr: self.addr, number: self.number }
     }
@@ -57,7 +57,7 @@
 pub struct LearnedWeight {
     /// The server's address.
     pub addr: SocketAddr,
-    /// Which of the servers that have had this address.
+    /// The number that distinguishes the servers that have had this address.
     pub number: u32,
     /// The weight; 1 is the mean.
     pub weight: f32,
@@ -69,9 +69,9 @@
 pub struct KnownDrain {
     /// The server's address.
     pub addr: SocketAddr,
-    /// Which of the servers that have had this address.
+    /// The number that distinguishes the servers that have had this address.
     pub number: u32,
-    /// For how long the leader had known of the drain when the snapshot was taken, in milliseconds.
+    /// The time for which the leader had known of the drain when it took the snapshot, in milliseconds.
     pub known_for_ms: u64,
 }
 
@@ -85,20 +85,20 @@
     pub sequence: u64,
 }
 
-/// An endpoint by its index in the snapshot's list.
+/// The index of an endpoint in the snapshot's endpoint list.
 pub type EndpointIndex = u32;
 
 /// A pool of servers.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolRecord {
-    /// The zone of its proxies.
+    /// The zone of the proxies that are bound to the pool.
     pub zone: String,
-    /// Its servers.
+    /// The servers of the pool.
     pub endpoints: Vec<EndpointIndex>,
 }
 
-/// Which pool a proxy is bound to.
+/// The binding of a proxy to a pool.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProxyBinding {
@@ -108,17 +108,17 @@
     pub pool: u32,
 }
 
-/// What a leader knew.
+/// The state of the fleet as known to the leader that took the snapshot.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The term of the leader that took it.
+    /// The term of the leader that took the snapshot.
     pub term: u64,
-    /// Its number among those of that term.
+    /// The number of the snapshot within that term.
     pub number: u64,
-    /// The version of the endpoint list; 0 if there is none.
+    /// The version of the endpoint list; 0 if no list was known.
     pub list_version: u64,
-    /// When that list was sent, in milliseconds of its sender's clock; 0 if unknown.
+    /// The time at which that list was sent, in milliseconds of its sender's clock; 0 if unknown.
     pub list_ms: u64,
     /// The endpoint list.
     pub endpoints: Vec<EndpointRecord>,
@@ -126,40 +126,40 @@
     pub weights: Vec<LearnedWeight>,
     /// The servers that are draining.
     pub drains: Vec<KnownDrain>,
-    /// What the proxies acknowledged.
+    /// The newest orders that each proxy acknowledged.
     pub applied_orders: Vec<AppliedOrders>,
     /// The pools.
     pub pools: Vec<PoolRecord>,
-    /// The pool of each proxy.
+    /// The bindings of proxies to pools.
     pub bindings: Vec<ProxyBinding>,
 }
 
-/// Why bytes are no snapshot.
+/// The reason for which a snapshot cannot be encoded or decoded.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// It has this many bytes, more than [`MAX_SNAPSHOT_BYTES`].
-    #[error("it has {0} bytes, more than {MAX_SNAPSHOT_BYTES}")]
+    /// The encoded snapshot has this many bytes, more than [`MAX_SNAPSHOT_BYTES`].
+    #[error("the snapshot has {0} bytes, more than {MAX_SNAPSHOT_BYTES}")]
     TooLarge(usize),
-    /// It ends after this many bytes.
-    #[error("it is cut off after {0} bytes")]
+    /// The encoded snapshot has this many bytes, fewer than its version and checksum take.
+    #[error("the snapshot is truncated after {0} bytes")]
     Truncated(usize),
-    /// It is of another version.
-    #[error("it has version {0}; this program reads version {FORMAT_VERSION}")]
+    /// The snapshot has this format version, which is not supported.
+    #[error("the snapshot has format version {0}, expected {FORMAT_VERSION}")]
     UnsupportedVersion(u16),
-    /// Its checksum does not fit its content.
-    #[error("its checksum is wrong")]
+    /// The checksum does not match the content.
+    #[error("the snapshot's checksum does not match its content")]
     ChecksumMismatch,
-    /// Its checksum fits, and its content is no snapshot.
-    #[error("its checksum is right and its content cannot be read")]
+    /// The checksum matches, but the content cannot be decoded.
+    #[error("the snapshot's checksum matches, but its content cannot be decoded")]
     Malformed,
 }
 
 impl Snapshot {
-    /// Encodes the snapshot, with its format version before and a checksum after it.
+    /// Encodes the snapshot, preceded by its format version and followed by a checksum.
     ///
     /// # Errors
     ///
-    /// [`SnapshotError::TooLarge`].
+    /// Returns [`SnapshotError::TooLarge`] if the result exceeds [`MAX_SNAPSHOT_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, SnapshotError> {
         let version = FORMAT_VERSION.to_be_bytes().to_vec();
         let mut bytes = postcard::to_extend(self, version).expect("a growing buffer takes every snapshot");
@@ -168,11 +168,11 @@
         if bytes.len() > MAX_SNAPSHOT_BYTES { Err(SnapshotError::TooLarge(bytes.len())) } else { Ok(bytes) }
     }
 
-    /// Decodes a whole snapshot.
+    /// Decodes a snapshot, from its format version to its checksum.
     ///
     /// # Errors
     ///
-    /// A [`SnapshotError`] that says what is wrong with the bytes.
+    /// Returns a [`SnapshotError`] that says what is wrong with the bytes if they are not a valid snapshot.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
         if bytes.len() > MAX_SNAPSHOT_BYTES {
             return Err(SnapshotError::TooLarge(bytes.len()));
@@ -191,16 +191,16 @@
         postcard::from_bytes(&content[VERSION_BYTES..]).map_err(|_| SnapshotError::Malformed)
     }
 
-    /// Orders the snapshots of a fleet: by the leader's term, then by number.
+    /// Returns the key by which the snapshots of a fleet are ordered: the leader's term, then the number.
     pub fn order(&self) -> (u64, u64) {
         (self.term, self.number)
     }
 
-    /// What may still be taken as true after `age`.
+    /// Returns the part of the snapshot that still holds after `age`.
     ///
-    /// Drains stay: a server that drained is gone or still draining. The endpoint list stays until a newer one can be
-    /// had. Weights fade towards the mean and are dropped at `weight_lifetime`; so is what the proxies had in force,
-    /// since they may have received other orders.
+    /// Drains stay: a server that was draining is gone or still draining. The endpoint list stays until a newer one
+    /// arrives. Weights fade towards the mean and are dropped at `weight_lifetime`. The applied orders, pools and bindings
+    /// are dropped then too, since the proxies may have received other orders.
     #[must_use]
     pub fn aged(&self, age: Duration, weight_lifetime: Duration) -> Snapshot {
         let age_ms = age.as_millis() as u64;
@@ -233,7 +233,7 @@
         self.weights.iter().map(fade).collect()
     }
 
-    /// The learned weights by server. Those that are no positive number are left out.
+    /// Returns the learned weights by server, without those that are not a positive number.
     pub fn weights_by_server(&self) -> BTreeMap<ServerId, f64> {
         let usable = self.weights.iter().filter(|learned| learned.weight.is_finite() && learned.weight > 0.0);
         usable
--- a/crates/leader-election/src/status.rs
+++ b/crates/leader-election/src/status.rs
@@ -1,39 +1,39 @@
-//! A member's state as it is reported to operators.
+//! The state of a member as reported to operators.
 
 use crate::event::StepDownReason;
 use crate::membership::{MemberId, Membership};
 use std::time::Duration;
 
-/// What a member is at the moment.
+/// The present role of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberRole {
-    /// It has heard no leader for a while.
+    /// The member knows of no leader whose heartbeats still arrive.
     NoLeader,
-    /// It follows this leader.
+    /// The member follows this leader.
     Follower(MemberId),
-    /// It leads.
+    /// The member leads.
     Leader,
-    /// It may not vote: it is no voter, started a moment ago, or cannot persist its hard state.
+    /// The member may not vote: it is not a voter, has just started, or cannot persist its hard state.
     NonVoting,
 }
 
-/// The state of a member as operators see it.
+/// The state of a member as reported to operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// The member.
+    /// The member's id.
     pub id: MemberId,
-    /// What it is.
+    /// The member's role.
     pub role: MemberRole,
-    /// The newest term that it has seen.
+    /// The newest term that the member has seen.
     pub term: u64,
-    /// By this member's clock: since when it leads, or when it last heard the leader.
+    /// The time, by this member's clock, at which it became leader or received the newest heartbeat of a leader.
     pub since: Duration,
-    /// Why it last stopped leading.
+    /// The reason for which the member last stopped leading; unset while it leads.
     pub step_down_reason: Option<StepDownReason>,
-    /// The set of voters that it knows.
+    /// The newest set of voters that the member has received.
     pub membership: Membership,
-    /// Whether the leader knows that a quorum has this membership; false on all others.
+    /// True if this member leads and knows that a quorum has this membership on disk.
     pub membership_committed: bool,
-    /// Voters that have acknowledged no heartbeat within the lease; known to the leader only.
+    /// The voters that have acknowledged no heartbeat within the lease; empty unless this member leads.
     pub unreachable: Vec<MemberId>,
 }
