--- a/crates/leader-election/tests/election/cluster.rs
+++ b/crates/leader-election/tests/election/cluster.rs
@@ -1,5 +1,5 @@
-//! A deterministic cluster: members under a simulated network, disks and clocks that fail. What must hold at all times is
-//! checked after each step.
+//! A deterministic cluster: members with a simulated network, disks and clocks that fail. Its guarantees are checked after
+//! each step: no term has two leaders, and while the clocks keep within the drift no two members hold the lease.
 
 use grebespool_leader_election::*;
 use rand::{Rng, SeedableRng};
@@ -15,11 +15,12 @@
     clock_drift: 0.05,
 };
 
+/// The requests of a member to its host.
 #[derive(Default)]
 pub(crate) struct Requests {
-    pub(crate) persist: Vec<HardState>,
-    pub(crate) send: Vec<(MemberId, Message)>,
-    pub(crate) became_leader: Vec<u64>,
+    pub(crate) writes: Vec<HardState>,
+    pub(crate) messages: Vec<(MemberId, Message)>,
+    pub(crate) led_terms: Vec<u64>,
     pub(crate) stepped_down: Vec<(u64, StepDownReason)>,
 }
 
@@ -27,60 +28,64 @@
 pub(crate) struct TestHost(pub(crate) Rc<RefCell<Requests>>);
 
 impl Host for TestHost {
-    fn persist(&mut self, kept: &HardState) {
-        self.0.borrow_mut().persist.push(kept.clone());
+    fn persist(&mut self, state: &HardState) {
+        self.0.borrow_mut().writes.push(state.clone());
     }
     fn send(&mut self, to: MemberId, message: Message) {
-        self.0.borrow_mut().send.push((to, message));
+        self.0.borrow_mut().messages.push((to, message));
     }
     fn become_leader(&mut self, term: u64) {
-        self.0.borrow_mut().became_leader.push(term);
+        self.0.borrow_mut().led_terms.push(term);
     }
-    fn step_down(&mut self, term: u64, why: StepDownReason) {
-        self.0.borrow_mut().stepped_down.push((term, why));
+    fn step_down(&mut self, term: u64, reason: StepDownReason) {
+        self.0.borrow_mut().stepped_down.push((term, reason));
     }
     fn log(&mut self, _: ElectionEvent) {}
 }
 
-/// A process that runs, is stopped, or is gone; its clock, and its disk.
+/// A process with its clock and its disk.
 pub(crate) struct Node {
+    /// Unset while the process is not running.
     pub(crate) member: Option<Member<TestHost>>,
     pub(crate) host: TestHost,
     pub(crate) disk: HardState,
-    /// Writes under way: when each is durable.
+    /// The writes in progress, each with the time at which it is durable.
     pub(crate) pending_writes: Vec<(Duration, HardState)>,
     pub(crate) disk_delay: Duration,
     pub(crate) paused: bool,
-    /// Its clock: ahead by so much at a moment, and so many times as fast from there on.
+    /// A true time, and what the node's clock shows at that time.
     pub(crate) clock_base: (Duration, Duration),
+    /// The rate of the node's clock from then on, as a multiple of the true rate.
     pub(crate) clock_rate: f64,
 }
 
 impl Node {
+    /// Returns what the node's clock shows at a true time.
     pub(crate) fn clock(&self, now: Duration) -> Duration {
         self.clock_base.1 + now.saturating_sub(self.clock_base.0).mul_f64(self.clock_rate)
     }
 
-    /// When its clock shows that.
-    pub(crate) fn real_time(&self, own: Duration) -> Duration {
-        self.clock_base.0 + own.saturating_sub(self.clock_base.1).div_f64(self.clock_rate)
+    /// Returns the true time at which the node's clock shows `clock_time`.
+    pub(crate) fn real_time(&self, clock_time: Duration) -> Duration {
+        self.clock_base.0 + clock_time.saturating_sub(self.clock_base.1).div_f64(self.clock_rate)
     }
 }
 
 pub(crate) struct Cluster {
     pub(crate) now: Duration,
     pub(crate) nodes: BTreeMap<MemberId, Node>,
-    /// Messages on their way: when they arrive, to whom, from whom, what.
+    /// The messages in flight as (receiver, sender, message), by arrival time and sequence number.
     pub(crate) in_flight: BTreeMap<(Duration, u64), (MemberId, MemberId, Message)>,
-    pub(crate) sent: u64,
+    pub(crate) messages_sent: u64,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) loss: f64,
     pub(crate) duplication: f64,
     pub(crate) max_delay: Duration,
-    /// Nothing passes from the first to the second.
+    /// The blocked links as (sender, receiver).
     pub(crate) blocked: BTreeSet<(MemberId, MemberId)>,
+    /// The leader of each term.
     pub(crate) leaders: BTreeMap<u64, MemberId>,
-    /// Whether the clocks are within what the parameters state.
+    /// True if the clocks keep within the drift that the parameters allow.
     pub(crate) clocks_within_drift: bool,
     pub(crate) elections: usize,
 }
@@ -99,7 +104,7 @@
             now: Duration::from_secs(10),
             nodes: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            sent: 0,
+            messages_sent: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             loss: 0.0,
             duplication: 0.0,
@@ -153,7 +158,7 @@
         node.member = Some(Member::new(node.host.clone(), node.disk.clone(), PARAMETERS, seed, clock));
     }
 
-    /// Outright: what is not on disk is lost.
+    /// Stops the process; writes that are not durable are lost.
     pub(crate) fn crash(&mut self, id: MemberId) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.member = None;
@@ -161,6 +166,7 @@
         }
     }
 
+    /// Blocks the links from the node to all others, from all others to the node, or both.
     pub(crate) fn partition(&mut self, id: MemberId, directions: (bool, bool)) {
         for other in self.nodes.keys().copied().filter(|o| *o != id) {
             if directions.0 {
@@ -172,30 +178,31 @@
         }
     }
 
+    /// Calls a member and executes its requests. Returns the result of the call; `None` if the process is not running.
     pub(crate) fn call<T>(
         &mut self,
         id: MemberId,
-        what: impl FnOnce(&mut Member<TestHost>, Duration) -> T,
+        operation: impl FnOnce(&mut Member<TestHost>, Duration) -> T,
     ) -> Option<T> {
         let now = self.now;
         let node = self.nodes.get_mut(&id)?;
         let clock = node.clock(now);
-        let done = what(node.member.as_mut()?, clock);
-        let asked = std::mem::take(&mut *node.host.0.borrow_mut());
-        let busy = node.pending_writes.last().map_or(now, |w| w.0.max(now));
-        for (i, kept) in asked.persist.into_iter().enumerate() {
-            let at = busy + node.disk_delay * (i as u32 + 1);
-            node.pending_writes.push((at, kept));
+        let result = operation(node.member.as_mut()?, clock);
+        let requests = std::mem::take(&mut *node.host.0.borrow_mut());
+        let disk_idle_at = node.pending_writes.last().map_or(now, |w| w.0.max(now));
+        for (i, state) in requests.writes.into_iter().enumerate() {
+            let at = disk_idle_at + node.disk_delay * (i as u32 + 1);
+            node.pending_writes.push((at, state));
         }
-        for term in asked.became_leader {
+        for term in requests.led_terms {
             self.elections += 1;
             let first = *self.leaders.entry(term).or_insert(id);
             assert_eq!(first, id, "two leaders in term {term}");
         }
-        for (to, message) in asked.send {
+        for (to, message) in requests.messages {
             self.send(id, to, message);
         }
-        Some(done)
+        Some(result)
     }
 
     pub(crate) fn send(&mut self, from: MemberId, to: MemberId, message: Message) {
@@ -204,16 +211,16 @@
             if self.blocked.contains(&(from, to)) || self.rng.random_bool(self.loss) {
                 continue;
             }
-            let late = self.max_delay.mul_f64(self.rng.random_range(0.01..1.0));
-            self.sent += 1;
-            self.in_flight.insert((self.now + late, self.sent), (to, from, message.clone()));
+            let delay = self.max_delay.mul_f64(self.rng.random_range(0.01..1.0));
+            self.messages_sent += 1;
+            self.in_flight.insert((self.now + delay, self.messages_sent), (to, from, message.clone()));
         }
     }
 
-    /// Who may order at this moment, each by its own clock.
+    /// Returns the members that hold the lease now, each by its own clock.
     pub(crate) fn lease_holders(&self) -> Vec<MemberId> {
-        let may = |n: &Node| n.member.as_ref().is_some_and(|m| m.holds_lease(n.clock(self.now)));
-        self.nodes.iter().filter(|(_, n)| may(n)).map(|(id, _)| *id).collect()
+        let holds_lease = |n: &Node| n.member.as_ref().is_some_and(|m| m.holds_lease(n.clock(self.now)));
+        self.nodes.iter().filter(|(_, n)| holds_lease(n)).map(|(id, _)| *id).collect()
     }
 
     pub(crate) fn leader(&self) -> Option<MemberId> {
@@ -221,12 +228,12 @@
     }
 
     pub(crate) fn next_event_at(&self) -> Duration {
-        let of = |n: &Node| {
-            let timer_fired = n.member.as_ref().filter(|_| !n.paused).map(|m| n.real_time(m.next_deadline()));
-            let written = n.pending_writes.first().map(|w| w.0);
-            timer_fired.into_iter().chain(written).min()
+        let next_of_node = |n: &Node| {
+            let timer = n.member.as_ref().filter(|_| !n.paused).map(|m| n.real_time(m.next_deadline()));
+            let write = n.pending_writes.first().map(|w| w.0);
+            timer.into_iter().chain(write).min()
         };
-        let nodes = self.nodes.values().filter_map(of);
+        let nodes = self.nodes.values().filter_map(next_of_node);
         let in_flight = self.in_flight.keys().next().map(|k| k.0);
         nodes.chain(in_flight).min().unwrap_or(self.now + Duration::from_millis(5))
     }
@@ -236,12 +243,12 @@
         while self.now < end {
             let step = self.next_event_at().max(self.now + Duration::from_micros(50)).min(end);
             self.now = step;
-            let next_deadline: Vec<(Duration, u64)> =
+            let arrived: Vec<(Duration, u64)> =
                 self.in_flight.range(..=(self.now, u64::MAX)).map(|f| *f.0).collect();
-            for key in next_deadline {
+            for key in arrived {
                 let Some((to, from, message)) = self.in_flight.remove(&key) else { continue };
                 if self.nodes.get(&to).is_some_and(|n| n.paused) {
-                    // It lies there until the process runs on.
+                    // The message waits until the process is resumed.
                     self.in_flight.insert((self.now + Duration::from_millis(20), key.1), (to, from, message));
                 } else {
                     self.call(to, |m, now| m.receive(now, from, message));
@@ -249,16 +256,16 @@
             }
             for id in self.nodes.keys().copied().collect::<Vec<_>>() {
                 let node = self.nodes.get_mut(&id).unwrap();
-                let done = node.pending_writes.iter().take_while(|w| w.0 <= self.now).count();
-                let written: Vec<HardState> = node.pending_writes.drain(..done).map(|w| w.1).collect();
+                let durable = node.pending_writes.iter().take_while(|w| w.0 <= self.now).count();
+                let written: Vec<HardState> = node.pending_writes.drain(..durable).map(|w| w.1).collect();
                 if let Some(last) = written.last() {
                     node.disk = last.clone();
                     let revision = last.revision;
                     self.call(id, |m, now| m.persisted(now, revision));
                 }
                 let node = &self.nodes[&id];
-                let next_deadline = node.member.as_ref().filter(|_| !node.paused).map(|m| m.next_deadline());
-                if next_deadline.is_some_and(|next_deadline| next_deadline <= node.clock(self.now)) {
+                let deadline = node.member.as_ref().filter(|_| !node.paused).map(|m| m.next_deadline());
+                if deadline.is_some_and(|deadline| deadline <= node.clock(self.now)) {
                     self.call(id, |m, now| m.timer_fired(now));
                 }
             }
@@ -277,6 +284,7 @@
         self.nodes.get_mut(&id).unwrap().paused = paused;
     }
 
+    /// Ends all faults except those of the clocks, and restarts the processes that are not running.
     pub(crate) fn heal(&mut self) {
         (self.loss, self.duplication, self.max_delay) = (0.0, 0.0, Duration::from_millis(20));
         self.blocked.clear();
--- a/crates/leader-election/tests/election/membership.rs
+++ b/crates/leader-election/tests/election/membership.rs
@@ -1,4 +1,4 @@
-//! Changes of the voters, and peers that are rejected.
+//! Changes of the set of voters, and the rejection of peers.
 
 use crate::cluster::{Cluster, S, voter};
 use grebespool_leader_election::*;
@@ -19,10 +19,10 @@
         assert_eq!(
             cluster.leader(),
             Some(first),
-            "a folder that nobody added leads nothing and asks for nothing"
+            "a member that has not been added neither leads nor disturbs the leader"
         );
         cluster.call(first, |m, now| m.add_voter(now, 9, voter(9))).unwrap().unwrap();
-        // While the change is under way the leader dies, or another change is asked for.
+        // While the change is pending, another change is requested, and with every second seed the leader crashes.
         assert_eq!(
             cluster.call(first, |m, now| m.remove_voter(now, "m1")),
             Some(Err(MembershipError::ChangePending))
@@ -33,9 +33,9 @@
             cluster.boot(first);
         }
         cluster.run(S(5));
-        let leader = cluster.leader().expect("one leads");
+        let leader = cluster.leader().expect("a member leads");
         let status = cluster.call(leader, |m, now| m.status(now)).unwrap();
-        assert!(status.membership_committed, "what came of the change is known to a majority");
+        assert!(status.membership_committed, "the membership after the change is committed");
         let replaced = (1..=3).find(|id| *id != leader && status.membership.contains(*id)).unwrap();
         cluster.crash(replaced);
         cluster.call(leader, |m, now| m.remove_voter(now, &format!("m{replaced}"))).unwrap().unwrap();
@@ -43,36 +43,36 @@
         cluster.boot(replaced);
         cluster.run(S(8));
         assert!(
-            cluster.leader().is_some_and(|l| l != replaced),
-            "one that was removed does not come back to become_leader"
+            cluster.leader().is_some_and(|leader| leader != replaced),
+            "a removed member does not lead after a restart"
         );
         let leader = cluster.leader().unwrap();
         let status = cluster.call(leader, |m, now| m.status(now)).unwrap();
         assert!(!status.membership.contains(replaced));
-        // The leader removes itself last.
+        // At last the leader removes itself.
         cluster.call(leader, |m, now| m.remove_voter(now, &format!("m{leader}"))).unwrap().unwrap();
         cluster.run(S(8));
-        assert!(cluster.leader().is_some_and(|l| l != leader));
+        assert!(cluster.leader().is_some_and(|successor| successor != leader));
     }
 }
 
 #[rstest]
 #[case::newer(5, 9, Ok(()))]
-#[case::the_same(5, 5, Ok(()))]
-#[case::a_restored_copy(5, 4, Err(MembershipError::StaleState { reported: 4, known: 5 }))]
+#[case::unchanged(5, 5, Ok(()))]
+#[case::older(5, 4, Err(MembershipError::StaleState { reported: 4, known: 5 }))]
 fn rejects_a_peer_whose_state_was_set_back(
     #[case] first: u64,
-    #[case] then: u64,
+    #[case] second: u64,
     #[case] expected: Result<(), MembershipError>,
 ) {
     let mut cluster = Cluster::new(3, 1);
     assert_eq!(cluster.call(1, |m, _| m.peer_connected(2, first)), Some(Ok(())));
-    assert_eq!(cluster.call(1, |m, _| m.peer_connected(2, then)), Some(expected));
+    assert_eq!(cluster.call(1, |m, _| m.peer_connected(2, second)), Some(expected));
     assert_eq!(cluster.call(1, |m, _| m.peer_connected(44, 1)), Some(Err(MembershipError::NotAMember)));
 }
 
 #[rstest]
-fn rejects_impossible_changes_with_a_reason() {
+fn rejects_invalid_changes_with_the_matching_error() {
     let mut cluster = Cluster::new(3, 2);
     cluster.run(S(5));
     let leader = cluster.leader().unwrap();
--- a/crates/leader-election/tests/election/random_faults.rs
+++ b/crates/leader-election/tests/election/random_faults.rs
@@ -5,20 +5,20 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Everything at once, at random: crashes, stops, cuts of every kind, loss, repeats, reordering, slow disks.
+/// Combines crashes, pauses, partitions, blocked links, message loss, duplication, reordering and slow disks at random.
 #[rstest]
 #[case::three(3, 150)]
 #[case::five(5, 60)]
-fn random_faults_never_give_two_leaders_a_term_or_two_lease_holders(
+fn random_faults_never_give_a_term_two_leaders_or_two_lease_holders(
     #[case] members: u64,
     #[case] seeds: u64,
 ) {
-    let (mut elections, mut became_leader) = (0, 0);
+    let (mut elections, mut steps_with_leader) = (0, 0);
     for seed in 0..seeds {
         let mut cluster = Cluster::new(members, 1000 + seed);
         for _ in 0..40 {
             let (id, other) = (cluster.rng.random_range(1..=members), cluster.rng.random_range(1..=members));
-            // Half of what happens happens to the leader.
+            // Half of the faults hit the leader.
             let id = cluster.leader().filter(|_| cluster.rng.random()).unwrap_or(id);
             match cluster.rng.random_range(0..16) {
                 0 => cluster.crash(id),
@@ -44,29 +44,33 @@
                 }
                 11 => drop(cluster.call(id, |m, now| m.step_down(now))),
                 _ => {
-                    // Else most of the time nobody could lead.
+                    // Without frequent recovery, no member could lead most of the time.
                     cluster.heal();
                     cluster.run(S(2));
                 }
             }
             let span = Duration::from_millis(cluster.rng.random_range(50..2500));
             cluster.run(span);
-            became_leader += usize::from(cluster.leader().is_some());
+            steps_with_leader += usize::from(cluster.leader().is_some());
         }
         elections += cluster.elections;
         cluster.heal();
         cluster.run(S(12));
-        assert_eq!(cluster.lease_holders().len(), 1, "one leads once all is well (seed {seed})");
+        assert_eq!(
+            cluster.lease_holders().len(),
+            1,
+            "one member leads after all faults have ended (seed {seed})"
+        );
     }
-    // Else nothing was put to the test.
+    // With fewer elections and leaders the schedules would test little.
     assert!(
-        elections as u64 > 3 * seeds && became_leader as u64 > 5 * seeds,
-        "{elections} elections, {became_leader} times led"
+        elections as u64 > 3 * seeds && steps_with_leader as u64 > 5 * seeds,
+        "{elections} elections, {steps_with_leader} steps with a leader"
     );
 }
 
-/// Clocks that step, stand still or run at any pace: two may hold a lease at once, but never in one term, and the one that was
-/// passed over is known by its term.
+/// Clocks jump ahead and run at 0.01 to 4 times the true rate. Two members may then hold the lease at once, but never in the
+/// same term, so that the older leader is recognized by its term.
 #[rstest]
 fn clocks_beyond_the_drift_never_give_a_term_two_leaders() {
     for seed in 0..30 {
--- a/crates/leader-election/tests/fixtures.rs
+++ b/crates/leader-election/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Stored records and messages between members persist their bytes: what an earlier release wrote is read, and written
-//! again, without a difference.
+//! The encoding of stored records and of messages between members is stable: the bytes that an earlier release wrote are
+//! decoded, and encoded again to the same bytes.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -21,16 +21,16 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// The fixture's lines: a name and the bytes in hexadecimal.
+/// Parses a fixture's lines, each a name and bytes in hexadecimal.
 fn lines(file: &str) -> BTreeMap<String, Vec<u8>> {
     let parse = |line: &str| {
-        let (name, bytes) = line.split_once(' ').expect("a name and bytes");
+        let (name, bytes) = line.split_once(' ').expect("a line has a name and bytes");
         (name.to_owned(), unhex(bytes))
     };
     file.lines().filter(|line| !line.is_empty()).map(parse).collect()
 }
 
-fn reads_and_writes_the_same<T>(file: &str, name: &str, expected: &T)
+fn assert_stable_encoding<T>(file: &str, name: &str, expected: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
@@ -77,7 +77,7 @@
     ]
 }
 
-/// The name of a message in the fixture. A variant that is added has to be named here.
+/// Returns the name of a message in the fixture. A variant that is added needs a name here.
 fn name(message: &Message) -> &'static str {
     match message {
         Message::PreVoteRequest { .. } => "pre-vote-request",
@@ -128,25 +128,25 @@
 }
 
 #[rstest]
-fn every_message_between_members_keeps_its_bytes() {
+fn encoding_of_every_message_is_stable() {
     let messages = messages();
     for message in &messages {
-        reads_and_writes_the_same(MESSAGES, name(message), message);
+        assert_stable_encoding(MESSAGES, name(message), message);
     }
-    assert_eq!(lines(MESSAGES).len(), messages.len(), "each message stands in the fixture, and nothing else");
+    assert_eq!(lines(MESSAGES).len(), messages.len(), "the fixture has one line for each message");
 }
 
 #[rstest]
 #[case::voted("hard-state-voted", Some(7))]
 #[case::without_a_vote("hard-state-without-vote", None)]
-fn stored_vote_keeps_its_bytes(#[case] name: &str, #[case] voted_for: Option<MemberId>) {
-    let kept =
+fn encoding_of_the_hard_state_is_stable(#[case] name: &str, #[case] voted_for: Option<MemberId>) {
+    let state =
         HardState { id: 7, fleet: 0xfeed, term: 301, voted_for, membership: membership(), revision: 900 };
-    reads_and_writes_the_same(RECORDS, name, &kept);
+    assert_stable_encoding(RECORDS, name, &state);
 }
 
 #[rstest]
-fn stored_snapshot_with_its_version_and_checksum_keeps_its_bytes() {
+fn encoding_of_a_snapshot_with_version_and_checksum_is_stable() {
     let stored = lines(RECORDS).remove("snapshot").unwrap_or_default();
     assert_eq!(hex(&snapshot().encode().unwrap()), hex(&stored));
     assert_eq!(Snapshot::decode(&stored), Ok(snapshot()));
--- a/crates/leader-election/tests/schedules.rs
+++ b/crates/leader-election/tests/schedules.rs
@@ -1,4 +1,5 @@
-//! Three members and a few messages, in every order: what must hold does after each step of each schedule.
+//! Explores every order of the messages, writes and timers of three members, and checks after each step that no member
+//! votes twice in a term and no term has two leaders.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -13,23 +14,23 @@
     clock_drift: 0.0,
 };
 
-/// Holds what was asked until it is taken away.
+/// Records a member's requests until the test takes them.
 #[derive(Debug, Clone, Default)]
 struct TestHost {
-    persist: Vec<HardState>,
-    send: Vec<(MemberId, Message)>,
-    became_leader: Vec<u64>,
+    writes: Vec<HardState>,
+    messages: Vec<(MemberId, Message)>,
+    led_terms: Vec<u64>,
 }
 
 impl Host for TestHost {
-    fn persist(&mut self, kept: &HardState) {
-        self.persist.push(kept.clone());
+    fn persist(&mut self, state: &HardState) {
+        self.writes.push(state.clone());
     }
     fn send(&mut self, to: MemberId, message: Message) {
-        self.send.push((to, message));
+        self.messages.push((to, message));
     }
     fn become_leader(&mut self, term: u64) {
-        self.became_leader.push(term);
+        self.led_terms.push(term);
     }
     fn step_down(&mut self, _: u64, _: StepDownReason) {}
     fn log(&mut self, _: ElectionEvent) {}
@@ -39,11 +40,13 @@
 struct Node {
     member: Member<TestHost>,
     disk: HardState,
-    pending_writes: Option<HardState>,
+    /// The newest state that the member asked to write and that is not durable yet.
+    pending_write: Option<HardState>,
     restarts: u8,
 }
 
-/// All of it: members, what is under way, who became_leader what.
+/// The state of a schedule: the members, the messages in flight as (receiver, sender, message), and the leaders and votes
+/// of each term.
 #[derive(Clone)]
 struct State {
     nodes: BTreeMap<MemberId, Node>,
@@ -53,8 +56,9 @@
     now: Duration,
 }
 
-/// Whether two guards are taken out, to see that they are missed: a restarted member votes at once, and what a member
-/// is told to write counts as written. Each alone is made up for by the other (`election/voting.rs` has tests of each).
+/// The guards that are in force. Without two of them, a restarted member votes at once, and a write counts as durable
+/// before it is. Both are removed together, as either one compensates for the lack of the other (`election/voting.rs`
+/// tests each alone).
 #[derive(Clone, Copy, PartialEq)]
 enum Guards {
     All,
@@ -87,9 +91,9 @@
                 revision: 0,
             };
             let member = start(&disk, Duration::ZERO, Guards::All);
-            (id, Node { member, disk, pending_writes: None, restarts: 0 })
+            (id, Node { member, disk, pending_write: None, restarts: 0 })
         };
-        // All are past their first silence, and nobody has been receive.
+        // At 2 s all members are past the silent time after their start, and no message has been received.
         State {
             nodes: (1..=3).map(node).collect(),
             in_flight: vec![],
@@ -99,24 +103,26 @@
         }
     }
 
-    fn settle(&mut self, id: MemberId, guards: Guards) -> Result<(), String> {
+    /// Executes the requests of a member. The error is the guarantee that is broken.
+    fn execute_requests(&mut self, id: MemberId, guards: Guards) -> Result<(), String> {
         loop {
             let node = self.nodes.get_mut(&id).unwrap();
-            let asked = std::mem::take(node.member.host());
-            for term in asked.became_leader {
+            let requests = std::mem::take(node.member.host());
+            for term in requests.led_terms {
                 let first = *self.leaders.entry(term).or_insert(id);
                 if first != id {
                     return Err(format!("{first} and {id} both lead in term {term}"));
                 }
             }
-            for (to, message) in asked.send {
+            for (to, message) in requests.messages {
                 if let Message::VoteGranted { term } = message {
                     let first = *self.votes.entry((id, term)).or_insert(to);
                     if first != to {
                         return Err(format!("{id} votes for {first} and {to} in term {term}"));
                     }
                 }
-                // Heartbeats carry no promise that could be broken.
+                // Heartbeats, acknowledgements and membership updates carry no vote, so their order cannot break a
+                // guarantee that is checked here.
                 if !matches!(
                     message,
                     Message::Heartbeat { .. }
@@ -126,24 +132,24 @@
                     self.in_flight.push((to, id, message));
                 }
             }
-            let Some(kept) = asked.persist.into_iter().last() else { return Ok(()) };
+            let Some(state) = requests.writes.into_iter().last() else { return Ok(()) };
             if guards == Guards::All {
-                node.pending_writes = Some(kept);
+                node.pending_write = Some(state);
                 return Ok(());
             }
-            let (revision, now) = (kept.revision, self.now);
-            node.pending_writes = Some(kept);
+            let (revision, now) = (state.revision, self.now);
+            node.pending_write = Some(state);
             node.member.persisted(now, revision);
         }
     }
 
-    /// Every state that one step is_leader to.
+    /// Returns every state that one step leads to.
     fn steps(&self, guards: Guards) -> Vec<Result<State, String>> {
         let mut next = vec![];
         let mut step = |id: MemberId, change: &dyn Fn(&mut State)| {
             let mut state = self.clone();
             change(&mut state);
-            next.push(state.settle(id, guards).map(|()| state));
+            next.push(state.execute_requests(id, guards).map(|()| state));
         };
         for i in 0..self.in_flight.len() {
             let (to, _, _) = self.in_flight[i];
@@ -155,18 +161,18 @@
         }
         for id in 1..=3 {
             let node = &self.nodes[&id];
-            if node.pending_writes.is_some() {
+            if node.pending_write.is_some() {
                 step(id, &|s| {
                     let now = s.now;
                     let node = s.nodes.get_mut(&id).unwrap();
-                    if let Some(kept) = node.pending_writes.take() {
-                        let revision = kept.revision;
-                        node.disk = kept;
+                    if let Some(state) = node.pending_write.take() {
+                        let revision = state.revision;
+                        node.disk = state;
                         node.member.persisted(now, revision);
                     }
                 });
             }
-            // Two of them stand, whenever they like.
+            // Members 1 and 2 may stand for election at any time.
             if id < 3 && node.member.term() == 0 {
                 step(id, &|s| {
                     let node = s.nodes.get_mut(&id).unwrap();
@@ -174,12 +180,12 @@
                     node.member.timer_fired(now);
                 });
             }
-            // The third crashes once and comes back at once, with what is on its disk.
+            // Member 3 crashes once and restarts at once from its disk.
             if id == 3 && node.restarts == 0 {
                 step(id, &|s| {
                     let now = s.now;
                     let node = s.nodes.get_mut(&id).unwrap();
-                    node.pending_writes = None;
+                    node.pending_write = None;
                     node.restarts = 1;
                     node.member = start(&node.disk, now, guards);
                 });
@@ -188,18 +194,19 @@
         next
     }
 
-    fn print(&self) -> String {
+    /// Returns a text by which equal states are recognized; the order of messages in flight does not matter.
+    fn fingerprint(&self) -> String {
         let nodes: Vec<String> = self
             .nodes
             .values()
-            .map(|n| format!("{:?}|{:?}|{:?}|{}", n.member, n.disk, n.pending_writes, n.restarts))
+            .map(|n| format!("{:?}|{:?}|{:?}|{}", n.member, n.disk, n.pending_write, n.restarts))
             .collect();
         let in_flight: BTreeSet<String> = self.in_flight.iter().map(|f| format!("{f:?}")).collect();
         format!("{nodes:?} {in_flight:?} {:?} {:?}", self.leaders, self.votes)
     }
 }
 
-/// Goes through all schedules of so many steps. Gives how many states there are, or the first fault.
+/// Explores all schedules of `depth` steps. Returns the number of distinct states; the error is the first broken guarantee.
 fn explore(depth: usize, guards: Guards) -> Result<usize, String> {
     let (mut layer, mut seen) = (vec![State::new()], HashSet::new());
     for _ in 0..depth {
@@ -207,7 +214,7 @@
         for state in &layer {
             for reached in state.steps(guards) {
                 let reached = reached?;
-                if seen.insert(blake3::hash(reached.print().as_bytes())) {
+                if seen.insert(blake3::hash(reached.fingerprint().as_bytes())) {
                     next.push(reached);
                 }
             }
@@ -218,13 +225,13 @@
 }
 
 #[rstest]
-fn every_order_of_two_candidacies_and_a_crash_gives_one_vote_a_term() {
+fn every_order_of_two_candidacies_and_a_crash_gives_one_vote_per_term() {
     let states = explore(9, Guards::All).unwrap();
     assert!(states > 5_000, "{states} states");
 }
 
 #[rstest]
-fn missing_guards_are_found() {
+fn exploration_finds_missing_guards() {
     let found = explore(9, Guards::NeitherSilenceNorSync).unwrap_err();
     assert!(found.contains("votes for") || found.contains("both become_leader"), "{found}");
 }
--- a/crates/leader-election/tests/snapshot.rs
+++ b/crates/leader-election/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots are decoded whole or not at all, and age.
+//! The encoding of snapshots, and the ageing of their content.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -32,7 +32,7 @@
 }
 
 #[rstest]
-fn decodes_what_was_encoded_and_rejects_any_changed_or_missing_byte() {
+fn decodes_an_encoded_snapshot_and_rejects_any_changed_or_missing_byte() {
     let good = Snapshot { weights: snapshot().weights[..1].to_vec(), ..snapshot() };
     let bytes = good.encode().unwrap();
     assert_eq!(Snapshot::decode(&bytes), Ok(good));
@@ -40,22 +40,22 @@
         let mut bad = bytes.clone();
         bad[at] ^= 0x20;
         assert!(Snapshot::decode(&bad).is_err(), "byte {at}");
-        assert!(Snapshot::decode(&bytes[..at]).is_err(), "blocked off at {at}");
+        assert!(Snapshot::decode(&bytes[..at]).is_err(), "truncated after {at} bytes");
     }
 }
 
 #[rstest]
-fn rejects_another_version_by_number() {
+fn rejects_a_snapshot_of_another_format_version() {
     let bytes = snapshot().encode().unwrap();
     let mut content = bytes[..bytes.len() - 16].to_vec();
     content[1] = 9;
-    let sum = blake3::hash(&content);
-    content.extend_from_slice(&sum.as_bytes()[..16]);
+    let checksum = blake3::hash(&content);
+    content.extend_from_slice(&checksum.as_bytes()[..16]);
     assert_eq!(Snapshot::decode(&content), Err(SnapshotError::UnsupportedVersion(9)));
 }
 
 #[rstest]
-fn neither_encodes_nor_decodes_a_too_large_snapshot() {
+fn rejects_a_too_large_snapshot_on_encoding_and_decoding() {
     let mut large = snapshot();
     large.endpoints = vec![large.endpoints[0].clone(); 600_000];
     assert!(matches!(large.encode(), Err(SnapshotError::TooLarge(_))));
@@ -68,11 +68,11 @@
 #[case::old(60, None, 60_800)]
 #[case::very_old(9_000, None, 9_000_800)]
 fn fades_weights_and_keeps_drains(#[case] age_s: u64, #[case] weight: Option<f64>, #[case] known_ms: u64) {
-    let after = snapshot().aged(Duration::from_secs(age_s), Duration::from_secs(60));
-    let left = after.weights_by_server();
-    assert_eq!(left.len(), usize::from(weight.is_some()), "a weight that is no number is never taken");
+    let aged = snapshot().aged(Duration::from_secs(age_s), Duration::from_secs(60));
+    let weights = aged.weights_by_server();
+    assert_eq!(weights.len(), usize::from(weight.is_some()), "a weight that is not a number is dropped");
     if let Some(weight) = weight {
-        assert!((left.values().next().unwrap() - weight).abs() < 1e-3, "{left:?}");
+        assert!((weights.values().next().unwrap() - weight).abs() < 1e-3, "{weights:?}");
     }
-    assert_eq!((after.drains[0].known_for_ms, after.endpoints.len()), (known_ms, 2));
+    assert_eq!((aged.drains[0].known_for_ms, aged.endpoints.len()), (known_ms, 2));
 }
