--- a/crates/singleton-tasks/src/balance.rs
+++ b/crates/singleton-tasks/src/balance.rs
@@ -4,15 +4,15 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Distributes tasks evenly over `members` (in any order, each once) with as few moves as that takes, and returns the
+/// Distributes tasks evenly over `members` (in any order, without repetition) with the fewest moves, and returns the
 /// holder of each task.
 ///
-/// `holders` is the present holder of each task; it keeps a task up to its even share. `preferred` is the member that an
-/// operator wants for a task; it takes precedence if it is one of `members`.
+/// `holders` is the present holder of each task. A holder keeps its tasks up to its even share. `preferred` is the member
+/// that an operator wants for a task. That preference takes precedence if the member is one of `members`.
 ///
 /// # Panics
 ///
-/// If `preferred` is shorter than `holders`.
+/// Panics if `preferred` is shorter than `holders`.
 pub fn balance_tasks(
     holders: &[Option<MemberId>],
     preferred: &[Option<MemberId>],
@@ -30,7 +30,7 @@
 /// A distribution in progress.
 struct Distribution {
     assigned: Vec<Option<MemberId>>,
-    /// How many tasks each member has.
+    /// The number of tasks that each member has.
     counts: BTreeMap<MemberId, usize>,
 }
 
@@ -45,7 +45,7 @@
         Distribution { assigned, counts }
     }
 
-    /// Leaves unassigned tasks with their holders, up to the share of each.
+    /// Assigns unassigned tasks to their present holders, up to the share of each holder.
     fn keep_holders(&mut self, holders: &[Option<MemberId>], members: &[MemberId]) {
         let mut held: Vec<(usize, MemberId)> = vec![];
         for (task, holder) in holders.iter().enumerate() {
@@ -63,18 +63,18 @@
         }
     }
 
-    /// The most tasks that each member may keep. Where tasks do not divide evenly, the members with the most tasks get
-    /// one more: every other choice moves more.
+    /// Returns the maximum number of tasks that each member may keep. If the tasks do not divide evenly, the members with
+    /// the most tasks get one more, which needs the fewest moves.
     fn shares(&self, held: &[(usize, MemberId)], tasks: usize, members: usize) -> BTreeMap<MemberId, usize> {
         let mut wanted = self.counts.clone();
         for (_, id) in held {
             *wanted.entry(*id).or_default() += 1;
         }
-        let mut most_first: Vec<MemberId> = wanted.keys().copied().collect();
-        most_first.sort_by_key(|id| (Reverse(wanted[id]), *id));
+        let mut by_count: Vec<MemberId> = wanted.keys().copied().collect();
+        by_count.sort_by_key(|id| (Reverse(wanted[id]), *id));
         let (base, mut remainder) = (tasks / members, tasks % members);
         let mut shares = BTreeMap::new();
-        for id in most_first {
+        for id in by_count {
             let extra = usize::from(wanted[&id] > base && remainder > 0);
             remainder -= extra;
             shares.insert(id, base + extra);
@@ -82,7 +82,7 @@
         shares
     }
 
-    /// Gives each unassigned task to the member with the fewest.
+    /// Assigns each unassigned task to the member with the fewest tasks.
     fn assign_remaining(&mut self) {
         for task in 0..self.assigned.len() {
             if self.assigned[task].is_none() {
--- a/crates/singleton-tasks/src/context.rs
+++ b/crates/singleton-tasks/src/context.rs
@@ -1,4 +1,4 @@
-//! What all parts of a task manager share: the host, the members, and the time of the current call.
+//! The environment that all parts of a task manager share: the host, the members, and the time of the current call.
 
 use crate::host::Host;
 use crate::message::Message;
@@ -6,14 +6,15 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The environment of a task manager's parts. Messages of a member to itself are queued and handled in the same call.
+/// The environment of a task manager's parts. Messages of a member to itself are queued here and handled within the same
+/// call.
 #[derive(Debug)]
 pub(crate) struct Context<H> {
     pub(crate) host: H,
     pub(crate) own_id: MemberId,
-    /// When the current call began, by this member's clock.
+    /// The time of the current call, by this member's clock.
     pub(crate) now: Duration,
-    /// All voters, this member included if it is one.
+    /// All voters, including this member if it is a voter.
     pub(crate) members: Vec<MemberId>,
     /// The time after which an unanswered request is sent again.
     pub(crate) retry_interval: Duration,
@@ -40,7 +41,7 @@
         }
     }
 
-    /// The next message of this member to itself.
+    /// Takes the next message of this member to itself.
     pub(crate) fn next_own_message(&mut self) -> Option<Message> {
         self.loopback.pop_front()
     }
@@ -53,12 +54,12 @@
         self.members.contains(&self.own_id)
     }
 
-    /// All members but this one.
+    /// Returns all members except this one.
     pub(crate) fn peers(&self) -> Vec<MemberId> {
         self.members.iter().copied().filter(|id| *id != self.own_id).collect()
     }
 
-    /// Whether more than half of the members satisfy the predicate.
+    /// Returns true if more than half of the members satisfy the predicate.
     pub(crate) fn has_quorum(&self, predicate: impl Fn(&MemberId) -> bool) -> bool {
         self.members.iter().filter(|id| predicate(id)).count() * 2 > self.members.len()
     }
--- a/crates/singleton-tasks/src/counts.rs
+++ b/crates/singleton-tasks/src/counts.rs
@@ -1,19 +1,19 @@
-//! What a member counts of the fleet's traffic, by period.
+//! The counts that a member keeps of the fleet's traffic, by period.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Requests and their attempts.
+/// The numbers of requests and of their attempts.
 // Stored by field order and, in account files, by key: do not reorder, do not rename keys.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Requests.
+    /// The number of requests.
     #[serde(rename = "calls")]
     pub requests: u64,
-    /// Attempts, retries included.
+    /// The number of attempts, including retries.
     #[serde(rename = "tries")]
     pub attempts: u64,
-    /// Attempts that were not answered.
+    /// The number of attempts that were not answered.
     #[serde(rename = "dropped")]
     pub unanswered: u64,
 }
@@ -25,8 +25,8 @@
         self.unanswered += other.unanswered;
     }
 
-    /// The greater of each.
-    pub(crate) fn greater_of_each(&self, other: &Counts) -> Counts {
+    /// Returns the greater of the two values of each count.
+    pub(crate) fn max_of_each(&self, other: &Counts) -> Counts {
         Counts {
             requests: self.requests.max(other.requests),
             attempts: self.attempts.max(other.attempts),
@@ -35,22 +35,22 @@
     }
 }
 
-/// The index of a zone and of a route. Attempts are counted under [`NO_ROUTE`].
+/// The index of a zone and the index of a route. Attempts are counted under [`NO_ROUTE`].
 pub type TrafficKey = (u16, u8);
 
-/// What was counted of one zone and route.
+/// The counts of one zone and route.
 pub type CountRow = (TrafficKey, Counts);
 
-/// What was counted, by zone and route. Stored as a list of pairs.
+/// The counts of all zones and routes. Stored as a list of pairs.
 pub type Rows = Vec<CountRow>;
 
-/// The route of attempts, which proxies sum up by server over all routes.
+/// The route index under which attempts are counted: proxies sum up attempts by server, over all routes.
 pub const NO_ROUTE: u8 = u8::MAX;
 
-/// How many periods a member remembers: an account that is closed later lacks this member's part.
+/// The maximum number of periods whose counts a member keeps. An account that is closed later lacks this member's part.
 const MAX_PERIODS: usize = 64;
 
-/// What one member counted, by period.
+/// The traffic counts of one member, by period.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
@@ -58,8 +58,8 @@
 }
 
 impl Tally {
-    /// Adds counts to a period. A clock that was set back counts on in the newest period, since older ones may be
-    /// closed.
+    /// Adds counts to a period. If the period is older than the newest one, because a clock was set back, the counts are
+    /// added to the newest one, since older periods may be closed.
     pub fn add(&mut self, period: u64, key: TrafficKey, counts: Counts) {
         let newest = self.periods.keys().next_back().copied().unwrap_or(0);
         let rows = self.periods.entry(period.max(newest)).or_default();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The counts of the periods from `from` to `to`, both included.
+    /// Returns the counts of the periods from `from` to `to`, both included.
     pub(crate) fn between(&self, from: u64, to: u64) -> Vec<(u64, Rows)> {
         let rows_of =
             |rows: &BTreeMap<TrafficKey, Counts>| rows.iter().map(|(key, counts)| (*key, *counts)).collect();
--- a/crates/singleton-tasks/src/election.rs
+++ b/crates/singleton-tasks/src/election.rs
@@ -1,4 +1,4 @@
-//! What a task manager is told about the election.
+//! The state of the leader election, as passed to a task manager.
 
 use grebespool_leader_election::MemberId;
 use std::time::Duration;
@@ -6,9 +6,9 @@
 /// A leader and its term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Leader {
-    /// The term.
+    /// The term in which the member leads.
     pub term: u64,
-    /// The member that leads in it.
+    /// The member that leads.
     pub id: MemberId,
 }
 
@@ -17,9 +17,9 @@
 pub struct ElectionState {
     /// All voters.
     pub members: Vec<MemberId>,
-    /// Who leads.
+    /// The present leader, if known.
     pub leader: Option<Leader>,
-    /// When this member's lease as leader expires; zero if it does not lead. A leader that wakes from a stall would
-    /// otherwise renew what the next leader has granted to others.
+    /// The time at which this member's lease as leader expires; zero if it does not lead. After that time it must not
+    /// answer renewals: a leader that wakes from a stall would renew leases that the next leader has granted to others.
     pub lease_expires_at: Duration,
 }
--- a/crates/singleton-tasks/src/host.rs
+++ b/crates/singleton-tasks/src/host.rs
@@ -1,4 +1,4 @@
-//! What a task manager needs from the process that runs it.
+//! The interface between a task manager and the process that runs it.
 
 use crate::counts::Rows;
 use crate::message::Message;
@@ -7,59 +7,58 @@
 use grebespool_leader_election::MemberId;
 use std::fmt;
 
-/// Why a member lost the lease of a task.
+/// The reason for which a member lost the lease of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseLossReason {
     /// The leader answered no renewal within the lease.
     Expired,
-    /// The leader granted the task to another member, or suspended it.
+    /// The leader moved the task to another member or suspended it.
     Revoked,
-    /// Somebody has seen this higher token.
+    /// Another member or the target of the effects has seen this higher token.
     Fenced(FencingToken),
 }
 
 impl fmt::Display for LeaseLossReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LeaseLossReason::Expired => f.write_str("the leader has not renewed the lease in time"),
-            LeaseLossReason::Revoked => f.write_str("the leader has revoked the lease"),
-            LeaseLossReason::Fenced(token) => {
-                write!(f, "a holder with the higher token {token} has been seen")
-            }
+            LeaseLossReason::Expired => f.write_str("the leader did not renew the lease in time"),
+            LeaseLossReason::Revoked => f.write_str("the leader revoked the lease"),
+            LeaseLossReason::Fenced(token) => write!(f, "another holder has the higher token {token}"),
         }
     }
 }
 
-/// Something that an operator may want to read in the log.
+/// An event that is written to the log for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskEvent {
-    /// This leader grants nothing to a member that is configured with other tasks.
+    /// This leader grants no tasks to a member that is configured with other tasks.
     ForeignTaskSet {
         /// The member.
         member: MemberId,
     },
-    /// This member is granted nothing, as it is configured with other tasks than the leader.
+    /// The leader grants no tasks to this member, which is configured with other tasks than the leader.
     RejectedByLeader,
-    /// A member renews its leases no more.
+    /// A member no longer renews its leases.
     HolderLost {
         /// The member.
         member: MemberId,
-        /// How many tasks it held.
+        /// The number of tasks that the member held.
         tasks: usize,
     },
 }
 
+// Logged as a whole: a participle phrase whose subject is this process.
 impl fmt::Display for TaskEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TaskEvent::ForeignTaskSet { member } => {
-                write!(f, "grants no tasks to member {member:016x}, which is configured with other tasks")
+                write!(f, "granting no tasks to member {member:016x}, which is configured with other tasks")
             }
             TaskEvent::RejectedByLeader => {
-                f.write_str("is granted no tasks: the leader is configured with other tasks")
+                f.write_str("receiving no tasks: the leader is configured with other tasks")
             }
             TaskEvent::HolderLost { member, tasks } => {
-                write!(f, "receives no renewals from member {member:016x}; {tasks} tasks are free")
+                write!(f, "receiving no renewals from member {member:016x}; freeing its {tasks} tasks")
             }
         }
     }
@@ -67,25 +66,25 @@
 
 /// The effects that a [`TaskManager`](crate::TaskManager) asks for.
 pub trait Host {
-    /// Sends a message to another member. It may get lost: requests are sent again.
+    /// Sends a message to another member. The message may be lost: unanswered requests are sent again.
     fn send(&mut self, to: MemberId, message: Message);
-    /// Writes a register entry to disk; [`TaskManager::persisted`](crate::TaskManager::persisted) is to be called with
-    /// the revision once it is durable.
+    /// Writes a register entry to disk. [`TaskManager::persisted`](crate::TaskManager::persisted) must be called with the
+    /// revision once the entry is durable.
     fn persist(&mut self, task: TaskId, entry: &RegisterEntry, revision: u64);
-    /// All entries of the other members have been copied and handed over to [`Host::persist`]. This has to be found
-    /// again after a crash.
+    /// Records that the entries of most other members have been copied and passed to [`Host::persist`]. The record must
+    /// survive a crash: it is [`StoredTasks::is_copied`](crate::StoredTasks::is_copied) at the next start.
     fn copy_completed(&mut self);
-    /// This member holds the task; work waits for [`Host::ready`].
+    /// Handles that this member now holds the task. Work must wait for [`Host::ready`].
     fn lease_acquired(&mut self, task: TaskId, token: FencingToken);
-    /// Work on the task must have no further effect.
+    /// Handles that this member no longer holds the task. Work on it must have no further effect.
     fn lease_lost(&mut self, task: TaskId, token: FencingToken, reason: LeaseLossReason);
-    /// Work may continue after this step. A step that is not completed is to be executed again, since nobody knows
-    /// whether its effect took place.
+    /// Handles that work may continue after the step `last`. A step that is not completed must be executed again, since it
+    /// is unknown whether its effect took place.
     fn ready(&mut self, task: TaskId, token: FencingToken, last: Option<&StepRecord>);
-    /// The record is durable on a quorum: the effect of a step that was begun may take place; after a step that was
-    /// completed, the next may begin.
+    /// Handles that the record is durable on a quorum. If the record begins a step, the effect of the step may now take
+    /// place; if the record completes a step, the next step may begin.
     fn step_durable(&mut self, task: TaskId, token: FencingToken, record: &StepRecord);
-    /// Another member answered what it counted, by period.
+    /// Handles the answer of a member to a request for its counts, by period.
     fn counts_received(&mut self, from: MemberId, periods: Vec<(u64, Rows)>);
     /// Logs an event.
     fn log(&mut self, event: TaskEvent);
--- a/crates/singleton-tasks/src/journal.rs
+++ b/crates/singleton-tasks/src/journal.rs
@@ -1,5 +1,5 @@
-//! A task's journal, as its holder writes it. All members store it, and a record counts once a quorum has it: any two
-//! quorums intersect, so the next holder finds what a lost one had begun.
+//! The journal of a task, as its holder writes it. All members store the journal, and a record is in force once a quorum
+//! has stored it. Any two quorums intersect, so the next holder finds the step that a lost holder had begun.
 
 use crate::context::Context;
 use crate::host::Host;
@@ -12,11 +12,11 @@
 
 #[derive(Debug, Clone)]
 enum Phase {
-    /// Asks a quorum for the newest record.
+    /// The holder asks for the newest record and waits for the answers of a quorum.
     Opening { newest: Option<StepRecord> },
     /// No request is in flight.
     Idle,
-    /// Writes a record to a quorum.
+    /// The holder writes a record and waits for the answers of a quorum.
     Writing { record: StepRecord },
 }
 
@@ -26,16 +26,16 @@
     task: TaskId,
     token: FencingToken,
     phase: Phase,
-    /// Who has answered the request of this phase.
+    /// The members that have answered the request of this phase.
     answered: BTreeSet<MemberId>,
     last: Option<StepRecord>,
-    /// Whether the host was told that work may continue.
+    /// True once the host has been notified that work may continue.
     is_ready: bool,
     retry_at: Duration,
 }
 
 impl TaskJournal {
-    /// Opens the journal: asks all members for the newest record.
+    /// Opens the journal by asking all members for the newest record.
     pub(crate) fn open(context: &mut Context<impl Host>, task: TaskId, token: FencingToken) -> TaskJournal {
         let mut journal = TaskJournal {
             task,
@@ -54,12 +54,12 @@
         self.token
     }
 
-    /// When requests are to be sent again; `None` if none is in flight.
+    /// Returns the time at which unanswered requests must be sent again; `None` if no request is in flight.
     pub(crate) fn retry_at(&self) -> Option<Duration> {
         (!self.is_idle()).then_some(self.retry_at)
     }
 
-    /// Sends the request of this phase to the members that have not answered.
+    /// Sends the request of this phase to the members that have not answered yet.
     pub(crate) fn send_requests(&mut self, context: &mut Context<impl Host>) {
         let request = match &self.phase {
             Phase::Opening { .. } => Message::OpenRequest { task: self.task, token: self.token },
@@ -93,7 +93,7 @@
         matches!(self.phase, Phase::Idle)
     }
 
-    /// The newest record that is durable on a quorum.
+    /// Returns the newest record that is durable on a quorum.
     pub(crate) fn last(&self) -> Option<&StepRecord> {
         self.last.as_ref()
     }
@@ -113,7 +113,7 @@
             return;
         }
         match newest.take() {
-            // Only a minority may have it: what work continues with must be durable on a quorum first.
+            // Only a minority may have stored the record. It must be durable on a quorum before work continues with it.
             Some(record) => self.start_writing(context, StepRecord { token: self.token, ..record }),
             None => {
                 self.phase = Phase::Idle;
--- a/crates/singleton-tasks/src/lease_holder.rs
+++ b/crates/singleton-tasks/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! The leases that a member holds, by the leader's grants and its own clock.
+//! The holder's side of the leases: a member acquires and drops leases by the leader's grants and its own clock.
 
 use crate::context::Context;
 use crate::election::Leader;
@@ -9,13 +9,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The most renewals whose answers are waited for.
+/// The maximum number of renewals whose answers are still accepted.
 const MAX_UNANSWERED_RENEWALS: usize = 32;
 
-/// The upper half of an incarnation counts the starts, the lower half the losses within one.
+/// The upper half of an incarnation counts the starts of the member, the lower half the lost leases since the last start.
 const RESTARTS_SHIFT: u32 = 32;
 
-/// Which grants a member acts on.
+/// Identifies the grants that a member acts on.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct GrantsVersion {
     term: u64,
@@ -24,30 +24,31 @@
 }
 
 impl GrantsVersion {
-    fn is_of(&self, term: u64, incarnation: u64) -> bool {
+    fn matches(&self, term: u64, incarnation: u64) -> bool {
         (self.term, self.incarnation) == (term, incarnation)
     }
 }
 
-/// A member's part of the leases.
+/// The leases of one member.
 #[derive(Debug, Clone)]
 pub(crate) struct LeaseHolder {
     parameters: TaskLeaseParameters,
     task_set: u64,
     leader: Option<Leader>,
-    /// Rises with each start, and each time that a lease was lost without the leader's order: grants from before are of
-    /// no use, and tokens from before are not taken again.
+    /// The incarnation of this member. It rises with each start and each time that a lease is lost without the leader's
+    /// order: grants of an earlier incarnation are ignored, and a token of an earlier incarnation is not acquired again.
     incarnation: u64,
     grants_version: GrantsVersion,
     granted: BTreeMap<TaskId, FencingToken>,
-    /// Suspended tasks, and until when by this member's clock.
+    /// The suspended tasks, and the end of each suspension by this member's clock.
     suspended_until: BTreeMap<TaskId, Duration>,
     /// The tasks that this member works on.
     active: BTreeMap<TaskId, FencingToken>,
-    /// Tasks that were revoked during a step, and the deadline of that step: when the lease expired at the time of the
-    /// revocation. Later renewals do not extend it, or a step that hangs would keep its task from all others.
+    /// The tasks that were revoked during a step, and the deadline of that step. The deadline is the expiry of the lease at
+    /// the time of the revocation. Later renewals do not extend it: otherwise a step that hangs would withhold its task
+    /// from all other members.
     releasing: BTreeMap<TaskId, Duration>,
-    /// Tasks with a step in progress.
+    /// The tasks with a step in progress.
     busy: BTreeSet<TaskId>,
     lease_expires_at: Duration,
     renewal_number: u64,
@@ -81,7 +82,7 @@
         renewal.into_iter().chain(lease).chain(self.releasing.values().copied()).min()
     }
 
-    /// The token by which the member may act at this moment.
+    /// Returns the token by which the member may act on the task at this moment.
     pub(crate) fn current_token(&self, now: Duration, task: TaskId) -> Option<FencingToken> {
         let release_at = self.releasing.get(&task).copied().unwrap_or(self.lease_expires_at);
         let expires_at = self.lease_expires_at.min(release_at);
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Drops all leases that have expired, whatever the member was doing meanwhile: after a stall they are others'.
+    /// Drops all leases that have expired. This runs before anything else is handled: after a stall, other members may hold
+    /// the tasks.
     fn drop_expired(&mut self, context: &mut Context<impl Host>) {
         let now = context.now;
         let released: Vec<TaskId> =
@@ -170,7 +172,7 @@
         response: RenewResponse,
     ) {
         self.drop_expired(context);
-        // A lease covers the grants that the leader knows this member to have, and no others.
+        // The answer renews the leases of these grants only: the leader knows of no others that this member acts on.
         let renewed =
             GrantsVersion { term: response.term, incarnation: self.incarnation, version: response.version };
         if self.leader != Some(from) || self.grants_version != renewed {
@@ -191,7 +193,7 @@
     ) {
         self.drop_expired(context);
         let known = self.grants_version;
-        let is_newer = !known.is_of(grants.term, grants.incarnation) || grants.version > known.version;
+        let is_newer = !known.matches(grants.term, grants.incarnation) || grants.version > known.version;
         if self.leader != Some(from) || grants.incarnation != self.incarnation || !is_newer {
             return;
         }
@@ -203,12 +205,12 @@
             grants.suspensions.into_iter().map(|(task, left)| (task, until(left))).collect();
         self.release_revoked(context);
         self.acquire_granted(context);
-        // So that the leader knows at once which tasks are free.
+        // Informs the leader at once which revoked tasks this member has released.
         self.send_renewal(context);
     }
 
     fn release_revoked(&mut self, context: &mut Context<impl Host>) {
-        // A new leader may leave a task here that a former one had revoked.
+        // A new leader may have granted again a task that a former leader had revoked.
         let (granted, active) = (&self.granted, &self.active);
         self.releasing.retain(|task, _| granted.get(task) != active.get(task));
         let is_revoked = |(task, token): &(&TaskId, &FencingToken)| granted.get(task) != Some(token);
@@ -242,25 +244,25 @@
         }
     }
 
-    /// Whether the grants that it has are of this term and of its present incarnation.
+    /// Returns true if this member has grants of this term and of its present incarnation.
     fn has_grants_of(&self, term: u64) -> bool {
-        self.grants_version.is_of(term, self.incarnation)
+        self.grants_version.matches(term, self.incarnation)
     }
 
-    /// Starts a new incarnation where the leader has not answered the present one, so that a claim already sent to it becomes
-    /// void: it would leave a task here that the member has just given up.
+    /// Starts a new incarnation if the leader has not answered the claims of the present one, so that claims already sent
+    /// become void. Otherwise the leader could accept a claim to a task that this member has just dropped.
     fn void_unanswered_claims(&mut self) {
         if self.leader.is_some_and(|leader| !self.has_grants_of(leader.term)) {
             self.incarnation += 1;
         }
     }
 
-    /// A step began; it has to be completed before the task is released.
+    /// Records that a step began. If the task is revoked now, it is released only after the step is completed.
     pub(crate) fn step_began(&mut self, task: TaskId) {
         self.busy.insert(task);
     }
 
-    /// No step is in progress any more: a task that was revoked is released.
+    /// Records that no step of the task is in progress, and releases the task if it was revoked.
     pub(crate) fn step_completed(&mut self, context: &mut Context<impl Host>, task: TaskId) {
         self.busy.remove(&task);
         if self.releasing.contains_key(&task) {
@@ -271,7 +273,8 @@
         }
     }
 
-    /// Somebody has seen a higher token: the member stops, and claims anew what it holds.
+    /// Handles a rejection by a member or a target that has seen a higher token. This member drops the lease, and claims its
+    /// remaining leases again in a new incarnation.
     pub(crate) fn fenced(
         &mut self,
         context: &mut Context<impl Host>,
--- a/crates/singleton-tasks/src/lease_manager/flap_damping.rs
+++ b/crates/singleton-tasks/src/lease_manager/flap_damping.rs
@@ -1,12 +1,12 @@
-//! Flap damping: a member that comes and goes is granted nothing for a while, the longer the more often it does.
+//! Flap damping: a member that repeatedly leaves and returns is granted no tasks for a while, which grows with each flap.
 
 use grebespool_leader_election::MemberId;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The damping is doubled with each flap, up to this many.
+/// The maximum number of flaps that count: each doubles the damping.
 const MAX_FLAPS: u32 = 6;
-/// A member that stayed for so many lease waits beyond its damping is steady again.
+/// The number of lease waits after the end of its damping at which a member counts as steady, and its flaps are removed.
 const STEADY_LEASE_WAITS: u32 = 20;
 
 #[derive(Debug, Clone, Copy, Default)]
@@ -15,10 +15,10 @@
     damped_until: Duration,
 }
 
-/// The members that came and went.
+/// The damping of the members that left and returned.
 #[derive(Debug, Clone)]
 pub(super) struct FlapDamping {
-    /// How long it takes until a lost member's leases have expired.
+    /// The time after which the leases of a lost member have expired.
     lease_wait: Duration,
     members: BTreeMap<MemberId, Flaps>,
 }
@@ -28,7 +28,7 @@
         FlapDamping { lease_wait, members: BTreeMap::new() }
     }
 
-    /// Records that a member left, or came back.
+    /// Records that a member left or returned.
     pub(super) fn record(&mut self, now: Duration, id: MemberId) {
         let flaps = self.members.entry(id).or_default();
         flaps.count = (flaps.count + 1).min(MAX_FLAPS);
@@ -39,13 +39,13 @@
         self.members.get(&id).is_some_and(|flaps| now < flaps.damped_until)
     }
 
-    /// When the damping of each member ends.
+    /// Returns the time at which the damping of each member ends.
     pub(super) fn ends(&self) -> impl Iterator<Item = Duration> {
         self.members.values().map(|flaps| flaps.damped_until)
     }
 
-    /// Forgets the flaps of members that have been steady for long enough.
-    pub(super) fn forget_steady(&mut self, now: Duration) {
+    /// Removes the flaps of the members that have been steady for [`STEADY_LEASE_WAITS`].
+    pub(super) fn remove_steady(&mut self, now: Duration) {
         let steady_after = self.lease_wait * STEADY_LEASE_WAITS;
         self.members.retain(|_, flaps| now < flaps.damped_until + steady_after);
     }
--- a/crates/singleton-tasks/src/lease_manager/grants.rs
+++ b/crates/singleton-tasks/src/lease_manager/grants.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The holder of each task in an even distribution. Damped members take part only if there is no other.
+    /// Returns the holder of each task in an even distribution. Damped members get tasks only if all members are damped.
     fn balanced_holders(&self, context: &Context<impl Host>) -> Vec<Option<MemberId>> {
         let present: Vec<MemberId> =
             self.members.keys().copied().filter(|id| context.members.contains(id)).collect();
@@ -48,8 +48,8 @@
         balance_tasks(&holders, &preferred, &candidates)
     }
 
-    /// Revokes the lease if the task is to go elsewhere or is suspended. The task is free once the holder answers that
-    /// it has stopped, or its lease expires. Returns the former holder.
+    /// Revokes the lease if the task moves to another member or is suspended. The task is free once the holder answers that
+    /// it has released the task, or once its lease expires. Returns the former holder.
     fn revoke_if_moved(&mut self, now: Duration, task: TaskId, target: Option<MemberId>) -> Option<MemberId> {
         let lease = &self.leases[task as usize];
         let holder = lease.holder?;
@@ -69,7 +69,7 @@
         Some(holder)
     }
 
-    /// Grants a new lease if nobody holds the task. Returns the new holder.
+    /// Grants a new lease if the task is free. Returns the new holder.
     fn grant_if_free(&mut self, now: Duration, task: TaskId, target: Option<MemberId>) -> Option<MemberId> {
         let lease = &mut self.leases[task as usize];
         let id = target.filter(|_| lease.holder.is_none() && lease.releasing.is_none())?;
@@ -82,7 +82,8 @@
         Some(id)
     }
 
-    /// Records the version of the grants that no longer has the task: once its holder answers that version, the task is free.
+    /// Records the newest version as the first version of the grants without the task. Once the holder acts on that version,
+    /// the task is free.
     fn set_release_version(&mut self, task: TaskId, holder: MemberId) {
         if let Some(release) = &mut self.leases[task as usize].releasing
             && release.holder == holder
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Sends a member its grants as they are now, under the newest version.
+    /// Sends a member its present grants under the newest version.
     fn send_new_grants(&mut self, context: &mut Context<impl Host>, to: MemberId) {
         if let Some(member) = self.members.get_mut(&to) {
             member.version = self.version;
@@ -119,7 +120,7 @@
         suspended.map(|(task, until)| (task, milliseconds_left(until))).collect()
     }
 
-    /// Tells all members of a change of the suspensions, so that these outlive this leader.
+    /// Informs all members of a change of the suspensions, so that the next leader learns the suspensions from their claims.
     pub(super) fn send_grants_to_all(&mut self, context: &mut Context<impl Host>) {
         let members: Vec<MemberId> = self.members.keys().copied().collect();
         for id in members {
--- a/crates/singleton-tasks/src/lease_manager/mod.rs
+++ b/crates/singleton-tasks/src/lease_manager/mod.rs
@@ -1,7 +1,7 @@
-//! The leader's part of the leases: who holds which task, by claims, renewals and silence.
+//! The leader's side of the leases: which member holds which task, as decided by claims, renewals and missing renewals.
 //!
 //! Renewals and claims are in `renewals`, grants and revocations in `grants`, operators' requests in `requests`, the
-//! damping of members that come and go in `flap_damping`.
+//! damping of members that repeatedly leave and return in `flap_damping`.
 
 mod flap_damping;
 mod grants;
@@ -23,7 +23,7 @@
 struct MemberLeases {
     renewed_at: Duration,
     incarnation: u64,
-    /// The version of its grants.
+    /// The version of the member's grants.
     version: u64,
     granted: BTreeMap<TaskId, FencingToken>,
 }
@@ -32,9 +32,9 @@
 #[derive(Debug, Clone, Copy)]
 struct Release {
     holder: MemberId,
-    /// When it ends at the latest.
+    /// The time at which the lease ends at the latest.
     expires_at: Duration,
-    /// The version of the holder's grants from which on it does not hold the task; unset until it is sent.
+    /// The first version of the holder's grants without the task; unset until that version is sent.
     from_version: Option<u64>,
 }
 
@@ -44,12 +44,12 @@
     holder: Option<MemberId>,
     /// The token of the last lease.
     token: FencingToken,
-    /// Since when the task has this holder, or none.
+    /// The time since which `holder` has its present value.
     since: Duration,
-    /// Who may still hold the task after its lease was revoked.
+    /// The former holder, while it may still hold the task after its lease was revoked.
     releasing: Option<Release>,
     suspended_until: Option<Duration>,
-    /// Where an operator wants the task.
+    /// The member to which an operator moved the task.
     preferred: Option<MemberId>,
 }
 
@@ -60,13 +60,13 @@
     }
 }
 
-/// All leases of a term.
+/// All leases that the leader of one term grants.
 #[derive(Debug, Clone)]
 pub(crate) struct LeaseManager {
     term: u64,
     task_set: u64,
     parameters: TaskLeaseParameters,
-    /// By task.
+    /// The leases, by task.
     leases: Vec<TaskLease>,
     members: BTreeMap<MemberId, MemberLeases>,
     flap_damping: FlapDamping,
@@ -74,11 +74,12 @@
     version: u64,
     /// The number of the newest token.
     token_number: u64,
-    /// No new lease is granted before this time: leases of the former leader may run until then, and their holders claim them.
+    /// The time before which no new lease is granted: leases of the former leader may run until then, and their holders
+    /// claim them meanwhile.
     grants_allowed_from: Duration,
-    /// The digest of the tasks of members that are configured with others.
+    /// The digests of the tasks of members that are configured with other tasks than this leader.
     foreign_task_sets: BTreeMap<MemberId, u64>,
-    last_review: Duration,
+    last_evaluated_at: Duration,
 }
 
 impl LeaseManager {
@@ -98,10 +99,11 @@
             flap_damping: FlapDamping::new(parameters.lease_wait()),
             version: 0,
             token_number: 0,
-            // All leases of the former leader have expired by then: it answered nobody after its own lease.
+            // All leases of the former leader have expired by then, since that leader answered no renewal after its own
+            // lease as leader expired.
             grants_allowed_from: now + parameters.lease_wait(),
             foreign_task_sets: BTreeMap::new(),
-            last_review: now,
+            last_evaluated_at: now,
         }
     }
 
@@ -110,16 +112,16 @@
     }
 
     pub(crate) fn next_deadline(&self) -> Duration {
-        let silent = self.members.values().map(|member| self.silent_from(member));
+        let expiries = self.members.values().map(|member| self.leases_expire_at(member));
         let releases = self.leases.iter().filter_map(|lease| lease.releasing.map(|r| r.expires_at));
         let suspensions = self.leases.iter().filter_map(|lease| lease.suspended_until);
         let damped = self.flap_damping.ends();
-        let once = damped.chain([self.grants_allowed_from]).filter(|at| *at > self.last_review);
-        silent.chain(releases).chain(suspensions).chain(once).min().unwrap_or(Duration::MAX)
+        let once = damped.chain([self.grants_allowed_from]).filter(|at| *at > self.last_evaluated_at);
+        expiries.chain(releases).chain(suspensions).chain(once).min().unwrap_or(Duration::MAX)
     }
 
-    /// When all leases of the member have expired, unless it renews them.
-    fn silent_from(&self, member: &MemberLeases) -> Duration {
+    /// Returns the time at which all leases of the member expire unless it renews them.
+    fn leases_expire_at(&self, member: &MemberLeases) -> Duration {
         member.renewed_at + self.parameters.lease_wait()
     }
 
@@ -135,11 +137,11 @@
         })
     }
 
-    /// Handles the passing of [`LeaseManager::next_deadline`].
+    /// Handles the expiry of [`LeaseManager::next_deadline`].
     pub(crate) fn timer_fired(&mut self, context: &mut Context<impl Host>) {
         let now = context.now;
         let is_lost = |(id, member): &(&MemberId, &MemberLeases)| {
-            now >= self.silent_from(member) || !context.members.contains(id)
+            now >= self.leases_expire_at(member) || !context.members.contains(id)
         };
         let lost: Vec<MemberId> = self.members.iter().filter(is_lost).map(|(id, _)| *id).collect();
         for id in lost {
@@ -149,8 +151,8 @@
             lease.releasing = lease.releasing.filter(|release| now < release.expires_at);
             lease.suspended_until = lease.suspended_until.filter(|until| now < *until);
         }
-        self.flap_damping.forget_steady(now);
-        self.last_review = now;
+        self.flap_damping.remove_steady(now);
+        self.last_evaluated_at = now;
         self.distribute(context);
     }
 
@@ -159,8 +161,9 @@
         let Some(member) = self.members.remove(&id) else { return };
         context.host.log(TaskEvent::HolderLost { member: id, tasks: member.granted.len() });
         self.flap_damping.record(now, id);
-        // A member that is no voter any more cannot renew, and holds its tasks until their leases expire.
-        let expires_at = self.silent_from(&member);
+        // The leases of a member that is no longer a voter have not expired yet: such a member cannot renew them, and holds
+        // its tasks until then.
+        let expires_at = self.leases_expire_at(&member);
         for lease in &mut self.leases {
             if lease.holder == Some(id) {
                 lease.set_holder(None, now);
--- a/crates/singleton-tasks/src/lease_manager/renewals.rs
+++ b/crates/singleton-tasks/src/lease_manager/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals, and the claims of members that this leader has not heard before.
+//! Renewals, and the claims of members that renew for the first time in this leader's term or in a new incarnation.
 
 use super::{LeaseManager, MemberLeases};
 use crate::context::Context;
@@ -25,7 +25,8 @@
         }
         self.foreign_task_sets.remove(&from);
         let known = self.members.get(&from).map(|member| member.incarnation);
-        // A request of an earlier incarnation, read late from an old stream, would free what the member holds in this one.
+        // A request of an earlier incarnation, read late from an old stream, would free leases that the member holds in its
+        // present incarnation.
         if known.is_some_and(|known| request.incarnation < known) {
             return;
         }
@@ -52,7 +53,7 @@
         context.send(from, Message::ForeignTaskSet { term: self.term });
     }
 
-    /// Frees the tasks that the member has released, by the version of the grants that it acts on.
+    /// Frees the tasks that the member has released, as shown by the version of the grants that it acts on.
     fn finish_releases(&mut self, from: MemberId, version: u64, busy: &[TaskId]) {
         for (task, lease) in (0..).zip(&mut self.leases) {
             let is_released = lease.releasing.is_some_and(|release| {
@@ -64,8 +65,8 @@
         }
     }
 
-    /// Admits a member that this leader has not heard before, or that was restarted or lost a lease since: it holds what
-    /// it claims and nothing else.
+    /// Admits a member that renews for the first time, or for the first time since it was restarted or lost a lease. Its
+    /// accepted claims are its only leases.
     fn admit_member(&mut self, now: Duration, from: MemberId, incarnation: u64, claims: &LeaseClaims) {
         self.version += 1;
         let was_known = self.members.remove(&from).is_some();
@@ -79,7 +80,7 @@
         self.members.insert(from, member);
     }
 
-    /// Returns the leases that are accepted.
+    /// Grants the member the leases that it claims and may hold, and returns these leases.
     fn accept_claims(
         &mut self,
         now: Duration,
@@ -95,8 +96,8 @@
             if let Some(other) = lease.holder.filter(|holder| *holder != from)
                 && let Some(displaced) = self.members.get_mut(&other)
             {
-                // Possible only with a clock beyond the drift: registers fence the displaced member, and it is told at
-                // its next renewal.
+                // Possible only if a clock exceeds the drift. The registers fence the displaced member, which receives its
+                // new grants with its next renewal.
                 displaced.granted.remove(task);
                 displaced.version = self.version;
             }
@@ -109,7 +110,8 @@
         granted
     }
 
-    /// Of this term a member holds only what this leader granted; of earlier terms, what nobody holds by a higher token.
+    /// Returns true if the member may hold the task by this token. A token of this term must be one that this leader granted;
+    /// a token of an earlier term must be higher than the task's newest token.
     fn is_valid_claim(&self, from: MemberId, task: TaskId, token: FencingToken) -> bool {
         let Some(lease) = self.leases.get(task as usize) else { return false };
         let is_granted = token.term == self.term && lease.holder == Some(from) && lease.token == token;
@@ -117,8 +119,9 @@
         is_granted || is_of_former_term
     }
 
-    /// What the member holds no more is free at once: whoever gets it next has another token. What it claims may be in
-    /// the middle of its last step.
+    /// Frees the tasks that the member held and does not claim. They are free at once, since the next holder gets another
+    /// token. A task that is being released and that the member still claims may be in its last step, so it stays with the
+    /// member until it acts on the newest version of its grants.
     fn free_unclaimed(
         &mut self,
         now: Duration,
@@ -138,8 +141,8 @@
         }
     }
 
-    /// Takes over suspensions that a former leader granted, until grants are allowed: later, an operator may have ended them
-    /// here, which members do not know.
+    /// Adopts the suspensions that a former leader granted. This is done only until grants are allowed: later, an operator
+    /// may have ended a suspension at this leader while members still report it.
     fn adopt_suspensions(&mut self, now: Duration, suspensions: &[(TaskId, u64)]) {
         for (task, milliseconds_left) in suspensions {
             let Some(lease) = self.leases.get_mut(*task as usize) else { continue };
--- a/crates/singleton-tasks/src/ledger.rs
+++ b/crates/singleton-tasks/src/ledger.rs
@@ -1,27 +1,27 @@
-//! Accounts of periods: the sum of what each member counted, corrected when a member answers late.
+//! The accounts of periods. An account sums up the counts of all members and is corrected when a member answers late.
 
 use crate::counts::{Counts, Rows, TrafficKey};
 use grebespool_leader_election::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// For how many periods an account is corrected when a member answers late.
+/// The number of newest closed periods whose accounts are still corrected when a member answers late.
 const CORRECTED_PERIODS: u64 = 4;
 
-/// What the members answered: by member, the rows of each period.
+/// The answers of the members: by member, the counts of each period.
 type Answers = BTreeMap<MemberId, BTreeMap<u64, Rows>>;
 
-/// One period's account as it is written.
+/// The account of one period, as it is written.
 // Stored by field order and, in account files, by key: do not reorder, do not rename.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// The period.
+    /// The number of the period.
     pub period: u64,
-    /// 0 for the first account; a correction has the next number and replaces the one before.
+    /// The revision of the account: 0 for the first one. Each correction has the next number and replaces the one before.
     pub revision: u32,
-    /// The sums.
+    /// The sums over all members that answered.
     pub rows: Rows,
-    /// Members that had not answered when the account was closed.
+    /// The members that had not answered when the account was closed or corrected.
     pub missing: Vec<MemberId>,
 }
 
@@ -32,12 +32,12 @@
     parts: BTreeMap<MemberId, BTreeMap<TrafficKey, Counts>>,
 }
 
-/// The periods that were closed and may still have to be corrected. It is the content of each step of the task, so that
-/// the next holder continues with it.
+/// The next period to close, and the closed periods that may still be corrected. The ledger is the content of each step of
+/// the accounts task, so that the next holder continues with it.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// The next period to be closed.
+    /// The next period to close.
     pub next: u64,
     recent: BTreeMap<u64, ClosedPeriod>,
     /// The account that this step writes.
@@ -45,18 +45,19 @@
 }
 
 impl Ledger {
-    /// A ledger whose first period is `next`.
+    /// Creates a ledger whose first period is `next`.
     pub fn starting_at(next: u64) -> Ledger {
         Ledger { next, ..Ledger::default() }
     }
 
-    /// The first and the last period that members are to be asked for.
+    /// Returns the first and the last period whose counts members must be asked for.
     pub fn open_periods(&self) -> (u64, u64) {
         (self.next.saturating_sub(CORRECTED_PERIODS), self.next)
     }
 
-    /// The next step: a correction of a closed period, or else the account of the next period if that is before `now`.
-    /// `None` if there is neither. `members` are all that should have answered.
+    /// Returns the ledger of the next step, which either corrects a closed period or, if no correction is due, closes the
+    /// next period if that is before `now`. Returns `None` if neither is due. `members` are all members that should have
+    /// answered.
     pub fn next_step(&self, now: u64, members: &[MemberId], answers: &Answers) -> Option<Ledger> {
         let mut next = Ledger { account: None, ..self.clone() };
         next.account = next.correct_closed_period(members, answers);
@@ -66,10 +67,10 @@
         next.account.is_some().then_some(next)
     }
 
-    /// Takes late answers, and returns the account of the first period that they change.
+    /// Merges late answers, and returns the account of the first period that they change.
     fn correct_closed_period(&mut self, members: &[MemberId], answers: &Answers) -> Option<Account> {
         for (period, closed) in &mut self.recent {
-            if closed.take_late_answers(*period, answers) {
+            if closed.merge_late_answers(*period, answers) {
                 closed.revision += 1;
                 return Some(closed.account(*period, members, answers));
             }
@@ -97,16 +98,16 @@
         ClosedPeriod { revision: 0, parts }
     }
 
-    /// Whether the answers change the period. A member that lost its disk answers less than before; what it answered
-    /// then stays counted.
-    fn take_late_answers(&mut self, period: u64, answers: &Answers) -> bool {
+    /// Merges the answers into the period. Returns true if they change it. The greater counts win: a member that lost its
+    /// disk answers less than before, and its earlier answer stays counted.
+    fn merge_late_answers(&mut self, period: u64, answers: &Answers) -> bool {
         let mut changed = false;
         for (id, periods) in answers {
             let Some(rows) = periods.get(&period) else { continue };
             let part = self.parts.entry(*id).or_default();
             for (key, counts) in rows {
                 let known = part.get(key).copied().unwrap_or_default();
-                let newest = known.greater_of_each(counts);
+                let newest = known.max_of_each(counts);
                 changed |= part.insert(*key, newest).unwrap_or_default() != newest;
             }
         }
--- a/crates/singleton-tasks/src/lib.rs
+++ b/crates/singleton-tasks/src/lib.rs
@@ -1,12 +1,12 @@
 //! Singleton tasks: work on behalf of a fleet that one member at a time does (`docs/design/singleton-tasks.md`).
 //!
-//! The crate does no I/O and reads no clock. A [`TaskManager`] is told what happens and when by its own clock, and acts
-//! through its [`Host`].
+//! The crate does no I/O and reads no clock. The caller passes each event to a [`TaskManager`], with the time by this
+//! member's clock; the task manager acts through its [`Host`].
 //!
-//! Guaranteed whatever the clocks do: a fencing token has at most one holder, the tokens of a task only rise, and a step
-//! that a quorum knows to be begun is what the next holder continues with. Guaranteed while clocks keep within the
-//! stated drift: a task has at most one holder at a time. Clocks beyond it are caught where the effect takes place, by
-//! its [`Fence`].
+//! Guaranteed regardless of the clocks: a fencing token has at most one holder, the tokens of a task only rise, and the
+//! next holder continues with the step whose beginning a quorum has stored. Guaranteed while clocks stay within the
+//! configured drift: a task has at most one holder at a time. If a clock exceeds the drift, the [`Fence`] at the target of
+//! the effects rejects the holder with the lower token.
 
 mod balance;
 mod config;
--- a/crates/singleton-tasks/src/message.rs
+++ b/crates/singleton-tasks/src/message.rs
@@ -5,37 +5,39 @@
 use crate::token::{FencingToken, TaskId};
 use serde::{Deserialize, Serialize};
 
-/// The leases that a member holds and the suspensions that it knows: what a new leader starts from.
+/// The leases that a member holds and the suspensions that it knows of. A new leader starts from the claims of all members.
 // On the wire by field order: do not reorder.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseClaims {
-    /// The tasks that it holds, with their tokens.
+    /// The tasks that the member holds, with their tokens.
     pub tasks: Vec<(TaskId, FencingToken)>,
-    /// The suspended tasks, each with the milliseconds that are left.
+    /// The suspended tasks, each with the remaining time in milliseconds.
     pub suspensions: Vec<(TaskId, u64)>,
 }
 
-/// Asks the leader to renew the leases of a member.
+/// The request of a member that the leader renew its leases.
 // On the wire by field order: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewRequest {
     /// The leader's term.
     pub term: u64,
-    /// Rises with each start of the member, and each time that it lost a lease without the leader's order.
+    /// The member's incarnation, which rises with each start and each time that the member loses a lease without the
+    /// leader's order.
     pub incarnation: u64,
-    /// Rises with each request.
+    /// The number of the request, which rises with each request.
     pub number: u64,
-    /// The version of the grants that the member acts on; 0 if it has none of this term and incarnation.
+    /// The version of the grants that the member acts on; 0 if it has no grants of this term and incarnation.
     pub version: u64,
     /// The digest of the tasks that the member is configured with.
     pub task_set: u64,
-    /// The tasks that were revoked and whose last step is not completed.
+    /// The revoked tasks whose last step is not completed.
     pub busy: Vec<TaskId>,
-    /// Sent until the member has grants of this term and incarnation.
+    /// The member's claims; sent until the member has grants of this term and incarnation.
     pub claims: Option<LeaseClaims>,
 }
 
-/// Renews the leases of one version of a member's grants, from when the request was sent.
+/// The renewal of the leases of one version of a member's grants. The leases run from the time at which the member sent the
+/// request.
 // On the wire by field order: do not reorder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RenewResponse {
@@ -47,7 +49,7 @@
     pub version: u64,
 }
 
-/// All tasks that a member is granted.
+/// All tasks that the leader grants to a member.
 // On the wire by field order: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseGrants {
@@ -55,11 +57,11 @@
     pub term: u64,
     /// The member's incarnation.
     pub incarnation: u64,
-    /// Rises with each change of the member's grants.
+    /// The version of the grants, which rises with each change of the member's grants.
     pub version: u64,
     /// The tasks, with their tokens.
     pub tasks: Vec<(TaskId, FencingToken)>,
-    /// The suspended tasks of the fleet, each with the milliseconds that are left.
+    /// The suspended tasks of the fleet, each with the remaining time in milliseconds.
     pub suspensions: Vec<(TaskId, u64)>,
 }
 
@@ -71,14 +73,14 @@
     RenewRequest(RenewRequest),
     /// Answers a renewal.
     RenewResponse(RenewResponse),
-    /// Tells a member what it is granted.
+    /// Informs a member of its grants.
     Grants(LeaseGrants),
-    /// Tells a member that it is configured with other tasks than the leader.
+    /// Informs a member that it is configured with other tasks than the leader.
     ForeignTaskSet {
         /// The leader's term.
         term: u64,
     },
-    /// Opens a task's journal for a holder: the receiver accepts no lower token from here on.
+    /// Opens a task's journal for a holder. The receiver accepts no lower token from then on.
     OpenRequest {
         /// The task.
         task: TaskId,
@@ -101,7 +103,7 @@
         /// The record.
         record: StepRecord,
     },
-    /// Answers a write request, once the record is durable.
+    /// Answers a write request once the record is durable.
     WriteResponse {
         /// The task.
         task: TaskId,
@@ -109,10 +111,10 @@
         token: FencingToken,
         /// The step of the record.
         step: u64,
-        /// Whether the record says that the step is completed.
+        /// True if the record completes the step.
         completed: bool,
     },
-    /// Rejects a request: a higher token was seen.
+    /// Rejects a request because the sender has seen a higher token.
     Fenced {
         /// The task.
         task: TaskId,
@@ -121,21 +123,21 @@
         /// The highest token that the sender has seen.
         highest_token: FencingToken,
     },
-    /// Asks for all register entries from this task on; sent by a member that was added.
+    /// Asks for the register entries of all tasks from `from` on; sent by a member that was added.
     CopyRequest {
         /// The first task.
         from: TaskId,
     },
     /// Answers a copy request.
     CopyResponse {
-        /// The first task that was asked for.
+        /// The first task of the request.
         from: TaskId,
         /// The entries.
         entries: Vec<(TaskId, RegisterEntry)>,
-        /// The task to go on with, if there are more.
+        /// The first task of the next request; unset if all entries have been sent.
         next: Option<TaskId>,
     },
-    /// Asks what the receiver counted in these periods.
+    /// Asks for the receiver's counts of these periods.
     CountRequest {
         /// The first period.
         from: u64,
@@ -144,13 +146,13 @@
     },
     /// Answers a count request.
     CountResponse {
-        /// The periods in which something was counted.
+        /// The periods in which the sender counted anything, with the counts of each.
         periods: Vec<(u64, Rows)>,
     },
 }
 
 impl Message {
-    /// The task whose journal the message is about.
+    /// Returns the task whose journal the message concerns; `None` if the message does not concern a journal.
     pub(crate) fn journal_task(&self) -> Option<TaskId> {
         match self {
             Message::OpenRequest { task, .. }
@@ -162,8 +164,8 @@
         }
     }
 
-    /// Leaves out everything about tasks from `task_count` on. A member with other settings may send messages about
-    /// tasks that have no name here. `None` if nothing is left.
+    /// Removes everything about tasks from `task_count` on, which have no name here: a member with other settings may send
+    /// messages about them. Returns `None` if the message concerns only such a task.
     pub(crate) fn restricted_to(mut self, task_count: usize) -> Option<Message> {
         let exists = |task: TaskId| (task as usize) < task_count;
         match &mut self {
--- a/crates/singleton-tasks/src/register.rs
+++ b/crates/singleton-tasks/src/register.rs
@@ -1,4 +1,5 @@
-//! The part of every task's journal that one member stores, and its copying to a member that was added.
+//! One member's register: the part of every task's journal that the member stores, and the copying of entries to a member
+//! that was added.
 
 use crate::context::Context;
 use crate::host::Host;
@@ -10,15 +11,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most bytes of entries in one copy response: well below a frame between members.
+/// The maximum size of the entries in one copy response, in bytes: well below the size of a frame between members.
 const MAX_COPY_BYTES: usize = 128 << 10;
-/// The bytes that an entry is counted with beside its content.
+/// The size of an entry apart from its content, in bytes, as counted for [`MAX_COPY_BYTES`].
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// How far another member's entries are copied.
+/// The progress of copying another member's entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CopyProgress {
-    /// From this task on they are missing.
+    /// The entries from this task on are missing.
     From(TaskId),
     Complete,
 }
@@ -27,8 +28,9 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Register {
     entries: BTreeMap<TaskId, RegisterEntry>,
-    /// A member that was added has no entries, and would form quorums with those that missed what a quorum of the
-    /// former members had: it answers nobody until it has copied the entries of most of the others.
+    /// False on a member that was added until it has copied the entries of most other members. Until then it answers no
+    /// request: without entries it could form a quorum with members that lack a record which a quorum of the former members
+    /// had.
     has_initial_copy: bool,
     copies: BTreeMap<MemberId, CopyProgress>,
     copy_retry_at: Duration,
@@ -59,7 +61,8 @@
         context.host.persist(task, &self.entries[&task], self.revision);
     }
 
-    /// Sends the message once all that was written so far is durable: a promise that a crash takes back was none.
+    /// Sends the message once all writes requested before this call are durable, so that a crash cannot undo what the
+    /// message promises.
     fn send_when_durable(&mut self, context: &mut Context<impl Host>, to: MemberId, message: Message) {
         if let Some(message) = self.outbox.push(self.revision, to, message) {
             context.send(to, message);
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Rejects a request whose token is lower than the highest one seen. Returns whether it did.
+    /// Rejects the request if its token is lower than the highest one seen. Returns true if the request was rejected.
     fn reject_stale(
         &mut self,
         context: &mut Context<impl Host>,
@@ -130,7 +133,7 @@
         self.send_when_durable(context, from, Message::WriteResponse { task, token, step, completed });
     }
 
-    /// When copies are to be requested again; `None` if all that is needed is copied.
+    /// Returns the time at which copies must be requested again; `None` if no copies are needed.
     pub(crate) fn copy_retry_at(&self, is_member: bool) -> Option<Duration> {
         (!self.has_initial_copy && is_member).then_some(self.copy_retry_at)
     }
@@ -153,7 +156,7 @@
     }
 
     pub(crate) fn receive_copy_request(&self, context: &mut Context<impl Host>, to: MemberId, from: TaskId) {
-        // A member that has not copied the others' entries itself knows less than it should.
+        // A member that has not copied the others' entries itself may lack records.
         if !self.has_initial_copy {
             return;
         }
@@ -191,6 +194,7 @@
         self.check_copied(context);
     }
 
+    /// Ends the copying once the entries of more than half of the other members are complete.
     fn check_copied(&mut self, context: &mut Context<impl Host>) {
         let peers = context.peers();
         let is_complete = |id: &&MemberId| self.copies.get(id) == Some(&CopyProgress::Complete);
--- a/crates/singleton-tasks/src/status.rs
+++ b/crates/singleton-tasks/src/status.rs
@@ -1,25 +1,25 @@
-//! The state of tasks as it is reported to operators.
+//! The state of tasks as reported to operators.
 
 use crate::token::{FencingToken, TaskId};
 use grebespool_leader_election::MemberId;
 use std::time::Duration;
 
-/// A task as its leader sees it. Times are by the leader's clock.
+/// The state of a task as known to the leader. Times are by the leader's clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskStatus {
     /// The task.
     pub task: TaskId,
-    /// Who holds it.
+    /// The member that holds the task, if any.
     pub holder: Option<MemberId>,
     /// The token of the last lease.
     pub token: FencingToken,
-    /// Since when it has this holder, or none.
+    /// The time since which `holder` has its present value.
     pub since: Duration,
-    /// The member that may still be completing a step of it.
+    /// The former holder, while it may still be completing a step of the task.
     pub releasing: Option<MemberId>,
-    /// Until when it is suspended.
+    /// The time at which the suspension ends; unset if the task is not suspended.
     pub suspended_until: Option<Duration>,
-    /// Where an operator wants it.
+    /// The member to which an operator moved the task, if any.
     pub preferred: Option<MemberId>,
 }
 
@@ -28,21 +28,21 @@
 pub struct StaleHolder {
     /// The task.
     pub task: TaskId,
-    /// The holder.
+    /// The stale holder.
     pub from: MemberId,
-    /// Its token.
+    /// The token of its request.
     pub token: FencingToken,
-    /// The highest token that had been seen.
+    /// The highest token seen before the request.
     pub highest_token: FencingToken,
-    /// When the request came, by this member's clock.
+    /// The time at which the request arrived, by this member's clock.
     pub at: Duration,
 }
 
 /// The requests that this member rejected because of their tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FencingStats {
-    /// The last one.
+    /// The last rejected request.
     pub last: Option<StaleHolder>,
-    /// How many there were since the start.
+    /// The number of rejected requests since the start.
     pub rejected: u64,
 }
--- a/crates/singleton-tasks/src/task_manager/dispatch.rs
+++ b/crates/singleton-tasks/src/task_manager/dispatch.rs
@@ -1,4 +1,4 @@
-//! The way of a message to the part that handles it.
+//! The dispatch of messages to the parts of the task manager.
 
 use super::TaskManager;
 use crate::election::Leader;
@@ -90,7 +90,7 @@
         if !journal.is_idle() {
             return;
         }
-        // A revoked task is released once its last step is completed, and not before.
+        // A revoked task must not be released before its last step is completed.
         if journal.last().is_some_and(|last| !last.completed) {
             self.lease_holder.step_began(task);
         } else {
--- a/crates/singleton-tasks/src/task_manager/mod.rs
+++ b/crates/singleton-tasks/src/task_manager/mod.rs
@@ -1,5 +1,5 @@
-//! One member's part of all singleton tasks: the leases that it holds, those that it grants while it leads, and its part
-//! of the journals.
+//! The singleton tasks of one member: the leases that the member holds, the leases that it grants while it leads, and its
+//! part of the journals.
 
 mod dispatch;
 mod steps;
@@ -22,7 +22,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The singleton tasks of one member. All times are by its own clock.
+/// The singleton tasks of one member. All times are by the member's own clock.
 #[derive(Debug)]
 pub struct TaskManager<H> {
     context: Context<H>,
@@ -30,9 +30,10 @@
     lease_holder: LeaseHolder,
     /// Set while this member leads.
     lease_manager: Option<LeaseManager>,
-    /// When this member's lease as leader expires: it must answer nothing as leader after it.
+    /// The time at which this member's lease as leader expires; it must answer no renewal after that time.
     leader_lease_expires_at: Duration,
-    /// The newest term in which this member led: its tokens are numbered once.
+    /// The newest term in which this member led. It does not lead in that term again, so that the term's tokens are
+    /// numbered only once.
     last_led_term: u64,
     register: Register,
     /// The journals of the tasks that this member holds.
@@ -41,7 +42,7 @@
 }
 
 impl<H: Host> TaskManager<H> {
-    /// Starts with what was found on disk.
+    /// Creates a task manager from the state that was found on disk.
     pub fn new(host: H, config: TaskManagerConfig, stored: StoredTasks) -> TaskManager<H> {
         let parameters = config.parameters;
         TaskManager {
@@ -57,17 +58,17 @@
         }
     }
 
-    /// The host.
+    /// Returns the host.
     pub fn host(&mut self) -> &mut H {
         &mut self.context.host
     }
 
-    /// What this member counted.
+    /// Returns the traffic counts of this member.
     pub fn tally(&mut self) -> &mut Tally {
         &mut self.tally
     }
 
-    /// When [`TaskManager::timer_fired`] is to be called next.
+    /// Returns the time at which [`TaskManager::timer_fired`] must be called next.
     pub fn next_deadline(&self) -> Duration {
         let lease_manager = self.lease_manager.as_ref();
         let leader = lease_manager.map(|manager| manager.next_deadline().min(self.leader_lease_expires_at));
@@ -77,23 +78,23 @@
         others.into_iter().flatten().chain(journals).min().unwrap_or(Duration::MAX)
     }
 
-    /// The token by which this member may act on a task at this moment. `now` must have been read right before the
-    /// effect.
+    /// Returns the token by which this member may act on a task at this moment; `None` if it may not. `now` must be read right
+    /// before the effect.
     pub fn current_token(&self, now: Duration, task: TaskId) -> Option<FencingToken> {
         self.lease_holder.current_token(now, task)
     }
 
-    /// The suspended tasks that this member knows of, and until when they are.
+    /// Returns the suspended tasks that this member knows of, and the time at which each suspension ends.
     pub fn suspensions(&self) -> impl Iterator<Item = (TaskId, Duration)> {
         self.lease_holder.suspensions()
     }
 
-    /// The requests of stale holders that this member rejected.
+    /// Returns statistics on the requests of stale holders that this member rejected.
     pub fn fencing_stats(&self) -> FencingStats {
         self.register.fencing_stats()
     }
 
-    /// All tasks as the leader sees them; `None` if this member does not lead.
+    /// Returns the state of all tasks; `None` if this member does not lead.
     pub fn task_statuses(&self) -> Option<Vec<TaskStatus>> {
         self.lease_manager.as_ref().map(|manager| manager.statuses().collect())
     }
@@ -122,11 +123,11 @@
         self.last_led_term = term.unwrap_or(self.last_led_term);
     }
 
-    /// Handles the passing of [`TaskManager::next_deadline`].
+    /// Handles the expiry of [`TaskManager::next_deadline`].
     pub fn timer_fired(&mut self, now: Duration) {
         self.context.now = now;
         self.lease_holder.timer_fired(&mut self.context);
-        // An expired lease is not renewed: this member never answers as leader of that term again.
+        // The lease as leader is not renewed after its expiry, so this member never answers as leader of that term again.
         self.lease_manager = self.lease_manager.take().filter(|_| now < self.leader_lease_expires_at);
         if let Some(manager) = self.lease_manager.as_mut().filter(|manager| now >= manager.next_deadline()) {
             manager.timer_fired(&mut self.context);
@@ -143,7 +144,7 @@
         self.run_to_completion();
     }
 
-    /// Handles that all register entries up to this revision are durable.
+    /// Handles the completion of the writes of register entries up to this revision, which are now durable.
     pub fn persisted(&mut self, now: Duration, revision: u64) {
         self.context.now = now;
         self.register.persisted(&mut self.context, revision);
@@ -157,7 +158,8 @@
         self.run_to_completion();
     }
 
-    /// Asks all members what they counted in the ledger's open periods; the host is told the answers.
+    /// Requests the counts of all members for the ledger's open periods. Each answer is passed to
+    /// [`Host::counts_received`].
     pub fn request_counts(&mut self, now: Duration, ledger: &Ledger) {
         self.context.now = now;
         let (from, to) = ledger.open_periods();
@@ -171,37 +173,40 @@
     ///
     /// # Errors
     ///
-    /// [`TaskError::NotLeader`], [`TaskError::UnknownMember`] or [`TaskError::Suspended`].
+    /// Returns [`TaskError::NotLeader`] if this member does not lead, [`TaskError::UnknownMember`] if the target member does
+    /// not renew leases, and [`TaskError::Suspended`] if the task is suspended.
     ///
     /// # Panics
     ///
-    /// If there is no such task.
+    /// Panics if the task does not exist.
     pub fn move_task(&mut self, now: Duration, task: TaskId, to: MemberId) -> Result<(), TaskError> {
         self.request(now, |manager, context| manager.move_task(context, task, to))
     }
 
-    /// Suspends a task for a while: nobody holds it.
+    /// Suspends a task for `span`, during which no member holds the task.
     ///
     /// # Errors
     ///
-    /// [`TaskError::NotLeader`] or [`TaskError::SuspensionTooLong`].
+    /// Returns [`TaskError::NotLeader`] if this member does not lead, and [`TaskError::SuspensionTooLong`] if `span` exceeds
+    /// [`MAX_SUSPENSION`](crate::MAX_SUSPENSION).
     ///
     /// # Panics
     ///
-    /// If there is no such task.
+    /// Panics if the task does not exist.
     pub fn suspend(&mut self, now: Duration, task: TaskId, span: Duration) -> Result<(), TaskError> {
         self.request(now, |manager, context| manager.suspend(context, task, span))
     }
 
-    /// Ends the suspension of a task, and the preference for a certain member.
+    /// Ends the suspension of a task and the preference for the member to which the task was moved.
     ///
     /// # Errors
     ///
-    /// [`TaskError::NotLeader`] or [`TaskError::NothingToRelease`].
+    /// Returns [`TaskError::NotLeader`] if this member does not lead, and [`TaskError::NothingToRelease`] if the task is
+    /// neither suspended nor moved.
     ///
     /// # Panics
     ///
-    /// If there is no such task.
+    /// Panics if the task does not exist.
     pub fn release(&mut self, now: Duration, task: TaskId) -> Result<(), TaskError> {
         self.request(now, |manager, context| manager.release(context, task))
     }
@@ -213,8 +218,8 @@
     ) -> Result<(), TaskError> {
         self.context.now = now;
         let manager = self.lease_manager.as_mut().filter(|_| now < self.leader_lease_expires_at);
-        let done = change(manager.ok_or(TaskError::NotLeader)?, &mut self.context);
+        let result = change(manager.ok_or(TaskError::NotLeader)?, &mut self.context);
         self.run_to_completion();
-        done
+        result
     }
 }
--- a/crates/singleton-tasks/src/task_manager/steps.rs
+++ b/crates/singleton-tasks/src/task_manager/steps.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 impl<H: Host> TaskManager<H> {
-    /// Begins the next step, with content that is fixed for whoever executes it. Returns false, and does nothing, if the
+    /// Begins the next step. Every holder that executes the step uses this content. Returns false, and does nothing, if the
     /// previous step is not completed, this member does not hold the task, or the content exceeds [`MAX_STEP_BYTES`].
     pub fn begin_step(&mut self, now: Duration, task: TaskId, content: Vec<u8>) -> bool {
         self.context.now = now;
@@ -28,8 +28,8 @@
         is_written
     }
 
-    /// Completes the step that was begun: its effect has taken place. Returns false, and does nothing, if there is no
-    /// such step or this member does not hold the task.
+    /// Completes the step that was begun; to be called once the effect of the step has taken place. Returns false, and does
+    /// nothing, if no step was begun or this member does not hold the task.
     pub fn complete_step(&mut self, now: Duration, task: TaskId) -> bool {
         self.context.now = now;
         let Some(token) = self.current_token(now, task) else { return false };
@@ -41,7 +41,8 @@
         is_written
     }
 
-    /// Handles that the target of a task's effects has seen a higher token: this member stops its work on the task.
+    /// Handles a rejection by the target of a task's effects, which has seen a higher token. This member stops its work on
+    /// the task.
     pub fn fenced(&mut self, now: Duration, task: TaskId, token: FencingToken, highest_token: FencingToken) {
         self.context.now = now;
         self.lease_holder.fenced(&mut self.context, task, token, highest_token);
--- a/crates/singleton-tasks/src/token.rs
+++ b/crates/singleton-tasks/src/token.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A task, by its index among the names that all members of a fleet are configured with alike.
+/// The index of a task among the task names, which are configured the same on all members of a fleet.
 pub type TaskId = u32;
 
-/// Identifies one lease of a task. The leader of a term numbers the leases within it, and a term has one leader: no two
-/// leases of a task have the same token, and a later one's is higher.
+/// The identifier of one lease of a task. The leader of a term numbers the leases that it grants, and a term has one
+/// leader. Therefore no two leases of a task have the same token, and a later lease has a higher token.
 // Stored by field order: do not reorder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
