--- a/crates/singleton-tasks/tests/balance.rs
+++ b/crates/singleton-tasks/tests/balance.rs
@@ -9,23 +9,23 @@
 #[rstest]
 #[case::ten(10)]
 #[case::ten_thousand(10_000)]
-fn losing_one_of_five_members_moves_only_its_tasks(#[case] tasks: usize) {
+fn loss_and_return_of_one_of_five_members_move_only_its_tasks(#[case] tasks: usize) {
     let holders: Vec<Option<MemberId>> =
         balance_tasks(&vec![None; tasks], &vec![None; tasks], &[1, 2, 3, 4, 5]);
-    let next = balance_tasks(&holders, &vec![None; tasks], &[1, 2, 4, 5]);
-    let moved = holders.iter().zip(&next).filter(|(a, b)| a != b).count();
+    let after_loss = balance_tasks(&holders, &vec![None; tasks], &[1, 2, 4, 5]);
+    let moved = holders.iter().zip(&after_loss).filter(|(a, b)| a != b).count();
     assert_eq!(moved, tasks / 5);
-    let back = balance_tasks(&next, &vec![None; tasks], &[1, 2, 3, 4, 5]);
-    assert_eq!(next.iter().zip(&back).filter(|(a, b)| a != b).count(), tasks / 5);
+    let after_return = balance_tasks(&after_loss, &vec![None; tasks], &[1, 2, 3, 4, 5]);
+    assert_eq!(after_loss.iter().zip(&after_return).filter(|(a, b)| a != b).count(), tasks / 5);
 }
 
 #[rstest]
-fn keeps_a_preference_and_distributes_the_rest_evenly() {
+fn follows_preferences_for_members_and_distributes_the_rest_evenly() {
     let mut preferred = vec![None; 9];
     (preferred[0], preferred[1]) = (Some(3), Some(9));
-    let holders: Vec<Option<MemberId>> = (0..9).map(|d| Some(1 + d % 3)).collect();
+    let holders: Vec<Option<MemberId>> = (0..9).map(|task| Some(1 + task % 3)).collect();
     let next = balance_tasks(&holders, &preferred, &[1, 2, 3]);
-    assert_eq!((next[0], next[1]), (Some(3), Some(2)), "one that is not there is no preference");
+    assert_eq!((next[0], next[1]), (Some(3), Some(2)), "a preference for a member that is absent is ignored");
     let count = |id| next.iter().filter(|n| **n == Some(id)).count();
     assert_eq!((count(1), count(2), count(3)), (3, 3, 3));
 }
--- a/crates/singleton-tasks/tests/fence.rs
+++ b/crates/singleton-tasks/tests/fence.rs
@@ -1,4 +1,4 @@
-//! The check of a token before an effect.
+//! The check of a fencing token before an effect.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
--- a/crates/singleton-tasks/tests/fixtures.rs
+++ b/crates/singleton-tasks/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Stored records and messages between members keep their bytes: what an earlier release wrote is read, and written
-//! again, without a difference.
+//! The encoding of stored records and of messages between members is stable: the bytes that an earlier release wrote are
+//! decoded, and encoded again to the same bytes.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -20,16 +20,16 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// The fixture's lines: a name and the bytes in hexadecimal.
+/// Parses a fixture's lines, each a name and bytes in hexadecimal.
 fn lines(file: &str) -> BTreeMap<String, Vec<u8>> {
     let parse = |line: &str| {
-        let (name, bytes) = line.split_once(' ').expect("a name and bytes");
+        let (name, bytes) = line.split_once(' ').expect("a line has a name and bytes");
         (name.to_owned(), unhex(bytes))
     };
     file.lines().filter(|line| !line.is_empty()).map(parse).collect()
 }
 
-fn reads_and_writes_the_same<T>(file: &str, name: &str, expected: &T)
+fn assert_stable_encoding<T>(file: &str, name: &str, expected: &T)
 where
     T: Serialize + DeserializeOwned + PartialEq + Debug,
 {
@@ -110,8 +110,9 @@
     ]
 }
 
-/// The place of a message's kind in the enumeration. A variant that is added has to be placed here.
-fn kind(message: &Message) -> usize {
+/// Returns the index of a message's variant in the enumeration, which postcard writes. A variant that is added needs an
+/// index here.
+fn variant_index(message: &Message) -> usize {
     match message {
         Message::RenewRequest { .. } => 0,
         Message::RenewResponse { .. } => 1,
@@ -129,63 +130,67 @@
     }
 }
 
-/// A ledger that closed two periods and corrected the first, because member 9 was heard late.
+/// Returns a ledger that closed two periods and corrected the first, because member 9 answered late.
 fn ledger() -> Ledger {
     let members = [8, 9];
     let mut answers = BTreeMap::from([(8, BTreeMap::from([(40, rows()), (41, rows())]))]);
-    let first = Ledger::starting_at(40).next_step(42, &members, &answers).expect("period 40 is over");
-    let second = first.next_step(42, &members, &answers).expect("period 41 is over");
+    let first = Ledger::starting_at(40).next_step(42, &members, &answers).expect("period 40 can be closed");
+    let second = first.next_step(42, &members, &answers).expect("period 41 can be closed");
     answers.insert(9, BTreeMap::from([(40, rows())]));
-    second.next_step(42, &members, &answers).expect("a correction of period 40")
+    second.next_step(42, &members, &answers).expect("period 40 can be corrected")
 }
 
 #[rstest]
-fn every_message_between_members_keeps_its_bytes() {
+fn encoding_of_every_message_is_stable() {
     let messages = messages();
     for (name, message) in &messages {
-        reads_and_writes_the_same(MESSAGES, name, message);
-        assert_eq!(usize::from(lines(MESSAGES)[*name][0]), kind(message), "the variant's place in {name}");
+        assert_stable_encoding(MESSAGES, name, message);
+        assert_eq!(
+            usize::from(lines(MESSAGES)[*name][0]),
+            variant_index(message),
+            "the variant's index in {name}"
+        );
     }
-    assert_eq!(lines(MESSAGES).len(), messages.len(), "each message stands in the fixture, and nothing else");
-    let kinds: std::collections::BTreeSet<usize> =
-        messages.iter().map(|(_, message)| kind(message)).collect();
-    assert_eq!(kinds, (0..13).collect(), "every variant stands in the fixture");
+    assert_eq!(lines(MESSAGES).len(), messages.len(), "the fixture has one line for each message");
+    let variants: std::collections::BTreeSet<usize> =
+        messages.iter().map(|(_, message)| variant_index(message)).collect();
+    assert_eq!(variants, (0..13).collect(), "the fixture has every variant");
 }
 
 #[rstest]
-fn stored_register_entry_keeps_its_bytes() {
-    reads_and_writes_the_same(RECORDS, "register-entry", &entry());
-    reads_and_writes_the_same(RECORDS, "register-entry-empty", &RegisterEntry::default());
+fn encoding_of_a_register_entry_is_stable() {
+    assert_stable_encoding(RECORDS, "register-entry", &entry());
+    assert_stable_encoding(RECORDS, "register-entry-empty", &RegisterEntry::default());
 }
 
 #[rstest]
-fn stored_claims_keep_their_bytes() {
-    reads_and_writes_the_same(RECORDS, "claims", &claims());
+fn encoding_of_claims_is_stable() {
+    assert_stable_encoding(RECORDS, "claims", &claims());
 }
 
 #[rstest]
-fn stored_tally_keeps_its_bytes() {
+fn encoding_of_a_tally_is_stable() {
     let mut tally = Tally::default();
     tally.add(40, (1, 2), counts(500));
     tally.add(41, (300, NO_ROUTE), counts(600));
-    reads_and_writes_the_same(RECORDS, "tally", &tally);
-    reads_and_writes_the_same(RECORDS, "rows", &rows());
+    assert_stable_encoding(RECORDS, "tally", &tally);
+    assert_stable_encoding(RECORDS, "rows", &rows());
 }
 
 #[rstest]
-fn stored_ledger_and_account_keep_their_bytes() {
+fn encoding_of_a_ledger_and_an_account_is_stable() {
     let ledger = ledger();
-    reads_and_writes_the_same(RECORDS, "ledger", &ledger);
+    assert_stable_encoding(RECORDS, "ledger", &ledger);
     let account =
         Account { period: 40, revision: 1, rows: ledger.account.clone().unwrap().rows, missing: vec![] };
     assert_eq!(ledger.account, Some(account.clone()));
     assert_eq!(account.rows[0], ((1, 2), Counts { requests: 1000, attempts: 1002, unanswered: 1004 }));
-    reads_and_writes_the_same(RECORDS, "account", &account);
+    assert_stable_encoding(RECORDS, "account", &account);
 }
 
-/// The accounts are written as JSON files, which go by key.
+/// Accounts are written as JSON files, so the names of their fields must not change.
 #[rstest]
-fn account_written_as_json_keeps_its_keys() {
+fn keys_of_an_account_in_json_are_stable() {
     let json = include_str!("fixtures/account.json").trim_end();
     let account = Account { period: 40, revision: 1, rows: rows(), missing: vec![9] };
     assert_eq!(serde_json::to_string(&account).unwrap(), json);
--- a/crates/singleton-tasks/tests/tasks/cluster.rs
+++ b/crates/singleton-tasks/tests/tasks/cluster.rs
@@ -1,6 +1,6 @@
-//! A deterministic cluster: members with tasks under a simulated network, disks and clocks that fail. What must hold at
-//! all times is checked after each step. Who leads is decided here, as `grebespool-leader-election` would: a former
-//! leader's lease is over before the next leads.
+//! A deterministic cluster: members with tasks, and a simulated network, disks and clocks that fail. The guarantees are
+//! checked after each step. The cluster elects leaders itself, with the guarantee of `grebespool-leader-election`: the lease
+//! of a former leader has expired before the next one leads.
 
 use grebespool_leader_election::MemberId;
 use grebespool_singleton_tasks::*;
@@ -20,26 +20,28 @@
     renew_interval: Duration::from_millis(300),
     clock_drift: 0.05,
 };
-const LEADS: Duration = Duration::from_millis(900);
+const LEADER_LEASE: Duration = Duration::from_millis(900);
 const BETWEEN_STEPS: Duration = Duration::from_millis(40);
 
-/// What a task touches: the steps that took place, each with its content.
+/// The target of a task's effects, with the token, the number and the content of each applied step.
 #[derive(Default)]
 pub(crate) struct Target {
     pub(crate) fence: Fence,
     pub(crate) applied_steps: Vec<(FencingToken, u64, Vec<u8>)>,
-    pub(crate) refused: usize,
+    pub(crate) rejected: usize,
 }
 
+/// The requests of a task manager to its host.
 #[derive(Default)]
 pub(crate) struct Requests {
-    pub(crate) send: Vec<(MemberId, Message)>,
-    pub(crate) persist: Vec<(TaskId, RegisterEntry, u64)>,
+    pub(crate) messages: Vec<(MemberId, Message)>,
+    pub(crate) writes: Vec<(TaskId, RegisterEntry, u64)>,
     pub(crate) copied: bool,
     pub(crate) acquired: Vec<(TaskId, FencingToken)>,
     pub(crate) lost: Vec<(TaskId, FencingToken)>,
-    /// To be done now, or to be gone on with.
+    /// The steps whose effect must take place now.
     pub(crate) effects: Vec<(TaskId, FencingToken, StepRecord)>,
+    /// The tasks whose next step may begin, with the number of the last step.
     pub(crate) continuable: Vec<(TaskId, u64)>,
 }
 
@@ -48,10 +50,10 @@
 
 impl Host for TestHost {
     fn send(&mut self, to: MemberId, message: Message) {
-        self.0.borrow_mut().send.push((to, message));
+        self.0.borrow_mut().messages.push((to, message));
     }
     fn persist(&mut self, task: TaskId, entry: &RegisterEntry, revision: u64) {
-        self.0.borrow_mut().persist.push((task, entry.clone(), revision));
+        self.0.borrow_mut().writes.push((task, entry.clone(), revision));
     }
     fn copy_completed(&mut self) {
         self.0.borrow_mut().copied = true;
@@ -69,29 +71,34 @@
         }
     }
     fn step_durable(&mut self, task: TaskId, token: FencingToken, record: &StepRecord) {
-        let mut asked = self.0.borrow_mut();
+        let mut requests = self.0.borrow_mut();
         if record.completed {
-            asked.continuable.push((task, record.step));
+            requests.continuable.push((task, record.step));
         } else {
-            asked.effects.push((task, token, record.clone()));
+            requests.effects.push((task, token, record.clone()));
         }
     }
     fn counts_received(&mut self, _: MemberId, _: Vec<(u64, Rows)>) {}
     fn log(&mut self, _: TaskEvent) {}
 }
 
+/// A process with its clock and its disk.
 pub(crate) struct Node {
+    /// Unset while the process is not running.
     pub(crate) tasks: Option<TaskManager<TestHost>>,
     pub(crate) host: TestHost,
     pub(crate) disk: BTreeMap<TaskId, RegisterEntry>,
     pub(crate) copied: bool,
     pub(crate) restarts: u32,
+    /// The writes in progress, each with the time at which it is durable.
     pub(crate) pending_writes: Vec<(Duration, (TaskId, RegisterEntry, u64))>,
     pub(crate) disk_delay: Duration,
     pub(crate) paused: bool,
+    /// A true time, and what the node's clock shows at that time.
     pub(crate) clock_base: (Duration, Duration),
+    /// The rate of the node's clock from then on, as a multiple of the true rate.
     pub(crate) clock_rate: f64,
-    /// When it goes on with a task.
+    /// The times at which the node begins the next step of a task.
     pub(crate) scheduled: Vec<(Duration, TaskId)>,
 }
 
@@ -99,34 +106,37 @@
     pub(crate) fn clock(&self, now: Duration) -> Duration {
         self.clock_base.1 + now.saturating_sub(self.clock_base.0).mul_f64(self.clock_rate)
     }
-    pub(crate) fn real_time(&self, own: Duration) -> Duration {
-        if own == Duration::MAX {
-            own
+    /// Returns the true time at which the node's clock shows `clock_time`.
+    pub(crate) fn real_time(&self, clock_time: Duration) -> Duration {
+        if clock_time == Duration::MAX {
+            clock_time
         } else {
-            self.clock_base.0 + own.saturating_sub(self.clock_base.1).div_f64(self.clock_rate)
+            self.clock_base.0 + clock_time.saturating_sub(self.clock_base.1).div_f64(self.clock_rate)
         }
     }
 }
 
 #[derive(Clone)]
 pub(crate) enum InFlight {
+    /// A message, after its receiver and its sender.
     Message(MemberId, MemberId, Message),
-    /// An effect on its way to what the task touches, and the answer on its way back.
+    /// An effect on its way from a member to the target.
     Effect(MemberId, TaskId, FencingToken, StepRecord),
+    /// The target's answer on its way back to the member.
     Answer(MemberId, TaskId, FencingToken, FenceDecision),
 }
 
-/// Guards that are taken out, to see that each is missed.
+/// The guard that is removed, to show that its lack is detected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MissingGuard {
     None,
-    /// The target takes whatever comes.
+    /// The target applies every effect.
     Fence,
-    /// A disk says that it has written before it has.
+    /// Disks report writes as durable before they are.
     Disk,
-    /// Clocks keep to nothing.
+    /// Clocks exceed the drift.
     Clocks,
-    /// A member that was added answers before it has copied.
+    /// A member that was added answers before it has copied the others' entries.
     Copy,
 }
 
@@ -134,29 +144,33 @@
     pub(crate) now: Duration,
     pub(crate) nodes: BTreeMap<MemberId, Node>,
     pub(crate) in_flight: BTreeMap<(Duration, u64), InFlight>,
-    pub(crate) sent: u64,
+    pub(crate) messages_sent: u64,
     pub(crate) rng: Pcg64Mcg,
     pub(crate) loss: f64,
     pub(crate) duplication: f64,
     pub(crate) max_delay: Duration,
+    /// The blocked links as (sender, receiver).
     pub(crate) blocked: BTreeSet<(MemberId, MemberId)>,
     pub(crate) missing_guard: MissingGuard,
     pub(crate) targets: BTreeMap<TaskId, Target>,
-    /// Who took which token, and the newest taken of each task.
+    /// The member that acquired each token.
     pub(crate) acquired: BTreeMap<(TaskId, FencingToken), MemberId>,
+    /// The highest token acquired of each task.
     pub(crate) newest: BTreeMap<TaskId, FencingToken>,
+    /// The term and the id of the leader.
     pub(crate) leader: Option<(u64, MemberId)>,
     pub(crate) term: u64,
-    /// Until when it leads, by the cluster's time; and by its own clock, as it was told.
+    /// The expiry of the leader's lease by the cluster's time.
     pub(crate) lease_expires_at: Duration,
+    /// The expiry of the leader's lease by the leader's clock, as last passed to the leader.
     pub(crate) own_lease_expires_at: Duration,
     pub(crate) members: Vec<MemberId>,
-    /// What each knows of who leads.
+    /// The leader as known to each member.
     pub(crate) known_leader: BTreeMap<MemberId, Option<(u64, MemberId)>>,
     pub(crate) violations: Vec<String>,
     pub(crate) acquisitions: usize,
     pub(crate) tasks: usize,
-    /// Disks that say they have written, and have not.
+    /// The members and revisions whose writes are reported as durable before they are.
     pub(crate) unwritten: Vec<(MemberId, u64)>,
 }
 
@@ -166,14 +180,14 @@
             now: S(10),
             nodes: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            sent: 0,
+            messages_sent: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             loss: 0.0,
             duplication: 0.0,
             max_delay: MS(20),
             blocked: BTreeSet::new(),
             missing_guard,
-            targets: (0..tasks as TaskId).map(|d| (d, Target::default())).collect(),
+            targets: (0..tasks as TaskId).map(|task| (task, Target::default())).collect(),
             acquired: BTreeMap::new(),
             newest: BTreeMap::new(),
             leader: None,
@@ -193,9 +207,9 @@
     }
 
     pub(crate) fn add_node(&mut self, id: MemberId, copied: bool) {
-        let wild = self.missing_guard == MissingGuard::Clocks;
+        let exceeds_drift = self.missing_guard == MissingGuard::Clocks;
         let clock_rate =
-            if wild { self.rng.random_range(0.4..1.0) } else { self.rng.random_range(0.951..1.049) };
+            if exceeds_drift { self.rng.random_range(0.4..1.0) } else { self.rng.random_range(0.951..1.049) };
         let node = Node {
             tasks: None,
             host: TestHost::default(),
@@ -227,6 +241,7 @@
         self.publish_election(id);
     }
 
+    /// Stops the process; writes that are not durable are lost.
     pub(crate) fn crash(&mut self, id: MemberId) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.tasks = None;
@@ -234,55 +249,59 @@
         }
     }
 
-    /// Tells a member who leads, as its leader election would.
+    /// Passes the state of the election to a member, as its leader election would.
     pub(crate) fn publish_election(&mut self, id: MemberId) {
         let (known_leader, lease_expires_at) =
             (self.known_leader.get(&id).copied().flatten(), self.lease_expires_at);
         let members = self.members.clone();
         let Some(node) = self.nodes.get(&id) else { return };
-        // By its own clock, a little less than what the others wait for.
-        let own = node.clock(self.now)
+        // By the member's own clock the lease expires no later than by the cluster's time.
+        let own_expiry = node.clock(self.now)
             + lease_expires_at.saturating_sub(self.now).mul_f64(node.clock_rate.min(1.0));
-        let lease_expires_at =
-            if known_leader == self.leader && lease_expires_at > self.now { own } else { Duration::ZERO };
+        let lease_expires_at = if known_leader == self.leader && lease_expires_at > self.now {
+            own_expiry
+        } else {
+            Duration::ZERO
+        };
         if known_leader.is_some_and(|(_, leader)| leader == id) {
             self.own_lease_expires_at = lease_expires_at;
         }
         let leader = known_leader.map(|(term, id)| Leader { term, id });
         let election = ElectionState { members, leader, lease_expires_at };
-        self.call(id, |d, now| d.election_changed(now, election));
+        self.call(id, |tasks, now| tasks.election_changed(now, election));
     }
 
     pub(crate) fn elect(&mut self, id: MemberId) {
         self.term += 1;
         self.leader = Some((self.term, id));
-        self.lease_expires_at = self.now + LEADS;
+        self.lease_expires_at = self.now + LEADER_LEASE;
         self.known_leader.insert(id, self.leader);
         self.publish_election(id);
     }
 
+    /// Calls a task manager and executes its requests. Returns the result of the call; `None` if the process is not running.
     pub(crate) fn call<T>(
         &mut self,
         id: MemberId,
-        what: impl FnOnce(&mut TaskManager<TestHost>, Duration) -> T,
+        operation: impl FnOnce(&mut TaskManager<TestHost>, Duration) -> T,
     ) -> Option<T> {
         let now = self.now;
         let node = self.nodes.get_mut(&id)?;
         let clock = node.clock(now);
-        let done = what(node.tasks.as_mut()?, clock);
-        let asked = std::mem::take(&mut *node.host.0.borrow_mut());
-        let mut told = None;
-        for (i, (task, entry, revision)) in asked.persist.into_iter().enumerate() {
-            let busy = node.pending_writes.last().map_or(now, |w| w.0.max(now));
+        let result = operation(node.tasks.as_mut()?, clock);
+        let requests = std::mem::take(&mut *node.host.0.borrow_mut());
+        let mut newest_revision = None;
+        for (i, (task, entry, revision)) in requests.writes.into_iter().enumerate() {
+            let disk_idle_at = node.pending_writes.last().map_or(now, |w| w.0.max(now));
             node.pending_writes
-                .push((busy + node.disk_delay * (1 + u32::from(i == 0)), (task, entry, revision)));
-            told = Some(revision);
+                .push((disk_idle_at + node.disk_delay * (1 + u32::from(i == 0)), (task, entry, revision)));
+            newest_revision = Some(revision);
         }
-        node.copied |= asked.copied;
-        for (task, _) in asked.continuable {
+        node.copied |= requests.copied;
+        for (task, _) in requests.continuable {
             node.scheduled.push((now + BETWEEN_STEPS, task));
         }
-        for (task, token) in asked.acquired {
+        for (task, token) in requests.acquired {
             self.acquisitions += 1;
             let first = *self.acquired.entry((task, token)).or_insert(id);
             if first != id {
@@ -290,25 +309,29 @@
             }
             let newest = self.newest.entry(task).or_default();
             if token <= *newest && self.missing_guard != MissingGuard::Clocks {
-                self.violations.push(format!("{token} of {task} was taken after {newest}"));
+                self.violations.push(format!("{token} of {task} was acquired after {newest}"));
             }
             *newest = token.max(*newest);
         }
-        for (to, message) in asked.send {
+        for (to, message) in requests.messages {
             self.send(id, to, message);
         }
-        for (task, token, record) in asked.effects {
+        for (task, token, record) in requests.effects {
             self.start_effect(id, task, token, record);
         }
-        self.unwritten
-            .extend(told.filter(|_| self.missing_guard == MissingGuard::Disk).map(|revision| (id, revision)));
-        Some(done)
+        self.unwritten.extend(
+            newest_revision
+                .filter(|_| self.missing_guard == MissingGuard::Disk)
+                .map(|revision| (id, revision)),
+        );
+        Some(result)
     }
 
-    pub(crate) fn send_later(&mut self, what: InFlight) {
-        let late = self.max_delay.mul_f64(self.rng.random_range(0.01..1.0));
-        self.sent += 1;
-        self.in_flight.insert((self.now + late, self.sent), what);
+    /// Puts an item in flight with a random delay.
+    pub(crate) fn send_later(&mut self, item: InFlight) {
+        let delay = self.max_delay.mul_f64(self.rng.random_range(0.01..1.0));
+        self.messages_sent += 1;
+        self.in_flight.insert((self.now + delay, self.messages_sent), item);
     }
 
     pub(crate) fn send(&mut self, from: MemberId, to: MemberId, message: Message) {
@@ -320,7 +343,8 @@
         }
     }
 
-    /// It checks its lease at that moment, and what it writes may lie in a buffer for as long as it likes.
+    /// Sends an effect to the target if the member's lease is valid at this moment. The effect may arrive after the lease has
+    /// expired, as if it had waited in a buffer.
     pub(crate) fn start_effect(
         &mut self,
         id: MemberId,
@@ -329,38 +353,40 @@
         record: StepRecord,
     ) {
         let node = &self.nodes[&id];
-        let current_token = node.tasks.as_ref().and_then(|d| d.current_token(node.clock(self.now), task));
+        let current_token =
+            node.tasks.as_ref().and_then(|tasks| tasks.current_token(node.clock(self.now), task));
         if current_token == Some(token) {
             self.send_later(InFlight::Effect(id, task, token, record));
         }
     }
 
-    pub(crate) fn arrive(&mut self, what: InFlight, key: (Duration, u64)) {
-        match what {
+    /// Handles the arrival of an item. Items for a paused process are put in flight again.
+    pub(crate) fn arrive(&mut self, item: InFlight, key: (Duration, u64)) {
+        match item {
             InFlight::Message(to, from, message) => {
                 if self.nodes.get(&to).is_some_and(|n| n.paused) {
                     self.in_flight.insert((self.now + MS(20), key.1), InFlight::Message(to, from, message));
                 } else {
-                    self.call(to, |d, now| d.receive(now, from, message));
+                    self.call(to, |tasks, now| tasks.receive(now, from, message));
                 }
             }
             InFlight::Effect(id, task, token, record) => {
-                let checked = self.missing_guard != MissingGuard::Fence;
+                let has_fence = self.missing_guard != MissingGuard::Fence;
                 let target = self.targets.get_mut(&task).unwrap();
                 let decision =
-                    if checked { target.fence.admit(token, record.step) } else { FenceDecision::Apply };
+                    if has_fence { target.fence.admit(token, record.step) } else { FenceDecision::Apply };
                 match decision {
                     FenceDecision::Apply => target.applied_steps.push((token, record.step, record.content)),
                     FenceDecision::AlreadyApplied => {
-                        let done = target.applied_steps.iter().find(|d| d.1 == record.step);
-                        if done.is_none_or(|d| d.2 != record.content) {
-                            self.violations.push(format!("step {} of {task} was two things", record.step));
+                        let applied = target.applied_steps.iter().find(|step| step.1 == record.step);
+                        if applied.is_none_or(|step| step.2 != record.content) {
+                            self.violations.push(format!("step {} of {task} has two contents", record.step));
                         }
                     }
                     FenceDecision::StepsMissing => {
                         self.violations.push(format!("steps of {task} before {} are missing", record.step))
                     }
-                    FenceDecision::Stale(_) => target.refused += 1,
+                    FenceDecision::Stale(_) => target.rejected += 1,
                 }
                 self.send_later(InFlight::Answer(id, task, token, decision));
             }
@@ -370,10 +396,11 @@
                         .insert((self.now + MS(20), key.1), InFlight::Answer(id, task, token, decision));
                     return;
                 }
-                let own = |d: &TaskManager<TestHost>, now| d.current_token(now, task) == Some(token);
-                self.call(id, |d, now| match decision {
-                    FenceDecision::Stale(highest_token) => d.fenced(now, task, token, highest_token),
-                    _ if own(d, now) => drop(d.complete_step(now, task)),
+                let holds_lease =
+                    |tasks: &TaskManager<TestHost>, now| tasks.current_token(now, task) == Some(token);
+                self.call(id, |tasks, now| match decision {
+                    FenceDecision::Stale(highest_token) => tasks.fenced(now, task, token, highest_token),
+                    _ if holds_lease(tasks, now) => drop(tasks.complete_step(now, task)),
                     _ => {}
                 });
             }
@@ -385,39 +412,40 @@
         while self.now < end {
             self.now = self.next_event_at().max(self.now + Duration::from_micros(50)).min(end);
             self.run_election();
-            while let Some((key, what)) = self.in_flight.first_key_value().map(|(k, w)| (*k, w.clone())) {
+            while let Some((key, item)) = self.in_flight.first_key_value().map(|(k, i)| (*k, i.clone())) {
                 if key.0 > self.now {
                     break;
                 }
                 self.in_flight.remove(&key);
-                self.arrive(what, key);
+                self.arrive(item, key);
             }
             for (id, revision) in std::mem::take(&mut self.unwritten) {
-                self.call(id, |d, now| d.persisted(now, revision));
+                self.call(id, |tasks, now| tasks.persisted(now, revision));
             }
             for id in self.nodes.keys().copied().collect::<Vec<_>>() {
                 let now = self.now;
                 let node = self.nodes.get_mut(&id).unwrap();
-                let done = node.pending_writes.iter().take_while(|w| w.0 <= now).count();
-                let written: Vec<_> = node.pending_writes.drain(..done).map(|w| w.1).collect();
+                let durable = node.pending_writes.iter().take_while(|w| w.0 <= now).count();
+                let written: Vec<_> = node.pending_writes.drain(..durable).map(|w| w.1).collect();
                 let last = written.last().map(|w| w.2);
                 node.disk.extend(written.into_iter().map(|w| (w.0, w.1)));
                 if let Some(revision) = last {
-                    self.call(id, |d, now| d.persisted(now, revision));
+                    self.call(id, |tasks, now| tasks.persisted(now, revision));
                 }
                 let node = self.nodes.get_mut(&id).unwrap();
                 if node.paused {
                     continue;
                 }
-                let on: Vec<TaskId> = node.scheduled.iter().filter(|l| l.0 <= now).map(|l| l.1).collect();
-                node.scheduled.retain(|l| l.0 > now);
-                for task in on {
+                let due: Vec<TaskId> =
+                    node.scheduled.iter().filter(|(at, _)| *at <= now).map(|(_, task)| *task).collect();
+                node.scheduled.retain(|(at, _)| *at > now);
+                for task in due {
                     let content = vec![self.rng.random(), id as u8];
-                    self.call(id, |d, now| d.begin_step(now, task, content));
+                    self.call(id, |tasks, now| tasks.begin_step(now, task, content));
                 }
                 let node = &self.nodes[&id];
-                if node.tasks.as_ref().is_some_and(|d| d.next_deadline() <= node.clock(now)) {
-                    self.call(id, |d, now| d.timer_fired(now));
+                if node.tasks.as_ref().is_some_and(|tasks| tasks.next_deadline() <= node.clock(now)) {
+                    self.call(id, |tasks, now| tasks.timer_fired(now));
                 }
             }
             self.check();
@@ -431,34 +459,37 @@
     }
 
     pub(crate) fn next_event_at(&self) -> Duration {
-        let of = |n: &Node| {
-            let timer = n.tasks.as_ref().filter(|_| !n.paused).map(|d| n.real_time(d.next_deadline()));
-            let scheduled = n.scheduled.iter().map(|l| l.0).min().filter(|_| !n.paused);
+        let next_of_node = |n: &Node| {
+            let timer =
+                n.tasks.as_ref().filter(|_| !n.paused).map(|tasks| n.real_time(tasks.next_deadline()));
+            let scheduled = n.scheduled.iter().map(|(at, _)| *at).min().filter(|_| !n.paused);
             timer.into_iter().chain(n.pending_writes.first().map(|w| w.0)).chain(scheduled).min()
         };
         let in_flight = self.in_flight.keys().next().map(|k| k.0);
-        let nodes = self.nodes.values().filter_map(of);
+        let nodes = self.nodes.values().filter_map(next_of_node);
         nodes.chain(in_flight).min().unwrap_or(Duration::MAX).min(self.now + MS(25))
     }
 
+    /// Returns true if both members run and messages pass between them in both directions.
     pub(crate) fn reaches(&self, a: MemberId, b: MemberId) -> bool {
-        let up = |id: &MemberId| self.nodes.get(id).is_some_and(|n| n.tasks.is_some() && !n.paused);
-        up(&a) && up(&b) && !self.blocked.contains(&(a, b)) && !self.blocked.contains(&(b, a))
+        let is_running = |id: &MemberId| self.nodes.get(id).is_some_and(|n| n.tasks.is_some() && !n.paused);
+        is_running(&a) && is_running(&b) && !self.blocked.contains(&(a, b)) && !self.blocked.contains(&(b, a))
     }
 
     pub(crate) fn reaches_quorum(&self, id: MemberId) -> bool {
-        self.members.iter().filter(|o| self.reaches(id, **o)).count() * 2 > self.members.len()
+        self.members.iter().filter(|other| self.reaches(id, **other)).count() * 2 > self.members.len()
     }
 
-    /// Who leads: renewed while a majority hears it, another once its lease is over.
+    /// Renews the leader's lease while the leader reaches a quorum, and elects another leader after the lease has expired.
     pub(crate) fn run_election(&mut self) {
         if let Some((_, id)) = self.leader {
-            // One whose own clock has seen its lease end leads no more, as in the leader election.
-            let leads = self.nodes.get(&id).is_some_and(|n| n.clock(self.now) < self.own_lease_expires_at);
-            let told = self.known_leader.get(&id) == Some(&self.leader);
-            if leads && told && self.reaches_quorum(id) && self.now < self.lease_expires_at {
-                if self.lease_expires_at < self.now + LEADS - MS(150) {
-                    self.lease_expires_at = self.now + LEADS;
+            // As in the leader election, a leader whose lease has expired by its own clock does not renew the lease.
+            let holds_lease =
+                self.nodes.get(&id).is_some_and(|n| n.clock(self.now) < self.own_lease_expires_at);
+            let knows_it_leads = self.known_leader.get(&id) == Some(&self.leader);
+            if holds_lease && knows_it_leads && self.reaches_quorum(id) && self.now < self.lease_expires_at {
+                if self.lease_expires_at < self.now + LEADER_LEASE - MS(150) {
+                    self.lease_expires_at = self.now + LEADER_LEASE;
                     self.publish_election(id);
                 }
             } else if self.now >= self.lease_expires_at + MS(100) {
@@ -470,9 +501,9 @@
                 }
             }
         }
-        // The others hear of it a little later, those that run and can be reached.
+        // The other members learn of the leader a little later, if they run and the leader reaches them.
         let Some((_, leader)) = self.leader.filter(|_| self.now < self.lease_expires_at) else { return };
-        // One that was started anew leads no more in the term that it led.
+        // The leader itself is left out: after a restart it does not lead again in the term that it led.
         for id in self.members.clone().into_iter().filter(|id| *id != leader) {
             if self.known_leader.get(&id) != Some(&self.leader)
                 && self.reaches(leader, id)
@@ -484,10 +515,12 @@
         }
     }
 
+    /// Records a violation for each task that has more than one holder.
     pub(crate) fn check(&mut self) {
         for task in 0..self.tasks as TaskId {
             let current_token = |(id, n): (&MemberId, &Node)| {
-                n.tasks.as_ref().and_then(|d| d.current_token(n.clock(self.now), task)).map(|t| (*id, t))
+                let token = n.tasks.as_ref().and_then(|tasks| tasks.current_token(n.clock(self.now), task));
+                token.map(|token| (*id, token))
             };
             let holders: Vec<_> = self.nodes.iter().filter_map(current_token).collect();
             if holders.len() > 1 {
@@ -496,19 +529,21 @@
         }
     }
 
-    /// Each step once, none left out, tokens never falling.
+    /// Returns the number of applied steps of each task. Panics unless each step was applied exactly once, in order and with
+    /// tokens that never fall.
     pub(crate) fn applied_steps(&self) -> Vec<usize> {
         let mut all = vec![];
         for (task, target) in &self.targets {
-            let steps: Vec<u64> = target.applied_steps.iter().map(|d| d.1).collect();
-            let whole: Vec<u64> = (1..=steps.len() as u64).collect();
-            assert_eq!(steps, whole, "steps of {task}");
-            assert!(target.applied_steps.is_sorted_by_key(|d| d.0), "tokens of {task}");
+            let steps: Vec<u64> = target.applied_steps.iter().map(|step| step.1).collect();
+            let expected: Vec<u64> = (1..=steps.len() as u64).collect();
+            assert_eq!(steps, expected, "steps of {task}");
+            assert!(target.applied_steps.is_sorted_by_key(|step| step.0), "tokens of {task}");
             all.push(steps.len());
         }
         all
     }
 
+    /// Blocks the links from the node to all others, from all others to the node, or both.
     pub(crate) fn partition(&mut self, id: MemberId, directions: (bool, bool)) {
         for other in self.nodes.keys().copied().filter(|o| *o != id) {
             self.blocked.extend(directions.0.then_some((id, other)));
@@ -520,6 +555,7 @@
         self.nodes.get_mut(&id).unwrap().paused = paused;
     }
 
+    /// Ends all faults except those of the clocks, and restarts the processes that are not running.
     pub(crate) fn heal(&mut self) {
         (self.loss, self.duplication, self.max_delay) = (0.0, 0.0, MS(20));
         self.blocked.clear();
@@ -533,20 +569,21 @@
     }
 
     pub(crate) fn holder(&self, task: TaskId) -> Option<MemberId> {
-        let current_token =
-            |n: &Node| n.tasks.as_ref().is_some_and(|d| d.current_token(n.clock(self.now), task).is_some());
-        self.nodes.iter().find(|(_, n)| current_token(n)).map(|(id, _)| *id)
+        let is_holder = |n: &Node| {
+            n.tasks.as_ref().is_some_and(|tasks| tasks.current_token(n.clock(self.now), task).is_some())
+        };
+        self.nodes.iter().find(|(_, n)| is_holder(n)).map(|(id, _)| *id)
     }
 
     pub(crate) fn tasks_by_holder(&self) -> BTreeMap<MemberId, usize> {
         let mut tasks_by_holder = BTreeMap::new();
         (0..self.tasks as TaskId)
-            .filter_map(|d| self.holder(d))
+            .filter_map(|task| self.holder(task))
             .for_each(|id| *tasks_by_holder.entry(id).or_default() += 1);
         tasks_by_holder
     }
 
-    /// Something goes wrong, or right again.
+    /// Injects a random fault, ends one, or sends an operator's request on a random task.
     pub(crate) fn inject_fault(&mut self) {
         let ids: Vec<MemberId> = self.nodes.keys().copied().collect();
         let id = ids[self.rng.random_range(0..ids.len())];
@@ -571,18 +608,23 @@
             7 => self.max_delay = MS(self.rng.random_range(5..900)),
             8 => self.nodes.get_mut(&id).unwrap().disk_delay = MS(self.rng.random_range(1..400)),
             9 => {
-                // At the leader, whoever that is.
+                // The request is sent to all members, and only the leader accepts it.
                 let task = self.rng.random_range(0..self.tasks as TaskId);
-                let (move_it, span) = (self.rng.random::<bool>(), MS(self.rng.random_range(100..4000)));
-                for leader in ids {
-                    self.call(leader, |d, now| {
-                        if move_it { d.move_task(now, task, id) } else { d.suspend(now, task, span) }.is_ok()
+                let (is_move, span) = (self.rng.random::<bool>(), MS(self.rng.random_range(100..4000)));
+                for member in ids {
+                    self.call(member, |tasks, now| {
+                        let result = if is_move {
+                            tasks.move_task(now, task, id)
+                        } else {
+                            tasks.suspend(now, task, span)
+                        };
+                        result.is_ok()
                     });
                 }
             }
             _ => {
-                for leader in ids {
-                    self.call(leader, |d, now| (0..3).all(|task| d.release(now, task).is_ok()));
+                for member in ids {
+                    self.call(member, |tasks, now| (0..3).all(|task| tasks.release(now, task).is_ok()));
                 }
             }
         }
--- a/crates/singleton-tasks/tests/tasks/main.rs
+++ b/crates/singleton-tasks/tests/tasks/main.rs
@@ -1,4 +1,4 @@
-//! Singleton tasks of several members, under a simulated network, disks and clocks that fail.
+//! Singleton tasks of several members, with a simulated network, disks and clocks that fail.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
--- a/crates/singleton-tasks/tests/tasks/replacement.rs
+++ b/crates/singleton-tasks/tests/tasks/replacement.rs
@@ -1,26 +1,27 @@
-//! Members that are replaced one after the other.
+//! The replacement of members, one after the other.
 
 use crate::cluster::{Cluster, MissingGuard, S};
 use grebespool_leader_election::MemberId;
 use rstest::rstest;
 
-/// Two of three are replaced one after the other, each with an empty disk: what stood with a majority stands still.
+/// Two of three members are replaced one after the other, each by a member with an empty disk. If the new members answered
+/// before they copied entries, two of them would form a quorum without the records of the former one.
 #[rstest]
 fn an_added_member_copies_entries_before_it_answers() {
     for seed in 0..30 {
         let mut cluster = Cluster::new(3, 2, seed, MissingGuard::None);
         cluster.run(S(6));
-        for (gone, new) in [(2, 4), (3, 5)] {
-            cluster.crash(gone);
-            cluster.nodes.remove(&gone);
-            cluster.members.retain(|id| *id != gone);
-            let told: Vec<MemberId> = cluster.members.clone();
-            told.iter().for_each(|id| cluster.publish_election(*id));
+        for (replaced, new) in [(2, 4), (3, 5)] {
+            cluster.crash(replaced);
+            cluster.nodes.remove(&replaced);
+            cluster.members.retain(|id| *id != replaced);
+            let members: Vec<MemberId> = cluster.members.clone();
+            members.iter().for_each(|id| cluster.publish_election(*id));
             cluster.run(S(3));
             cluster.members.push(new);
             cluster.add_node(new, false);
-            let told: Vec<MemberId> = cluster.members.clone();
-            told.iter().for_each(|id| cluster.publish_election(*id));
+            let members: Vec<MemberId> = cluster.members.clone();
+            members.iter().for_each(|id| cluster.publish_election(*id));
             cluster.run(S(4));
             assert!(cluster.nodes[&new].copied);
         }
--- a/crates/singleton-tasks/tests/tasks/unknown_tasks.rs
+++ b/crates/singleton-tasks/tests/tasks/unknown_tasks.rs
@@ -6,7 +6,8 @@
 
 const FOREIGN_TASK_SET: u64 = 8;
 
-/// From a member whose settings name other tasks: nothing is kept of what has no name here, and nothing is given to it.
+/// A member whose settings name other tasks sends messages. This member stores nothing about tasks that have no name here,
+/// and grants that member no tasks.
 #[rstest]
 fn ignores_messages_about_unknown_tasks() {
     let host = TestHost::default();
@@ -32,8 +33,11 @@
     ] {
         tasks.receive(S(2), 2, message);
     }
-    assert!(host.0.borrow().persist.is_empty());
-    let said = &host.0.borrow().send;
-    assert!(said.iter().all(|s| matches!(s.1, Message::ForeignTaskSet { term: 3 })), "{said:?}");
-    assert_eq!(said.len(), 1);
+    assert!(host.0.borrow().writes.is_empty());
+    let sent = &host.0.borrow().messages;
+    assert!(
+        sent.iter().all(|(_, message)| matches!(message, Message::ForeignTaskSet { term: 3 })),
+        "{sent:?}"
+    );
+    assert_eq!(sent.len(), 1);
 }
