--- a/crates/site-failover/src/capacity_plan.rs
+++ b/crates/site-failover/src/capacity_plan.rs
@@ -1,48 +1,49 @@
-//! The capacity plan: which load the remaining sites take over while some have failed, and what is rejected.
+//! The capacity plan: the load that the remaining sites take over while some have failed, and the load that is rejected.
 
 use crate::SiteId;
 use std::collections::BTreeSet;
 use thiserror::Error;
 
-/// The capacity and the demand of a site, in requests per second.
+/// The capacity and the demand of a site. Load is in work per second or in requests per second, the same at all sites.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteCapacity {
-    /// What its servers can do.
+    /// The load per second that the site's servers can process.
     pub capacity: f64,
-    /// What its clients ask for, by route.
+    /// The load per second that the site's clients request, by route.
     pub demand: Vec<f64>,
 }
 
-/// A route, as far as a plan needs it.
+/// The properties of a route that a plan depends on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RouteDemand {
-    /// Routes are admitted by this weight, the greatest first.
+    /// The priority weight of the route; routes with a greater weight are admitted first.
     pub priority_weight: f64,
-    /// Whether its requests must stay in the site of their proxy.
+    /// True if the route's requests must stay in the site of their proxy.
     pub is_site_local: bool,
 }
 
-/// What is done while some sites have failed.
+/// The plan for the time while some sites have failed. Load is in the unit of [`SiteCapacity`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct CapacityPlan {
     /// The failed sites.
     pub failed: BTreeSet<SiteId>,
     /// The fraction of each route's requests that is admitted.
     pub admitted: Vec<f64>,
-    /// The requests per second that each site takes over from others.
+    /// The load per second that each site takes over from others.
     pub taken_over: Vec<f64>,
-    /// The utilization of each site then; 1 is its capacity.
+    /// The utilization of each site under the plan, as a fraction of its capacity.
     pub utilization: Vec<f64>,
-    /// The requests per second that is rejected.
+    /// The load per second that is rejected.
     pub rejected: f64,
-    /// The requests per second that could still be taken over within the utilization limit.
+    /// The load per second that could still be taken over within the utilization limit.
     pub spare: f64,
-    /// The requests that are admitted over those that clients send, both by priority weight; 1 rejects nothing.
+    /// The admitted load divided by the load that clients request, both weighted by priority; 1 if nothing is rejected.
     pub service: f64,
 }
 
-/// Why there is no plan.
-// On the wire: the command socket answers with these texts; do not reword.
+/// The reason for which no plan is possible.
+// On the wire: the command socket answers with these texts; do not reword. The command line replaces `site N `, with the
+// trailing blank, by the site's name (`crates/cli/src/site_plan.rs`).
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanError {
     /// The capacity of this site is unknown.
@@ -55,13 +56,14 @@
 
 /// Plans for the failure of some sites, so that no site exceeds `max_utilization`.
 ///
-/// Routes are admitted by priority weight, those of equal weight alike: none is rejected while a less important one is
-/// admitted. A site-local route shares only the capacity of its own sites, and is gone where these have failed; the
-/// others are not rejected for its sake.
+/// Routes are admitted by priority weight, and routes of equal weight by the same fraction: no route is rejected while a
+/// route of lower weight is admitted. A site-local route uses only the capacity of its own sites, and its requests at
+/// failed sites are lost. Other routes are not rejected to make up for that.
 ///
 /// # Errors
 ///
-/// [`PlanError::UnknownCapacity`] or [`PlanError::NoSiteLeft`].
+/// Returns [`PlanError::UnknownCapacity`] if the capacity of a site is not a positive number, and
+/// [`PlanError::NoSiteLeft`] if every site has failed.
 pub fn plan_capacity(
     sites: &[SiteCapacity],
     routes: &[RouteDemand],
@@ -91,9 +93,9 @@
     sites: &'a [SiteCapacity],
     routes: &'a [RouteDemand],
     failed: &'a BTreeSet<SiteId>,
-    /// What each site can still take, in requests per second.
+    /// The load per second that each site can still take.
     free: Vec<f64>,
-    /// What each site takes, in requests per second.
+    /// The load per second that each site takes.
     load: Vec<f64>,
     /// The admitted fraction of each route.
     admitted: Vec<f64>,
@@ -123,14 +125,14 @@
         self.sites[site].demand.get(route).copied().unwrap_or(0.0).max(0.0)
     }
 
-    /// Admits the site-local routes of a group: each has only its own sites' capacity, and one fraction holds wherever
-    /// the route is asked for.
+    /// Admits the site-local routes of a group. Each uses only the capacity of its own sites, and the same fraction is
+    /// admitted at all sites whose clients request the route.
     fn admit_site_local(&mut self, group: &[usize]) {
         let remaining: Vec<SiteId> =
             (0..self.sites.len()).filter(|site| !self.failed.contains(site)).collect();
         for route in group.iter().copied().filter(|route| self.routes[*route].is_site_local) {
-            let asked_at = remaining.iter().copied().filter(|site| self.demand(*site, route) > 0.0);
-            let fits = asked_at.map(|site| self.free[site] / self.demand(site, route));
+            let demanding_sites = remaining.iter().copied().filter(|site| self.demand(*site, route) > 0.0);
+            let fits = demanding_sites.map(|site| self.free[site] / self.demand(site, route));
             let admitted = fits.fold(1.0, f64::min).clamp(0.0, 1.0);
             self.admitted[route] = admitted;
             for site in &remaining {
@@ -141,8 +143,8 @@
         }
     }
 
-    /// Admits the other routes of a group: each site takes its own clients' requests as far as they fit, and the rest
-    /// goes wherever there is capacity.
+    /// Admits the other routes of a group. Each site takes its own clients' requests up to its free capacity, and the rest
+    /// is spread over the sites that have capacity left.
     fn admit_movable(&mut self, group: &[usize]) {
         let movable: Vec<usize> =
             group.iter().copied().filter(|route| !self.routes[*route].is_site_local).collect();
@@ -157,7 +159,7 @@
         self.spread(overflow);
     }
 
-    /// Returns the work that does not fit at the sites of its own clients.
+    /// Places the load of each site's clients at that site, and returns the load that does not fit there.
     fn place_locally(&mut self, routes: &[usize], fraction: f64) -> f64 {
         let mut overflow = 0.0;
         for site in 0..self.sites.len() {
@@ -170,11 +172,11 @@
         overflow
     }
 
-    /// Spreads work over all sites in proportion to what each can still take.
-    fn spread(&mut self, work: f64) {
+    /// Spreads load over all sites in proportion to their free capacity.
+    fn spread(&mut self, load: f64) {
         let free = self.total_free();
         for site in 0..self.sites.len() {
-            let share = if free > 0.0 { work * self.free[site].max(0.0) / free } else { 0.0 };
+            let share = if free > 0.0 { load * self.free[site].max(0.0) / free } else { 0.0 };
             self.load[site] += share;
             self.free[site] -= share;
         }
@@ -184,28 +186,29 @@
         self.free.iter().map(|free| free.max(0.0)).sum()
     }
 
-    /// The work of a route that is admitted for a site's clients.
-    fn admitted_work(&self, route: usize, site: SiteId) -> f64 {
-        let is_gone = self.routes[route].is_site_local && self.failed.contains(&site);
-        if is_gone { 0.0 } else { self.admitted[route] * self.demand(site, route) }
+    /// Returns the load of a route that is admitted for a site's clients.
+    fn admitted_load(&self, route: usize, site: SiteId) -> f64 {
+        let is_lost = self.routes[route].is_site_local && self.failed.contains(&site);
+        if is_lost { 0.0 } else { self.admitted[route] * self.demand(site, route) }
     }
 
-    fn sum(&self, of: impl Fn(usize, SiteId) -> f64) -> f64 {
-        let by_route = |route: usize| (0..self.sites.len()).map(|site| of(route, site)).sum::<f64>();
+    /// Sums up a value over all routes and sites.
+    fn sum(&self, value: impl Fn(usize, SiteId) -> f64) -> f64 {
+        let by_route = |route: usize| (0..self.sites.len()).map(|site| value(route, site)).sum::<f64>();
         (0..self.routes.len()).map(by_route).sum()
     }
 
-    /// The work that a site takes over from others: what exceeds its own clients' work.
+    /// Returns the load that a site takes over from others, which is its load beyond that of its own clients.
     fn taken_over(&self, site: SiteId) -> f64 {
-        let own = (0..self.routes.len()).map(|route| self.admitted_work(route, site)).sum::<f64>();
+        let own = (0..self.routes.len()).map(|route| self.admitted_load(route, site)).sum::<f64>();
         (self.load[site] - own.min(self.load[site])).max(0.0)
     }
 
     fn service(&self) -> f64 {
         let weight = |route: usize| self.routes[route].priority_weight;
-        let asked = self.sum(|route, site| weight(route) * self.demand(site, route));
-        if asked > 0.0 {
-            self.sum(|route, site| weight(route) * self.admitted_work(route, site)) / asked
+        let demanded = self.sum(|route, site| weight(route) * self.demand(site, route));
+        if demanded > 0.0 {
+            self.sum(|route, site| weight(route) * self.admitted_load(route, site)) / demanded
         } else {
             1.0
         }
@@ -215,7 +218,7 @@
         CapacityPlan {
             taken_over: (0..self.sites.len()).map(|site| self.taken_over(site)).collect(),
             utilization: self.load.iter().zip(self.sites).map(|(load, site)| load / site.capacity).collect(),
-            rejected: self.sum(|route, site| self.demand(site, route) - self.admitted_work(route, site)),
+            rejected: self.sum(|route, site| self.demand(site, route) - self.admitted_load(route, site)),
             spare: self.total_free(),
             service: self.service(),
             failed: self.failed.clone(),
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -1,4 +1,4 @@
-//! What is reported for the log.
+//! The events that site failover reports for the log.
 
 use crate::SiteId;
 use crate::failure_detection::Evidence;
@@ -6,18 +6,18 @@
 use crate::state::SiteState;
 use std::fmt;
 
-/// Why a site changes its state.
+/// The reason for which a site changes its state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TransitionReason {
-    /// Because of what was observed.
+    /// This evidence requires the change.
     Evidence(Evidence),
-    /// An operator ordered it.
+    /// An operator ordered the change.
     OperatorOrder,
-    /// The requests of this step of the ramp were answered.
+    /// Enough requests of a step of the ramp were answered, so that the next step begins.
     StepProven,
-    /// The requests of the last step of the ramp were answered.
+    /// Enough requests of the last step of the ramp were answered.
     RampCompleted,
-    /// Requests fail at this step of the ramp.
+    /// Too many requests of a step of the ramp failed, so that the step before it begins again.
     RequestsFail,
 }
 
@@ -25,31 +25,31 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             TransitionReason::Evidence(evidence) => evidence.fmt(f),
-            TransitionReason::OperatorOrder => f.write_str("by an operator's order"),
-            TransitionReason::StepProven => f.write_str("the step before is proven"),
-            TransitionReason::RampCompleted => f.write_str("all steps are proven"),
-            TransitionReason::RequestsFail => f.write_str("calls fail there"),
+            TransitionReason::OperatorOrder => f.write_str("ordered by an operator"),
+            TransitionReason::StepProven => f.write_str("enough requests were answered"),
+            TransitionReason::RampCompleted => f.write_str("enough requests of the last step were answered"),
+            TransitionReason::RequestsFail => f.write_str("too many requests failed"),
         }
     }
 }
 
-/// What changes at a site.
+/// A change at a site.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SiteChange {
-    /// Its state.
+    /// The site's state changes.
     State {
         /// The former state.
         from: SiteState,
         /// The new state.
         to: SiteState,
-        /// Why it changes.
+        /// The reason for the change.
         reason: TransitionReason,
     },
-    /// A step of its return is held.
+    /// A step of the site's return is held.
     StepHeld {
-        /// The step; the first is 0.
+        /// The index of the step; the first is 0.
         step: usize,
-        /// Why it is held.
+        /// The reason for holding the step.
         reason: HoldReason,
     },
 }
@@ -63,11 +63,11 @@
     }
 }
 
-/// Something that operators may want to read in the log.
+/// An event that is written to the log for operators.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailoverEvent {
     /// The site.
     pub site: SiteId,
-    /// What changes there.
+    /// The change at the site.
     pub change: SiteChange,
 }
--- a/crates/site-failover/src/failure_detection.rs
+++ b/crates/site-failover/src/failure_detection.rs
@@ -1,43 +1,44 @@
-//! Failure detection: what the evidence about a site means.
+//! Failure detection: the evidence on a site and the verdict that follows from it.
 
 use std::fmt;
 
-/// Below this fraction of answered attempts a site is dead: all but none are answered.
+/// The fraction of answered attempts below which a site counts as dead.
 pub(crate) const DEAD_BELOW: f64 = 0.1;
-/// From this fraction on a site is alive, though some of its servers may not be.
+/// The fraction of answered attempts from which a site counts as alive, though some of its servers may have failed.
 const ALIVE_FROM: f64 = 0.3;
-/// The fraction of other sites that must see a site dead.
-const MOST_OBSERVERS: f64 = 0.9;
+/// A failure or a partition requires that more than this fraction of the other sites see the site as dead.
+const MIN_OBSERVERS_FAILING: f64 = 0.9;
 
-/// What speaks for and against the failure of a site. Unset where nothing was observed that could tell.
+/// The evidence for and against the failure of a site. A value is unset if too little was observed.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Evidence {
-    /// The fraction of other sites' attempts that were answered there.
+    /// The fraction of other sites' attempts at the site that were answered.
     pub answered_to_others: Option<f64>,
-    /// The same of its own clients, while these report.
+    /// The fraction of its own clients' attempts at the site that were answered, while these clients report.
     pub answered_to_itself: Option<f64>,
-    /// Of the other sites that made attempts, the fraction that sees it dead: all for a failure, some for a partition.
+    /// The fraction of the other sites that see the site as dead, among those that made attempts there. A failure is seen by
+    /// all of them; if only some see it, a network partition between sites is more likely.
     pub observers_failing: Option<f64>,
-    /// Whether health checks are answered.
+    /// True if a recent health check was answered, false if recent health checks failed.
     pub health_checks_answered: Option<bool>,
-    /// Its proxies' streams have ended and its clients report nothing.
+    /// True if the site's clients no longer report, or its proxies' streams have ended, while reports of other sites arrive.
     pub is_silent: bool,
-    /// The endpoint list has dropped all of its servers.
+    /// True if the endpoint list has dropped all servers of the site.
     pub is_unlisted: bool,
-    /// By the endpoint list, servers were started since its failure, or are there again.
+    /// True if, by the endpoint list, servers of the site were started or listed again since its failure.
     pub has_started_servers: bool,
 }
 
-/// What the evidence says of a site.
+/// The conclusion from the evidence on a site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it, or too little to act on.
+    /// There is no evidence of a failure, or too little to act on.
     Healthy,
-    /// Something speaks against it, but not enough for a failure.
+    /// There is evidence of a failure, but not enough to act on.
     Suspected,
-    /// Its servers answer nobody who reports.
+    /// The site's servers answer no client that reports.
     Failed,
-    /// Its servers answer its own clients, and nobody else.
+    /// The site's servers answer only the site's own clients.
     Partitioned,
 }
 
@@ -70,43 +71,45 @@
 }
 
 impl Evidence {
-    /// What the evidence means.
+    /// Returns the verdict that follows from the evidence.
     ///
-    /// A failure needs attempts that fail from everywhere and a second kind of evidence. Each alone has a harmless
-    /// cause: an overloaded fleet, a collector that fell silent, an endpoint list that is late or wrong. A site that
-    /// answers anybody has not failed.
+    /// A failure requires that attempts from all other sites fail, and a second kind of evidence. Each kind alone may have a
+    /// harmless cause: an overloaded fleet, a collector that stopped reporting, or an endpoint list that is late or wrong. A
+    /// site that answers any client or health check has not failed.
     pub fn verdict(&self) -> Verdict {
         let failing = self.observers_failing.unwrap_or(0.0);
         if self.is_partitioned(failing) {
             return Verdict::Partitioned;
         }
-        if self.answers_somebody() {
+        if self.answers_anyone() {
             return if failing > 0.0 { Verdict::Suspected } else { Verdict::Healthy };
         }
-        // Nobody sends requests to a site without listed servers, so nothing else can tell.
+        // Without listed servers a site receives no requests, so no other evidence can be expected.
         if self.is_unlisted {
             return Verdict::Failed;
         }
-        self.verdict_on_silence(failing)
+        self.verdict_without_answers(failing)
     }
 
     fn is_partitioned(&self, failing: f64) -> bool {
-        is_alive(self.answered_to_itself) && is_dead(self.answered_to_others) && failing > MOST_OBSERVERS
+        is_alive(self.answered_to_itself)
+            && is_dead(self.answered_to_others)
+            && failing > MIN_OBSERVERS_FAILING
     }
 
-    fn answers_somebody(&self) -> bool {
+    fn answers_anyone(&self) -> bool {
         is_alive(self.answered_to_others)
             || is_alive(self.answered_to_itself)
             || self.health_checks_answered == Some(true)
     }
 
-    /// The verdict on a listed site that answers nobody.
-    fn verdict_on_silence(&self, failing: f64) -> Verdict {
-        let fails_everywhere = is_dead(self.answered_to_others) && failing > MOST_OBSERVERS;
+    /// Returns the verdict on a listed site that answers neither clients nor health checks.
+    fn verdict_without_answers(&self, failing: f64) -> Verdict {
+        let fails_everywhere = is_dead(self.answered_to_others) && failing > MIN_OBSERVERS_FAILING;
         let health_checks_fail = self.health_checks_answered == Some(false);
-        let others = [health_checks_fail, self.is_silent, is_dead(self.answered_to_itself)];
-        let confirming = others.iter().filter(|holds| **holds).count();
-        // Without recent attempts, failed health checks and another sign together are as good.
+        let other_evidence = [health_checks_fail, self.is_silent, is_dead(self.answered_to_itself)];
+        let confirming = other_evidence.iter().filter(|holds| **holds).count();
+        // If there were no recent attempts, failed health checks together with another kind of evidence suffice.
         let is_unobserved = self.answered_to_others.is_none();
         if (fails_everywhere && confirming > 0) || (is_unobserved && health_checks_fail && confirming > 1) {
             Verdict::Failed
@@ -117,8 +120,8 @@
         }
     }
 
-    /// Whether something answers there, or was started there since.
-    pub fn shows_life(&self) -> bool {
-        self.answers_somebody() || self.has_started_servers
+    /// Returns true if the site answers anyone, or servers were started there since its failure.
+    pub fn shows_recovery(&self) -> bool {
+        self.answers_anyone() || self.has_started_servers
     }
 }
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,10 +1,11 @@
 //! Failover and recovery of whole sites (`docs/design/site-failover.md`): which sites have failed, are partitioned or were
-//! taken out by an operator, what the others take over meanwhile, and how a site returns.
+//! taken out by an operator, which load the other sites take over meanwhile, and how a site returns.
 //!
-//! The crate does no I/O; times are spans since the controller's start. [`SiteFailover`] is told what happens and acts
-//! through a [`FailoverHost`]. What tells a failure from a partition, a silent collector or a late endpoint list is in
-//! [`failure_detection`], what the remaining sites take over in [`capacity_plan`], the steps of a return in
-//! [`recovery_ramp`]. Servers, weights and admission stay the policy's own: a site's state only bounds them.
+//! The crate does no I/O; times are durations since the controller's start. The caller passes observations and orders to
+//! [`SiteFailover`], which acts through a [`FailoverHost`]. [`failure_detection`] distinguishes a failure from a partition,
+//! a collector that reports nothing, and a late endpoint list. [`capacity_plan`] decides on the load that the remaining
+//! sites take over, and [`recovery_ramp`] on the steps of a return. The policy still decides on servers, weights and
+//! admission: the state of a site only limits them.
 
 pub mod capacity_plan;
 mod event;
--- a/crates/site-failover/src/observations.rs
+++ b/crates/site-failover/src/observations.rs
@@ -1,72 +1,75 @@
-//! What is observed of each site within a window, and the evidence that follows from it.
+//! The observations of each site within a time window, and the evidence that follows from them.
 
 use crate::SiteId;
 use crate::failure_detection::{DEAD_BELOW, Evidence};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The fewest attempts that tell anything.
+/// The minimum number of attempts from which the answered fraction is computed.
 const MIN_ATTEMPTS: f64 = 4.0;
-/// Attempts that make older ones needless.
+/// The number of newer attempts from which older ones no longer count.
 const ENOUGH_ATTEMPTS: f64 = 8.0;
-/// The newest part of the window, one in so many, counts whole in any case.
+/// The newest part of the window is the window divided by this number. All attempts in that part count.
 const NEWEST_PART_OF_WINDOW: u32 = 4;
-/// Reports are kept for this many windows.
-const REPORTS_KEPT_WINDOWS: u32 = 2;
-/// The most health checks of a site that are kept.
+/// The time for which reports are kept, in windows.
+const REPORT_RETENTION_WINDOWS: u32 = 2;
+/// The maximum number of health checks that are kept of a site.
 const MAX_HEALTH_CHECKS: usize = 16;
-/// The fewest health checks without an answer that tell anything.
+/// The minimum number of unanswered health checks that count as evidence.
 const MIN_FAILED_HEALTH_CHECKS: usize = 2;
 
-/// What one site's clients observed at another's servers.
+/// A report of the attempts that one site's clients made at the servers of a site.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptReport {
     /// The clients' site.
     pub from: SiteId,
     /// The servers' site.
     pub site: SiteId,
-    /// How many attempts there were.
+    /// The number of attempts.
     pub attempts: f64,
-    /// How many were answered.
+    /// The number of answered attempts.
     pub answered: f64,
-    /// The sum of the waits of the answered, in seconds.
+    /// The sum of the waits of the answered attempts, in seconds.
     pub total_wait_seconds: f64,
 }
 
-/// What was observed at a site's servers.
+/// The attempts at a site's servers and their mean wait.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WaitSample {
-    /// The attempts.
+    /// The number of attempts.
     pub attempts: f64,
-    /// How many were answered.
+    /// The number of answered attempts.
     pub answered: f64,
-    /// The mean wait of the answered, in seconds.
+    /// The mean wait of the answered attempts, in seconds.
     pub mean_wait: Option<f64>,
 }
 
-/// What is observed of one site.
+/// The observations of one site.
 #[derive(Debug, Default)]
 struct SiteObservations {
-    /// With the time of each.
+    /// The reports on the site's servers, each with its time of arrival.
     reports: VecDeque<(Duration, AttemptReport)>,
-    /// The time of each health check, and whether it was answered.
+    /// The time of each health check, and true if it was answered.
     health_checks: VecDeque<(Duration, bool)>,
-    /// The site's own proxies that are connected, and when the last of them left.
+    /// The number of the site's own proxies that are connected.
     connected_proxies: usize,
+    /// The time at which one of the site's own proxies last left.
     proxy_left_at: Option<Duration>,
-    /// The last report of the site's own clients.
-    clients_heard_at: Option<Duration>,
-    /// Servers that the endpoint list calls ready, and how many it did before it dropped them all.
+    /// The time of the last report of the site's own clients, or of the last connection of one of its proxies.
+    clients_reported_at: Option<Duration>,
+    /// The number of the site's servers that the endpoint list calls ready.
     ready_servers: usize,
+    /// The number of ready servers before the endpoint list last dropped them all; 0 if that never happened.
     ready_servers_before: usize,
-    /// When the list last had servers there again after it had none.
+    /// The time at which the endpoint list last had ready servers of the site again after it had none.
     relisted_at: Option<Duration>,
     /// The latest start of a listed server.
     started_at: Option<Duration>,
 }
 
 impl SiteObservations {
-    /// The fraction of the newest attempts of some sites that were answered; what was answered before these is past.
+    /// Returns the answered fraction of the newest attempts from some sites; `None` if there were too few. Older attempts do
+    /// not count, as the site may have changed since.
     fn answered_fraction(&self, range: &TimeRange, is_from: impl Fn(SiteId) -> bool) -> Option<f64> {
         let (mut attempts, mut answered) = (0.0, 0.0);
         let reports =
@@ -95,11 +98,14 @@
         }
     }
 
-    /// Whether the site's own clients report nothing, or its proxies have all left.
+    /// Returns true if the site's own clients have stopped reporting, or its proxies have all left and no newer report has
+    /// arrived.
     fn is_silent(&self, range: &TimeRange) -> bool {
-        let is_quiet = self.clients_heard_at.is_some_and(|at| range.now.saturating_sub(at) >= range.window);
+        let have_clients_stopped =
+            self.clients_reported_at.is_some_and(|at| range.now.saturating_sub(at) >= range.window);
         let have_proxies_left = self.connected_proxies == 0 && self.proxy_left_at.is_some();
-        is_quiet || (have_proxies_left && self.clients_heard_at.is_none_or(|at| at <= range.from))
+        have_clients_stopped
+            || (have_proxies_left && self.clients_reported_at.is_none_or(|at| at <= range.from))
     }
 
     fn has_started_servers(&self, since: Duration) -> bool {
@@ -108,7 +114,7 @@
     }
 }
 
-/// The observations that count.
+/// The time range of the observations that count as evidence.
 #[derive(Debug, Clone, Copy)]
 struct TimeRange {
     from: Duration,
@@ -117,12 +123,13 @@
 }
 
 impl TimeRange {
+    /// Returns the beginning of the newest part of the window, in which all attempts count.
     fn newest_from(&self) -> Duration {
         self.now.saturating_sub(self.window / NEWEST_PART_OF_WINDOW)
     }
 }
 
-/// What is observed of all sites.
+/// The observations of all sites.
 #[derive(Debug)]
 pub struct Observations {
     sites: Vec<SiteObservations>,
@@ -130,14 +137,15 @@
 }
 
 impl Observations {
-    /// Without any observation. `window` is the age from which on observations tell nothing: a few report cycles.
+    /// Creates an empty set of observations. `window` is the age from which observations no longer count as evidence; it
+    /// should span a few report cycles.
     pub fn new(sites: usize, window: Duration) -> Observations {
         Observations { sites: (0..sites).map(|_| SiteObservations::default()).collect(), window }
     }
 
-    /// Records what a site's clients observed.
+    /// Records a report of a site's clients.
     pub fn attempts_reported(&mut self, now: Duration, report: AttemptReport) {
-        let oldest = now.saturating_sub(self.window * REPORTS_KEPT_WINDOWS);
+        let oldest = now.saturating_sub(self.window * REPORT_RETENTION_WINDOWS);
         if let Some(site) = self.sites.get_mut(report.site) {
             while site.reports.front().is_some_and(|(at, _)| *at < oldest) {
                 site.reports.pop_front();
@@ -147,14 +155,14 @@
         self.clients_heard(now, report.from);
     }
 
-    /// Records that a site's own clients report.
+    /// Records that a site's own clients reported, whatever they reported on.
     pub fn clients_heard(&mut self, now: Duration, site: SiteId) {
         if let Some(site) = self.sites.get_mut(site) {
-            site.clients_heard_at = Some(now);
+            site.clients_reported_at = Some(now);
         }
     }
 
-    /// Records a health check of one of a site's servers.
+    /// Records the result of a health check of one of a site's servers.
     pub fn health_check_finished(&mut self, now: Duration, site: SiteId, answered: bool) {
         if let Some(site) = self.sites.get_mut(site) {
             site.health_checks.push_back((now, answered));
@@ -168,7 +176,7 @@
     pub fn proxy_joined(&mut self, now: Duration, site: SiteId) {
         if let Some(site) = self.sites.get_mut(site) {
             site.connected_proxies += 1;
-            site.clients_heard_at = Some(now);
+            site.clients_reported_at = Some(now);
         }
     }
 
@@ -180,7 +188,8 @@
         }
     }
 
-    /// Records the endpoint list of a site: its ready servers, and the latest start among them, if known.
+    /// Records the part of the endpoint list that concerns a site: the number of ready servers, and the latest start among
+    /// them, if known.
     pub fn endpoints_listed(
         &mut self,
         now: Duration,
@@ -199,11 +208,12 @@
         }
     }
 
-    /// The evidence on a site. Only what was observed after `since` counts: older observations are of another state.
+    /// Returns the evidence on a site. Only observations after `since` count: older ones concern an earlier state of the
+    /// site.
     ///
     /// # Panics
     ///
-    /// If there is no such site.
+    /// Panics if the site does not exist.
     pub fn evidence(&self, now: Duration, site: SiteId, since: Duration) -> Evidence {
         let from = now.saturating_sub(self.window).max(since);
         let range = TimeRange { from, now, window: self.window };
@@ -213,13 +223,14 @@
             answered_to_itself: observed.answered_fraction(&range, |from| from == site),
             observers_failing: self.observers_failing(&range, site),
             health_checks_answered: observed.health_checks_answered(&range),
-            // A controller that hears from no other site is itself the one that is partitioned.
-            is_silent: self.hears_others(now, site) && observed.is_silent(&range),
+            // A controller that receives no reports from other sites either is probably partitioned itself.
+            is_silent: self.receives_reports_from_others(now, site) && observed.is_silent(&range),
             is_unlisted: observed.ready_servers == 0 && observed.ready_servers_before > 0,
             has_started_servers: observed.has_started_servers(since),
         }
     }
 
+    /// Returns the fraction of the other sites that see the site as dead, among those that made enough attempts there.
     fn observers_failing(&self, range: &TimeRange, site: SiteId) -> Option<f64> {
         let observed = &self.sites[site];
         let others = (0..self.sites.len()).filter(|other| *other != site);
@@ -229,17 +240,18 @@
         (!answered.is_empty()).then(|| failing as f64 / answered.len() as f64)
     }
 
-    fn hears_others(&self, now: Duration, site: SiteId) -> bool {
+    /// Returns true if the clients of any other site have reported within the window.
+    fn receives_reports_from_others(&self, now: Duration, site: SiteId) -> bool {
         let is_recent = |at: Duration| now.saturating_sub(at) < self.window;
         let mut others = self.sites.iter().enumerate().filter(|(other, _)| *other != site);
-        others.any(|(_, other)| other.clients_heard_at.is_some_and(is_recent))
+        others.any(|(_, other)| other.clients_reported_at.is_some_and(is_recent))
     }
 
-    /// What was observed at a site's servers after `since`.
+    /// Returns the attempts at a site's servers that were reported after `since`.
     ///
     /// # Panics
     ///
-    /// If there is no such site.
+    /// Panics if the site does not exist.
     pub fn wait_sample(&self, site: SiteId, since: Duration) -> WaitSample {
         let (mut attempts, mut answered, mut total_wait) = (0.0, 0.0, 0.0);
         for (_, report) in self.sites[site].reports.iter().filter(|(at, _)| *at > since) {
--- a/crates/site-failover/src/order.rs
+++ b/crates/site-failover/src/order.rs
@@ -1,36 +1,36 @@
-//! Operators' orders.
+//! Operators' orders on sites.
 
 use crate::SiteId;
 use crate::capacity_plan::PlanError;
 use crate::state::SiteState;
 use thiserror::Error;
 
-/// What an operator may order.
+/// An operator's order on a site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SiteOrder {
-    /// Take the site out.
+    /// Takes the site out of service.
     TakeOut,
-    /// Let a site that was taken out return step by step.
+    /// Returns a site that was taken out to service, step by step.
     Restore,
 }
 
-/// Why an order is rejected. The site's state stays as it is.
+/// The reason for which an order is rejected. The site's state does not change then.
 // On the wire: the command socket answers with these texts; do not reword.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum OrderError {
-    /// There is no such site.
+    /// The site does not exist.
     #[error("there is no site {0}")]
     UnknownSite(SiteId),
-    /// The site is taken out already, or never was.
+    /// The site is already in the state that the order asks for.
     #[error("site {0} is {1} already")]
     AlreadyInState(SiteId, SiteState),
-    /// The site has failed: it returns by itself once it answers.
+    /// The site has failed and returns automatically once it answers.
     #[error("site {0} answers nobody: it returns once it does")]
     StillFailed(SiteId),
-    /// These routes would be admitted below this fraction; the order has to be forced.
+    /// Only these fractions of these routes' requests would be admitted, so the order must be forced.
     #[error("without it this would be throttled: {}", route_fractions(.0))]
     WouldReject(Vec<(usize, f64)>),
-    /// What the other sites would take over is unknown.
+    /// No plan is possible for the load that the other sites would take over.
     #[error("{0}")]
     NoPlan(PlanError),
 }
--- a/crates/site-failover/src/parameters.rs
+++ b/crates/site-failover/src/parameters.rs
@@ -3,19 +3,21 @@
 use crate::recovery_ramp::RampParameters;
 use std::time::Duration;
 
-/// How fast sites fail over and return.
+/// The timing and the limits of failover and recovery.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailoverParameters {
-    /// Observations older than this tell nothing any more.
+    /// The age from which observations no longer count as evidence.
     pub evidence_window: Duration,
-    /// For how long evidence of a failure or a partition has to persist before anything is done.
+    /// The time for which a verdict must hold before the site's state follows it.
     pub confirmation: Duration,
-    /// A site that has been healthy for so long after a return counts as stable again.
+    /// The time for which a site must stay healthy after a return until its flaps no longer count.
     pub stability_period: Duration,
-    /// The fraction of a failed site's weight that stays in use, to notice its return; 0 where health checks do that.
+    /// The fraction of a failed site's weight that stays in use, so that requests reveal its return; 0 if health checks do
+    /// that.
     pub failed_weight: f64,
-    /// The utilization up to which the remaining sites are filled: beyond it queues grow and every answer is late.
+    /// The maximum utilization of the remaining sites, as a fraction of their capacity: beyond it queues grow and every
+    /// answer is late.
     pub max_utilization: f64,
-    /// How a site returns.
+    /// The parameters of a site's return.
     pub ramp: RampParameters,
 }
--- a/crates/site-failover/src/recovery_ramp.rs
+++ b/crates/site-failover/src/recovery_ramp.rs
@@ -1,20 +1,20 @@
-//! The recovery ramp: the steps by which a site's weight returns.
+//! The recovery ramp: the steps by which the weight of a site rises during its return.
 
 use std::fmt;
 use std::time::Duration;
 
-/// The fractions of a site's weight, by step: few enough that each can be proven within a warm-up, and none but the
-/// first more than about doubles what the site receives.
+/// The fraction of the site's weight at each step. There are few enough steps that each can be proven within a warm-up, and
+/// no step after the first raises the load of the site to much more than double.
 const WEIGHT_FRACTIONS: [f64; 5] = [0.1, 0.25, 0.5, 0.75, 1.0];
-/// Each earlier failure during a return doubles the duration of a step, up to this many.
+/// The maximum number of flaps that count: each doubles the duration of a step.
 const MAX_FLAPS: u32 = 3;
-/// The fewest attempts that prove anything.
+/// The minimum number of attempts from which a step is judged.
 const MIN_ATTEMPTS: f64 = 6.0;
-/// With a smaller fraction of attempts answered, the ramp goes back one step.
+/// The fraction of answered attempts below which the ramp goes back one step.
 const STEP_BACK_ANSWERED: f64 = 0.7;
-/// The fraction of attempts that must be answered for the next step.
+/// The fraction of attempts that must be answered before the next step begins.
 const ADVANCE_ANSWERED: f64 = 0.9;
-/// Waits are too long at this multiple of the mean wait elsewhere.
+/// The multiple of the mean wait at other sites beyond which a wait is too long.
 const MAX_WAIT_RATIO: f64 = 1.5;
 
 /// The parameters of a return.
@@ -22,7 +22,7 @@
 pub struct RampParameters {
     /// The warm-up time of a server.
     pub warm_up: Duration,
-    /// How long an order takes to show in what is observed.
+    /// The time from an order until its effect shows in the observations.
     pub propagation: Duration,
     /// The wait from which an answer is late, in seconds.
     pub late_wait_seconds: f64,
@@ -33,24 +33,24 @@
 pub struct RecoveryRamp {
     step: usize,
     step_began_at: Duration,
-    /// How often the site failed again before it was healthy.
+    /// The number of times that the site failed again during a return, up to [`MAX_FLAPS`].
     flaps: u32,
 }
 
-/// What was observed at a site.
+/// The observations at a returning site during a step, and at the other sites.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StepObservations {
-    /// The attempts.
+    /// The number of attempts at the site.
     pub attempts: f64,
-    /// How many were answered.
+    /// The number of answered attempts.
     pub answered: f64,
-    /// The mean wait of the answered, in seconds.
+    /// The mean wait of the answered attempts, in seconds.
     pub mean_wait: Option<f64>,
     /// The mean wait at other sites, in seconds.
     pub mean_wait_elsewhere: Option<f64>,
 }
 
-/// Why a step is held.
+/// The reason for which a step is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HoldReason {
     /// The step has not lasted for its minimum duration.
@@ -59,73 +59,74 @@
     TooFewAttempts,
     /// Too few attempts were answered.
     AnswersMissing,
-    /// Waits are longer than elsewhere.
+    /// Waits are longer than at other sites.
     WaitsRisen,
 }
 
 impl fmt::Display for HoldReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            HoldReason::MinimumDuration => "its time is not over",
-            HoldReason::TooFewAttempts => "too few calls have shown it",
-            HoldReason::AnswersMissing => "answers are missing",
-            HoldReason::WaitsRisen => "waits have risen",
+            HoldReason::MinimumDuration => "the minimum duration has not passed",
+            HoldReason::TooFewAttempts => "too few attempts were observed",
+            HoldReason::AnswersMissing => "too few attempts were answered",
+            HoldReason::WaitsRisen => "waits are longer than at other sites",
         })
     }
 }
 
-/// What becomes of a step.
+/// The decision on a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RampDecision {
-    /// It goes on as it is.
+    /// The step continues.
     Hold(HoldReason),
     /// The next step begins.
     Advance,
-    /// The step before begins again.
+    /// The previous step begins again; the first step begins again if there is no previous one.
     StepBack,
     /// The last step is proven: the site is healthy.
     Complete,
 }
 
 impl RecoveryRamp {
-    /// Begins the first step. `flaps` is how often the site failed again in earlier returns.
+    /// Begins the first step. `flaps` is the number of times that the site failed again in earlier returns.
     pub fn begin(now: Duration, flaps: u32) -> RecoveryRamp {
         RecoveryRamp { step: 0, step_began_at: now, flaps: flaps.min(MAX_FLAPS) }
     }
 
-    /// The fraction of the site's weight that may be used.
+    /// Returns the fraction of the site's weight that may be used.
     pub fn weight_fraction(&self) -> f64 {
         WEIGHT_FRACTIONS[self.step]
     }
 
-    /// When the step began.
+    /// Returns the time at which the step began.
     pub fn step_began_at(&self) -> Duration {
         self.step_began_at
     }
 
-    /// The index of the step.
+    /// Returns the index of the step.
     pub fn step(&self) -> usize {
         self.step
     }
 
-    /// The minimum duration of a step: its part of the warm-up, doubled with each flap up to a whole warm-up.
+    /// Returns the minimum duration of a step: an equal part of the warm-up, doubled with each flap up to a whole warm-up, and
+    /// at least the propagation time.
     fn min_step_duration(&self, parameters: &RampParameters) -> Duration {
         let part = parameters.warm_up / WEIGHT_FRACTIONS.len() as u32;
         let damped = (part * (1 << self.flaps)).min(parameters.warm_up.max(part));
         damped.max(parameters.propagation)
     }
 
-    /// Decides on the step by what was observed since its orders are in force. Only answers prove a step, never the
-    /// time alone: a site without requests would look healthy and be given everything.
+    /// Decides on the step by the observations since its orders took effect. A step advances only if enough requests were
+    /// answered, never by time alone: a site without requests would appear healthy and receive its whole weight.
     pub fn evaluate(
         &mut self,
         now: Duration,
         parameters: &RampParameters,
         observed: &StepObservations,
     ) -> RampDecision {
-        let is_telling = observed.attempts >= MIN_ATTEMPTS;
-        if is_telling && observed.answered < STEP_BACK_ANSWERED * observed.attempts {
-            // There is nothing below the first step but the failure, which has its own evidence.
+        let has_enough_attempts = observed.attempts >= MIN_ATTEMPTS;
+        if has_enough_attempts && observed.answered < STEP_BACK_ANSWERED * observed.attempts {
+            // The first step is not left here: whether the site has failed again is decided by the evidence.
             self.enter_step(now, self.step.saturating_sub(1));
             return RampDecision::StepBack;
         }
--- a/crates/site-failover/src/site_failover/mod.rs
+++ b/crates/site-failover/src/site_failover/mod.rs
@@ -1,4 +1,4 @@
-//! The state of all sites, and what follows from it: weight limits, admission limits, and operators' orders.
+//! The state of all sites, the weight limits and admission limits that follow from it, and operators' orders.
 //!
 //! State changes by evidence are in `transitions`.
 
@@ -17,24 +17,25 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A failed or returning site is planned with at least this fraction of its capacity, so that a plan exists.
+/// The minimum fraction of a site's capacity that a plan assumes: a plan is possible only if each capacity is positive.
 const MIN_PLANNED_FRACTION: f64 = 0.01;
-/// From this fraction on a route counts as fully admitted.
+/// The admitted fraction from which a route counts as fully admitted.
 const FULLY_ADMITTED: f64 = 0.995;
-/// Admission limits that differ by less are not published anew.
+/// The difference below which changed admission limits are not published.
 const ADMISSION_TOLERANCE: f64 = 0.05;
 
-/// What is known of one site.
+/// The state of one site and its newest capacity and demand.
 struct Site {
     state: SiteState,
     since: Duration,
-    /// The newest verdict, and since when it holds.
+    /// The newest verdict.
     verdict: Verdict,
+    /// The time since which the newest verdict holds.
     verdict_since: Duration,
-    /// How often the site failed again during a return.
+    /// The number of times that the site failed again during a return.
     flaps: u32,
     healthy_since: Duration,
-    /// Why its step is held, so that each reason is logged once.
+    /// The last logged reason for holding the present step, so that a reason is logged only when it changes.
     hold_reason: Option<HoldReason>,
     capacity: SiteCapacity,
 }
@@ -65,7 +66,7 @@
 }
 
 impl SiteFailover {
-    /// Takes all `sites` for healthy.
+    /// Creates the state for a number of sites, all of which count as healthy at first.
     pub fn new(sites: usize, routes: Vec<RouteDemand>, parameters: FailoverParameters) -> SiteFailover {
         SiteFailover {
             parameters,
@@ -76,15 +77,15 @@
         }
     }
 
-    /// Where observations are recorded.
+    /// Returns the observations, for recording new ones.
     pub fn observations(&mut self) -> &mut Observations {
         &mut self.observations
     }
 
     /// Records the capacity of a site and its clients' demand by route, both in work per second.
     ///
-    /// The capacity is believed only while the site is in service: a failed one would be planned for as if it had never
-    /// been there. The demand is always taken: clients may go with their site, and turn to other proxies.
+    /// The capacity is recorded only while the site is in service: otherwise plans would treat a failed site as if it had
+    /// never had any. The demand is always recorded, since clients may fail with their site or turn to other proxies.
     pub fn capacity_reported(&mut self, site: SiteId, capacity: f64, demand: Vec<f64>) {
         let Some(site) = self.sites.get_mut(site) else { return };
         if site.state.is_in_service() && capacity > 0.0 {
@@ -93,12 +94,12 @@
         site.capacity.demand = demand;
     }
 
-    /// The state of a site; `None` if there is no such site.
+    /// Returns the state of a site; `None` if the site does not exist.
     pub fn state(&self, site: SiteId) -> Option<SiteState> {
         self.sites.get(site).map(|site| site.state)
     }
 
-    /// The state of all sites for operators.
+    /// Returns the state of all sites as reported to operators.
     pub fn statuses(&self, now: Duration) -> Vec<SiteStatus> {
         let status = |(id, site): (SiteId, &Site)| SiteStatus {
             state: site.state,
@@ -108,7 +109,7 @@
         self.sites.iter().enumerate().map(status).collect()
     }
 
-    /// The sites that take no requests from elsewhere.
+    /// Returns the sites that accept no requests from other sites.
     pub fn unavailable_sites(&self) -> BTreeSet<SiteId> {
         self.sites_with(SiteState::is_unavailable)
     }
@@ -117,11 +118,12 @@
         (0..self.sites.len()).filter(|site| predicate(&self.sites[*site].state)).collect()
     }
 
-    /// The plan for the failure of these sites, from what is known now.
+    /// Returns the plan for the failure of these sites, based on the newest capacities and demands.
     ///
     /// # Errors
     ///
-    /// [`PlanError::UnknownCapacity`] or [`PlanError::NoSiteLeft`].
+    /// Returns [`PlanError::UnknownCapacity`] if the capacity of a site is unknown, and [`PlanError::NoSiteLeft`] if these
+    /// are all sites.
     pub fn plan_without(&self, failed: &BTreeSet<SiteId>) -> Result<CapacityPlan, PlanError> {
         let usable = |(id, site): (SiteId, &Site)| SiteCapacity {
             capacity: site.capacity.capacity * self.weight_fraction(id).max(MIN_PLANNED_FRACTION),
@@ -131,7 +133,7 @@
         plan_capacity(&capacities, &self.routes, failed, self.parameters.max_utilization)
     }
 
-    /// The fraction of a site's weight that may be used. A partitioned site goes on for its own clients.
+    /// Returns the fraction of a site's weight that may be used. A partitioned site keeps its weight for its own clients.
     fn weight_fraction(&self, site: SiteId) -> f64 {
         match self.sites[site].state {
             SiteState::Healthy | SiteState::Suspected | SiteState::Partitioned => 1.0,
@@ -141,12 +143,12 @@
         }
     }
 
-    /// Executes an operator's order. Unless `forced`, an order that would have requests rejected is not executed.
-    /// Returns the plan for a site that is taken out.
+    /// Executes an operator's order. Unless `forced`, an order that would cause requests to be rejected is not executed.
+    /// Returns the plan if the site is taken out.
     ///
     /// # Errors
     ///
-    /// An [`OrderError`]; nothing has changed then.
+    /// Returns an [`OrderError`] if the order is rejected; nothing has changed then.
     pub fn execute(
         &mut self,
         now: Duration,
@@ -237,8 +239,9 @@
         }
     }
 
-    /// Admission rises last: a returning site is counted with the weight that it has, and no more. Where no plan is
-    /// possible, the policy's own admission control has to do.
+    /// Returns the admission limits that follow from the state of all sites. A returning site counts only with its present
+    /// weight, so that admission rises last. If no plan is possible, there are no limits and only the policy's own admission
+    /// control applies.
     fn admission_limits(&self) -> Vec<f64> {
         let failed = self.sites_with(SiteState::is_out_of_service);
         let is_any_recovering = self.sites.iter().any(|site| matches!(site.state, SiteState::Recovering(_)));
--- a/crates/site-failover/src/site_failover/transitions.rs
+++ b/crates/site-failover/src/site_failover/transitions.rs
@@ -1,4 +1,4 @@
-//! State changes by evidence.
+//! The state changes that follow from the evidence.
 
 use super::{Site, SiteFailover};
 use crate::SiteId;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 impl SiteFailover {
-    /// Evaluates all sites; to be called a few times within each evidence window.
+    /// Evaluates all sites. To be called a few times within each evidence window.
     pub fn evaluate(&mut self, now: Duration, host: &mut impl FailoverHost) {
         for site in 0..self.sites.len() {
             self.evaluate_site(now, site, host);
@@ -22,7 +22,7 @@
         let evidence = self.observations.evidence(now, id, evidence_since(&self.sites[id]));
         let verdict = evidence.verdict();
         let is_confirmed = self.confirm_verdict(now, id, verdict, &evidence);
-        self.forget_flaps_if_stable(now, id);
+        self.reset_flaps_if_stable(now, id);
         let state = self.sites[id].state;
         let has_failed = verdict == Verdict::Failed && is_confirmed;
         if let SiteState::Recovering(ramp) = state
@@ -37,8 +37,9 @@
         self.set_state(now, id, next, TransitionReason::Evidence(evidence), host);
     }
 
-    /// Whether the verdict has held for long enough. Nothing is sent to a site that the endpoint list has dropped: to
-    /// wait would only fill the others.
+    /// Records the verdict, and returns true if it has held for the confirmation time. If the endpoint list has dropped the
+    /// site, the verdict is confirmed at once: no requests are sent there any more, so waiting would only overload the other
+    /// sites.
     fn confirm_verdict(&mut self, now: Duration, id: SiteId, verdict: Verdict, evidence: &Evidence) -> bool {
         let site = &mut self.sites[id];
         if site.verdict != verdict {
@@ -48,7 +49,7 @@
         evidence.is_unlisted || now.saturating_sub(site.verdict_since) >= self.parameters.confirmation
     }
 
-    fn forget_flaps_if_stable(&mut self, now: Duration, id: SiteId) {
+    fn reset_flaps_if_stable(&mut self, now: Duration, id: SiteId) {
         let site = &mut self.sites[id];
         let healthy_for = now.saturating_sub(site.healthy_since);
         if site.state == SiteState::Healthy && healthy_for > self.parameters.stability_period {
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The state that a site changes to, if it does.
+    /// Returns the state that a site changes to, if any.
     fn next_state(
         &self,
         now: Duration,
@@ -70,7 +71,7 @@
             (SiteState::Healthy | SiteState::Suspected | SiteState::Recovering(_), Verdict::Failed)
                 if is_confirmed =>
             {
-                // If all sites seem to have failed, it is the controller that is partitioned.
+                // If all sites appear to have failed, the controller itself is probably partitioned.
                 (!self.is_last_in_service(id)).then_some(SiteState::Failed)
             }
             (SiteState::Healthy | SiteState::Suspected, Verdict::Partitioned) if is_confirmed => {
@@ -80,10 +81,11 @@
                 Some(SiteState::Suspected)
             }
             (SiteState::Suspected, Verdict::Healthy) if is_confirmed => Some(SiteState::Healthy),
-            (SiteState::Failed, _) if evidence.shows_life() && now > site.since => {
+            (SiteState::Failed, _) if evidence.shows_recovery() && now > site.since => {
                 Some(SiteState::Recovering(RecoveryRamp::begin(now, site.flaps)))
             }
-            // Its servers never stopped; the policy sends little over the restored paths first.
+            // The servers of a partitioned site never stopped, so no ramp is needed: the policy itself sends little over the
+            // restored paths at first.
             (SiteState::Partitioned, Verdict::Healthy | Verdict::Suspected)
                 if evidence.answered_to_others.is_some() && is_confirmed =>
             {
@@ -96,6 +98,7 @@
         }
     }
 
+    /// Returns true if all other sites are out of service.
     fn is_last_in_service(&self, id: SiteId) -> bool {
         let mut others = self.sites.iter().enumerate().filter(|(other, _)| *other != id);
         others.all(|(_, other)| other.state.is_out_of_service())
@@ -128,7 +131,7 @@
         }
     }
 
-    /// What was observed at a returning site under the orders of its step, and elsewhere.
+    /// Returns the observations at a returning site since the orders of its step took effect, and at the other sites.
     fn step_observations(&self, now: Duration, id: SiteId, ramp: &RecoveryRamp) -> StepObservations {
         let in_force_from = ramp.step_began_at() + self.parameters.ramp.propagation;
         let sample = self.observations.wait_sample(id, in_force_from);
@@ -140,7 +143,7 @@
         }
     }
 
-    /// The mean of the mean waits, in seconds, of the other sites that have all their weight.
+    /// Returns the mean of the mean waits, in seconds, of the other sites that have their whole weight.
     fn mean_wait_elsewhere(&self, now: Duration, id: SiteId) -> Option<f64> {
         let since = now.saturating_sub(self.parameters.evidence_window);
         let others =
@@ -154,7 +157,7 @@
     }
 }
 
-/// From when on observations tell of the site's present state.
+/// Returns the time after which observations concern the site's present state.
 fn evidence_since(site: &Site) -> Duration {
     match site.state {
         SiteState::Failed | SiteState::TakenOut | SiteState::Partitioned => site.since,
--- a/crates/site-failover/src/state.rs
+++ b/crates/site-failover/src/state.rs
@@ -7,17 +7,17 @@
 /// The state of a site.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SiteState {
-    /// Nothing speaks against it.
+    /// There is no evidence of a failure.
     Healthy,
-    /// Something speaks against it; nothing is done.
+    /// There is evidence of a failure, but not enough to act on.
     Suspected,
-    /// Its servers answer nobody; the others take over.
+    /// The site's servers answer no client; the other sites take over.
     Failed,
-    /// Its servers answer the site's own clients only, and go on doing so.
+    /// The site's servers answer only the site's own clients, and keep serving these.
     Partitioned,
-    /// An operator has taken it out.
+    /// An operator has taken the site out.
     TakenOut,
-    /// Its weight rises step by step.
+    /// The site returns: its weight rises step by step.
     Recovering(RecoveryRamp),
 }
 
@@ -38,29 +38,29 @@
 }
 
 impl SiteState {
-    /// Whether the site takes no requests from elsewhere.
+    /// Returns true if the site accepts no requests from other sites.
     pub(crate) fn is_unavailable(&self) -> bool {
         matches!(self, SiteState::Failed | SiteState::Partitioned | SiteState::TakenOut)
     }
 
-    /// Whether nothing of the site's capacity is counted on.
+    /// Returns true if plans count on none of the site's capacity.
     pub(crate) fn is_out_of_service(&self) -> bool {
         matches!(self, SiteState::Failed | SiteState::TakenOut)
     }
 
-    /// Whether the site has all its weight and no failure is confirmed.
+    /// Returns true if the site has its whole weight and no failure or partition is confirmed.
     pub(crate) fn is_in_service(&self) -> bool {
         matches!(self, SiteState::Healthy | SiteState::Suspected)
     }
 }
 
-/// The state of a site as operators see it.
+/// The state of a site as reported to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteStatus {
-    /// Its state.
+    /// The site's state.
     pub state: SiteState,
-    /// Since when it has that state.
+    /// The time since which the site has that state.
     pub since: Duration,
-    /// What speaks for and against a failure now, as text.
+    /// The present evidence for and against a failure, as text.
     pub evidence: String,
 }
