--- a/crates/controller/src/site_watch.rs
+++ b/crates/controller/src/site_watch.rs
@@ -100,7 +100,7 @@
 
     /// A proxy of the zone reported.
     pub(crate) fn zone_reported(&mut self, now: Duration, zone: ZoneId) {
-        self.failover.observations().clients_heard(now, usize::from(zone));
+        self.failover.observations().clients_reported(now, usize::from(zone));
     }
 
     /// A health check of a server of the zone ended.
--- a/crates/site-failover/src/observations.rs
+++ b/crates/site-failover/src/observations.rs
@@ -152,11 +152,11 @@
             }
             site.reports.push_back((now, report));
         }
-        self.clients_heard(now, report.from);
+        self.clients_reported(now, report.from);
     }
 
     /// Records that a site's own clients reported, whatever they reported on.
-    pub fn clients_heard(&mut self, now: Duration, site: SiteId) {
+    pub fn clients_reported(&mut self, now: Duration, site: SiteId) {
         if let Some(site) = self.sites.get_mut(site) {
             site.clients_reported_at = Some(now);
         }
