--- a/crates/site-failover/tests/site_failover/detection.rs
+++ b/crates/site-failover/tests/site_failover/detection.rs
@@ -1,36 +1,36 @@
-//! What tells a failed site from one that only looks like it.
+//! Failure detection: failed sites are distinguished from sites that only appear to have failed.
 
 use crate::helpers::report;
 use crate::scene::{FAILED, HEALTHY, Scene, healthy, play, s, state_of_first};
 use grebespool_site_failover::*;
 use rstest::rstest;
 
-/// What tells a loss from what looks like one, and what each sign alone is worth.
+/// Several kinds of evidence together show a failure or a partition; one kind alone does not.
 #[rstest]
-#[case::all_is_well(HEALTHY, "whole")]
-#[case::lost_with_its_callers(FAILED, "lost")]
-#[case::lost_and_its_callers_are_elsewhere(Scene { itself: Some(0.0), streams_end: false, ..FAILED }, "lost")]
-#[case::lost_and_probes_say_so(Scene { health_checks: Some(false), streams_end: false, itself: None, ..FAILED }, "lost")]
-#[case::lost_and_unlisted_and_nobody_tries_there(
+#[case::healthy(HEALTHY, "whole")]
+#[case::failed_with_its_clients(FAILED, "lost")]
+#[case::failed_while_its_clients_report_failures(Scene { itself: Some(0.0), streams_end: false, ..FAILED }, "lost")]
+#[case::failed_with_failing_health_checks(Scene { health_checks: Some(false), streams_end: false, itself: None, ..FAILED }, "lost")]
+#[case::failed_and_unlisted_without_attempts(
     Scene { others: [None, None], health_checks: Some(false), unlisted: true, ..FAILED }, "lost")]
-#[case::cut_off_from_all(Scene { others: [Some(0.0), Some(0.0)], ..HEALTHY }, "cut off")]
-#[case::cut_off_one_way(Scene { others: [Some(0.0), Some(1.0)], ..HEALTHY }, "doubted")]
-#[case::its_collectors_fell_silent(Scene { itself: None, ..HEALTHY }, "whole")]
-#[case::its_collectors_and_streams_fell_silent(Scene { itself: None, streams_end: true, ..HEALTHY }, "whole")]
-#[case::its_entries_vanished_from_the_list(Scene { unlisted: true, ..HEALTHY }, "whole")]
-#[case::half_of_its_servers_are_gone(Scene { others: [Some(0.5), Some(0.5)], itself: Some(0.5), ..HEALTHY }, "whole")]
-#[case::it_answers_slowly(Scene { wait_seconds: 3.0, ..HEALTHY }, "whole")]
-#[case::calls_fail_and_probes_are_answered(Scene { health_checks: Some(true), ..FAILED }, "doubted")]
-#[case::nobody_tries_and_it_is_silent(Scene { others: [None, None], ..FAILED }, "doubted")]
-fn judges_a_site_by_its_evidence(#[case] scene: Scene, #[case] expected: &str) {
+#[case::partitioned_from_all_other_sites(Scene { others: [Some(0.0), Some(0.0)], ..HEALTHY }, "cut off")]
+#[case::partitioned_from_one_other_site(Scene { others: [Some(0.0), Some(1.0)], ..HEALTHY }, "doubted")]
+#[case::collectors_stopped_reporting(Scene { itself: None, ..HEALTHY }, "whole")]
+#[case::collectors_stopped_reporting_and_streams_ended(Scene { itself: None, streams_end: true, ..HEALTHY }, "whole")]
+#[case::unlisted_but_answering(Scene { unlisted: true, ..HEALTHY }, "whole")]
+#[case::half_of_its_servers_failed(Scene { others: [Some(0.5), Some(0.5)], itself: Some(0.5), ..HEALTHY }, "whole")]
+#[case::answers_slowly(Scene { wait_seconds: 3.0, ..HEALTHY }, "whole")]
+#[case::attempts_fail_but_health_checks_are_answered(Scene { health_checks: Some(true), ..FAILED }, "doubted")]
+#[case::silent_without_attempts(Scene { others: [None, None], ..FAILED }, "doubted")]
+fn derives_the_state_of_a_site_from_its_evidence(#[case] scene: Scene, #[case] expected: &str) {
     let (mut sites, mut host) = healthy();
     play(&mut sites, &mut host, 5.0, 10.0, scene);
     assert_eq!(state_of_first(&sites).to_string(), expected, "{:?}", host.log);
 }
 
-/// A loss is acted on within the window's first reports and the confirmation, and a hiccup of one report is not.
+/// A failure leads to a failover within 3 s. Failing attempts in a single round of reports do not.
 #[rstest]
-fn fails_over_soon_and_ignores_a_hiccup() {
+fn fails_over_soon_and_ignores_a_short_disturbance() {
     let (mut sites, mut host) = healthy();
     play(
         &mut sites,
@@ -49,12 +49,13 @@
     }
     assert!(at <= 12.0, "{at}");
     assert_eq!(host.weights.last(), Some(&(0, 0.0)));
-    // 120 of 210 asked for fit into nine tenths of 200; the more important route is whole.
+    // Of the demand of 210, 180 fits into nine tenths of the capacity of 200: all 90 of the route with the higher weight, and
+    // 90 of the 120 of the other route.
     let admissions = host.admissions.last().unwrap();
     assert!(admissions[1] == 1.0 && (admissions[0] - 0.75).abs() < 1e-9, "{admissions:?}");
 }
 
-/// The last one is not taken out, whatever is seen: then it is the planner that is cut off.
+/// The last site stays in service even if all attempts fail, since the planner itself is then probably partitioned.
 #[rstest]
 fn never_takes_the_last_site_out() {
     let (mut sites, mut host) = healthy();
--- a/crates/site-failover/tests/site_failover/orders.rs
+++ b/crates/site-failover/tests/site_failover/orders.rs
@@ -1,17 +1,14 @@
-//! Operators' orders.
+//! Operators' orders on sites.
 
 use crate::scene::{HEALTHY, failed, healthy, play, s, state_of_first};
 use grebespool_site_failover::*;
 use rstest::rstest;
 
 #[rstest]
-fn rejects_an_order_that_would_reject_requests() {
+fn rejects_an_order_that_would_cause_rejections_unless_forced() {
     let (mut sites, mut host) = healthy();
-    let refused = sites.execute(s(5.0), 0, SiteOrder::TakeOut, false, &mut host);
-    assert!(
-        matches!(&refused, Err(OrderError::WouldReject(r)) if r.len() == 1 && r[0].0 == 0),
-        "{refused:?}"
-    );
+    let result = sites.execute(s(5.0), 0, SiteOrder::TakeOut, false, &mut host);
+    assert!(matches!(&result, Err(OrderError::WouldReject(r)) if r.len() == 1 && r[0].0 == 0), "{result:?}");
     assert!(host.weights.is_empty() && state_of_first(&sites) == SiteState::Healthy);
     assert_eq!(
         sites.execute(s(5.0), 7, SiteOrder::TakeOut, true, &mut host),
@@ -26,7 +23,7 @@
         sites.execute(s(5.0), 0, SiteOrder::TakeOut, true, &mut host),
         Err(OrderError::AlreadyInState(..))
     ));
-    // A real loss of another meanwhile, and the way back.
+    // The site stays taken out while it answers, and returns only when ordered to.
     for site in [1, 2] {
         sites.capacity_reported(site, 300.0, vec![40.0, 30.0]);
     }
@@ -40,6 +37,6 @@
 #[rstest]
 fn rejects_restoring_a_failed_site() {
     let (mut sites, mut host) = failed();
-    let refused = sites.execute(s(10.0), 0, SiteOrder::Restore, true, &mut host);
-    assert_eq!(refused, Err(OrderError::StillFailed(0)));
+    let result = sites.execute(s(10.0), 0, SiteOrder::Restore, true, &mut host);
+    assert_eq!(result, Err(OrderError::StillFailed(0)));
 }
--- a/crates/site-failover/tests/site_failover/random_days.rs
+++ b/crates/site-failover/tests/site_failover/random_days.rs
@@ -1,5 +1,5 @@
-//! Random days of losses, cuts and returns, with properties that hold after every step; and injected faults, each of
-//! which a property finds.
+//! Random days of failures, partitions and returns. Properties are checked after every tick, and each injected fault
+//! violates one of them.
 
 use crate::helpers::{PARAMETERS, demand, report};
 use grebespool_site_failover::*;
@@ -10,82 +10,87 @@
 use std::time::Duration;
 
 const SITES: usize = 3;
-/// The proxies of each site.
+/// The number of proxies of each site.
 const PROXIES: usize = 5;
 const TICKS: u32 = 240;
-/// In seconds.
+/// The length of a tick, in seconds.
 const TICK: f64 = 0.5;
 
-/// What is really the case.
+/// The actual condition of a site.
 #[derive(Clone, Copy, PartialEq)]
-enum Truth {
+enum Condition {
     Up,
     Down,
-    /// Nothing passes between it and the others.
-    Cut,
+    /// No requests pass between the site and the others.
+    Partitioned,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum InjectedFault {
     None,
-    /// A return takes a step whether or not anything proved it.
+    /// The weight of a returning site rises by more than the step allows.
     StepsUnproven,
-    /// Admission by the wrong order of priority.
+    /// The admission limits are applied to the wrong routes.
     WrongOrder,
-    /// All weight at once.
+    /// The whole weight of a returning site is used at once.
     NoRamp,
 }
 
+/// The host of the failover: the actual condition of each site, and the limits in force.
 struct Environment {
-    truth: [Truth; SITES],
+    conditions: [Condition; SITES],
     weights: [f64; SITES],
     admission: Vec<f64>,
-    /// Tries answered at each site since its part was last raised.
-    proof: [f64; SITES],
+    /// The number of attempts answered at each site since its weight was last set.
+    answered: [f64; SITES],
     injected: InjectedFault,
     violation: Option<String>,
 }
 
 impl FailoverHost for Environment {
-    fn limit_site_weight(&mut self, site: SiteId, part: f64) {
-        let part = match self.injected {
-            InjectedFault::NoRamp if part > 0.0 => 1.0,
-            InjectedFault::StepsUnproven if part > 0.0 => (part * 2.0).min(1.0),
-            _ => part,
+    fn limit_site_weight(&mut self, site: SiteId, fraction: f64) {
+        let fraction = match self.injected {
+            InjectedFault::NoRamp if fraction > 0.0 => 1.0,
+            InjectedFault::StepsUnproven if fraction > 0.0 => (fraction * 2.0).min(1.0),
+            _ => fraction,
         };
-        let rises = part > self.weights[site];
-        if rises && part > 0.11 && self.proof[site] < 6.0 {
-            self.violation.get_or_insert(format!("site {site} rises to {part} unproven"));
+        let rises = fraction > self.weights[site];
+        if rises && fraction > 0.11 && self.answered[site] < 6.0 {
+            self.violation
+                .get_or_insert(format!("site {site} rises to {fraction} without enough answered attempts"));
         }
-        if rises && part > 3.0 * self.weights[site].max(0.1) {
-            self.violation.get_or_insert(format!("site {site} rises from {} to {part}", self.weights[site]));
+        if rises && fraction > 3.0 * self.weights[site].max(0.1) {
+            self.violation
+                .get_or_insert(format!("site {site} rises from {} to {fraction}", self.weights[site]));
         }
-        (self.weights[site], self.proof[site]) = (part, 0.0);
+        (self.weights[site], self.answered[site]) = (fraction, 0.0);
     }
     fn limit_admission(&mut self, fractions: &[f64]) {
         self.admission = fractions.to_vec();
         if self.injected == InjectedFault::WrongOrder {
             self.admission.reverse();
         }
-        // Importance rises with the route's place.
-        if self.admission.windows(2).any(|l| l[0] > l[1] + 1e-9) {
-            self.violation
-                .get_or_insert(format!("a more important route is let in less: {:?}", self.admission));
+        // The priority weight rises with the route's index.
+        if self.admission.windows(2).any(|pair| pair[0] > pair[1] + 1e-9) {
+            self.violation.get_or_insert(format!(
+                "a route with a higher weight is admitted by a smaller fraction: {:?}",
+                self.admission
+            ));
         }
     }
     fn log(&mut self, _: FailoverEvent) {}
 }
 
-/// A day that is played step by step.
+/// A day that is played tick by tick.
 struct Day {
     rng: Pcg64Mcg,
     /// The demand at each site, as a fraction of its capacity.
     load: f64,
     sites: SiteFailover,
     environment: Environment,
-    /// For how many seconds each site has been up and taken for failed.
+    /// The time for which each site has been up but counted as failed, in seconds.
     wrongly_failed_for: [f64; SITES],
-    /// For how many seconds each site has been down while another was in use.
+    /// The time for which each site has been down while another site was in use, in seconds.
     down_for: [f64; SITES],
 }
 
@@ -97,10 +102,10 @@
         let mut sites = SiteFailover::new(SITES, routes, PARAMETERS);
         (0..SITES).for_each(|site| join_proxies(&mut sites, Duration::ZERO, site));
         let environment = Environment {
-            truth: [Truth::Up; SITES],
+            conditions: [Condition::Up; SITES],
             weights: [1.0; SITES],
             admission: vec![1.0; 2],
-            proof: [0.0; SITES],
+            answered: [0.0; SITES],
             injected,
             violation: None,
         };
@@ -108,57 +113,58 @@
         Day { rng, load, sites, environment, wrongly_failed_for, down_for }
     }
 
-    /// Plays one tick; the error is the property that does not hold.
+    /// Plays one tick. The error is the property that does not hold.
     fn play(&mut self, tick: u32) -> Result<(), String> {
         let now = Duration::from_secs_f64(f64::from(tick) * TICK);
         for site in 0..SITES {
-            self.change_truth(now, site, tick > 10);
+            self.change_condition(now, site, tick > 10);
             self.sites.capacity_reported(site, 100.0, vec![self.load * 60.0, self.load * 40.0]);
         }
         self.report_attempts(now);
         for site in 0..SITES {
-            let is_up = self.environment.truth[site] == Truth::Up;
+            let is_up = self.environment.conditions[site] == Condition::Up;
             self.sites.observations().health_check_finished(now, site, is_up);
-            // The list is late by some seconds, and at times wrong.
-            let listed = self.environment.truth[site] != Truth::Down || self.down_for[site] < 2.0;
+            // The list drops a failed site 2 s late, and not while all other sites are out of use.
+            let listed = self.environment.conditions[site] != Condition::Down || self.down_for[site] < 2.0;
             self.sites.observations().endpoints_listed(now, site, if listed { 10 } else { 0 }, None);
         }
         self.sites.evaluate(now, &mut self.environment);
         self.check()
     }
 
-    fn change_truth(&mut self, now: Duration, site: SiteId, may_fail: bool) {
-        let truth = self.environment.truth[site];
-        let next = match truth {
-            Truth::Up if may_fail && self.rng.random_bool(0.01) => Truth::Down,
-            Truth::Up if may_fail && self.rng.random_bool(0.01) => Truth::Cut,
-            Truth::Down | Truth::Cut if self.rng.random_bool(0.06) => Truth::Up,
+    fn change_condition(&mut self, now: Duration, site: SiteId, may_fail: bool) {
+        let condition = self.environment.conditions[site];
+        let next = match condition {
+            Condition::Up if may_fail && self.rng.random_bool(0.01) => Condition::Down,
+            Condition::Up if may_fail && self.rng.random_bool(0.01) => Condition::Partitioned,
+            Condition::Down | Condition::Partitioned if self.rng.random_bool(0.06) => Condition::Up,
             same => same,
         };
-        if next != truth && next == Truth::Down {
+        if next != condition && next == Condition::Down {
             (0..PROXIES).for_each(|_| self.sites.observations().proxy_left(now, site));
         }
-        if next == Truth::Up && truth == Truth::Down {
+        if next == Condition::Up && condition == Condition::Down {
             join_proxies(&mut self.sites, now, site);
         }
-        self.environment.truth[site] = next;
+        self.environment.conditions[site] = next;
     }
 
     fn report_attempts(&mut self, now: Duration) {
         let environment = &mut self.environment;
         for from in 0..SITES {
             for to in 0..SITES {
-                let passes = from == to
-                    || (environment.truth[from] != Truth::Cut && environment.truth[to] != Truth::Cut);
-                if environment.truth[from] == Truth::Down || self.rng.random_bool(0.05) {
+                let is_connected = from == to
+                    || (environment.conditions[from] != Condition::Partitioned
+                        && environment.conditions[to] != Condition::Partitioned);
+                if environment.conditions[from] == Condition::Down || self.rng.random_bool(0.05) {
                     continue;
                 }
-                let good = passes && environment.truth[to] == Truth::Up;
+                let are_answered = is_connected && environment.conditions[to] == Condition::Up;
                 let share = if from == to { 1.0 } else { 0.2 };
-                let scatter = self.rng.random_range(0.5..1.5_f64);
-                let attempts = (40.0 * share * environment.weights[to] * scatter).round();
-                let answered = if good { attempts } else { 0.0 };
-                environment.proof[to] += answered;
+                let variation = self.rng.random_range(0.5..1.5_f64);
+                let attempts = (40.0 * share * environment.weights[to] * variation).round();
+                let answered = if are_answered { attempts } else { 0.0 };
+                environment.answered[to] += answered;
                 let report = report(from, to, attempts, answered, answered * 0.05);
                 self.sites.observations().attempts_reported(now, report);
             }
@@ -167,7 +173,7 @@
 
     fn check(&mut self) -> Result<(), String> {
         if self.environment.weights.iter().all(|weight| *weight == 0.0) {
-            return Err("nothing is left in use".into());
+            return Err("no site is left in use".into());
         }
         for site in 0..SITES {
             self.check_site(site)?;
@@ -175,30 +181,32 @@
         if let Some(violation) = &self.environment.violation {
             return Err(violation.clone());
         }
-        // At the last step of a return all weight is in use and its proof still awaited: admission rises after it.
+        // At the last step of a return the whole weight is in use, but the step is not proven yet. Admission may rise only
+        // afterwards, so it is checked once the site is healthy.
         let is_healthy = |site| self.sites.state(site) == Some(SiteState::Healthy);
-        let is_up = self.environment.truth.iter().all(|truth| *truth == Truth::Up);
+        let are_all_up = self.environment.conditions.iter().all(|condition| *condition == Condition::Up);
         let admission = &self.environment.admission;
-        if is_up && (0..SITES).all(is_healthy) && admission.iter().any(|fraction| *fraction < 1.0) {
-            return Err(format!("all is well and {admission:?} is admitted"));
+        if are_all_up && (0..SITES).all(is_healthy) && admission.iter().any(|fraction| *fraction < 1.0) {
+            return Err(format!("all sites are healthy and only {admission:?} is admitted"));
         }
         Ok(())
     }
 
     fn check_site(&mut self, site: SiteId) -> Result<(), String> {
         let (environment, state) = (&self.environment, self.sites.state(site).unwrap());
-        // A wrong failover costs much: one of a site that answers has to end soon.
-        let is_wrong = environment.truth[site] == Truth::Up && state == SiteState::Failed;
-        self.wrongly_failed_for[site] = if is_wrong { self.wrongly_failed_for[site] + TICK } else { 0.0 };
+        // A wrong failover is costly: if the site answers, it must end soon.
+        let is_wrongly_failed = environment.conditions[site] == Condition::Up && state == SiteState::Failed;
+        self.wrongly_failed_for[site] =
+            if is_wrongly_failed { self.wrongly_failed_for[site] + TICK } else { 0.0 };
         if self.wrongly_failed_for[site] > 3.0 {
             return Err(format!("site {site} is up and stays failed"));
         }
-        // And a real failure has to be known; the last site in use stays in use.
-        let others = (0..SITES).any(|other| other != site && environment.weights[other] > 0.0);
-        let is_down = environment.truth[site] == Truth::Down && others;
+        // A failure must be detected in time, unless the site is the last one in use, which stays in use.
+        let others_in_use = (0..SITES).any(|other| other != site && environment.weights[other] > 0.0);
+        let is_down = environment.conditions[site] == Condition::Down && others_in_use;
         self.down_for[site] = if is_down { self.down_for[site] + TICK } else { 0.0 };
         if self.down_for[site] > 8.0 && environment.weights[site] >= 0.2 {
-            return Err(format!("site {site} is down and {state}"));
+            return Err(format!("site {site} is down and its state is {state}"));
         }
         Ok(())
     }
@@ -208,36 +216,42 @@
     (0..PROXIES).for_each(|_| sites.observations().proxy_joined(now, site));
 }
 
-/// Plays a day; gives the property that does not hold, if any.
-fn day(seed: u64, injected: InjectedFault) -> Option<String> {
+/// Plays a day and returns the first property that does not hold, if any.
+fn play_day(seed: u64, injected: InjectedFault) -> Option<String> {
     let mut day = Day::new(seed, injected);
     (0..TICKS).find_map(|tick| {
-        day.play(tick).err().map(|broken| format!("seed {seed} at {}: {broken}", f64::from(tick) * TICK))
+        let violation = day.play(tick).err()?;
+        Some(format!("seed {seed} at {} s: {violation}", f64::from(tick) * TICK))
     })
 }
 
 #[rstest]
-fn random_days_break_no_property() {
-    let found: Vec<String> = (0..1000).filter_map(|seed| day(seed, InjectedFault::None)).collect();
-    assert!(found.is_empty(), "{} of 1000: {:#?}", found.len(), &found[..found.len().min(5)]);
+fn random_days_violate_no_property() {
+    let violations: Vec<String> = (0..1000).filter_map(|seed| play_day(seed, InjectedFault::None)).collect();
+    assert!(
+        violations.is_empty(),
+        "{} of 1000: {:#?}",
+        violations.len(),
+        &violations[..violations.len().min(5)]
+    );
 }
 
 #[rstest]
-#[case::steps_unproven(InjectedFault::StepsUnproven)]
+#[case::unproven_steps(InjectedFault::StepsUnproven)]
 #[case::wrong_order(InjectedFault::WrongOrder)]
-#[case::no_pace(InjectedFault::NoRamp)]
+#[case::no_ramp(InjectedFault::NoRamp)]
 fn finds_injected_faults(#[case] injected: InjectedFault) {
-    assert!((0..50).any(|seed| day(seed, injected).is_some()));
+    assert!((0..50).any(|seed| play_day(seed, injected).is_some()));
 }
 
-/// Whatever is asked for and failed, nobody is filled beyond the fill, nothing is let in while something more important
-/// is throttled, and what fits is let in.
+/// For random demands and failed sites, a plan fills no site beyond the maximum utilization, admits no route while a route of
+/// higher weight is limited, and rejects nothing that fits.
 #[rstest]
-fn random_plans_admit_by_priority_and_never_overfill() {
+fn random_plans_admit_by_priority_and_never_exceed_the_maximum_utilization() {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     for _ in 0..10_000 {
-        let (n, routes) = (rng.random_range(2..6), rng.random_range(1..5));
-        let sites: Vec<SiteCapacity> = (0..n)
+        let (site_count, routes) = (rng.random_range(2..6), rng.random_range(1..5));
+        let sites: Vec<SiteCapacity> = (0..site_count)
             .map(|_| SiteCapacity {
                 capacity: rng.random_range(1.0..100.0),
                 demand: (0..routes).map(|_| rng.random_range(0.0..40.0)).collect(),
@@ -246,14 +260,15 @@
         let demands: Vec<RouteDemand> = (0..routes)
             .map(|_| RouteDemand { priority_weight: f64::from(rng.random_range(1..4)), is_site_local: false })
             .collect();
-        let failed: BTreeSet<SiteId> = (0..n).filter(|_| rng.random_bool(0.3)).take(n - 1).collect();
+        let failed: BTreeSet<SiteId> =
+            (0..site_count).filter(|_| rng.random_bool(0.3)).take(site_count - 1).collect();
         let plan = plan_capacity(&sites, &demands, &failed, 0.9).unwrap();
-        assert!(plan.utilization.iter().all(|f| *f <= 0.9 + 1e-6), "{plan:?}");
+        assert!(plan.utilization.iter().all(|used| *used <= 0.9 + 1e-6), "{plan:?}");
         for (a, b) in (0..routes).flat_map(|a| (0..routes).map(move |b| (a, b))) {
-            let less = demands[a].priority_weight < demands[b].priority_weight;
-            assert!(!(less && plan.admitted[a] > 1e-9 && plan.admitted[b] < 1.0 - 1e-9), "{plan:?}");
+            let is_lower = demands[a].priority_weight < demands[b].priority_weight;
+            assert!(!(is_lower && plan.admitted[a] > 1e-9 && plan.admitted[b] < 1.0 - 1e-9), "{plan:?}");
         }
         assert!(plan.rejected < 1e-6 || plan.spare < 1e-6, "{plan:?}");
-        assert!(failed.iter().all(|s| plan.utilization[*s] == 0.0));
+        assert!(failed.iter().all(|site| plan.utilization[*site] == 0.0));
     }
 }
