--- a/crates/leader-election/src/lib.rs
+++ b/crates/leader-election/src/lib.rs
@@ -4,9 +4,8 @@
 //! The crate does no I/O and reads no clock. The caller passes each event to a [`Member`], with the time by that member's
 //! clock; the member acts through its [`Host`].
 //!
-//! Guaranteed regardless of the clocks: a term has at most one leader, and proxies reject orders of a term older than the
-//! newest one they have seen. Guaranteed while clocks stay within the configured drift: at most one member holds the
-//! leader lease at a time.
+//! Regardless of the clocks, a term has at most one leader, and proxies reject orders of a term older than the newest one
+//! they have seen. While the clocks stay within the configured drift, at most one member holds the leader lease at a time.
 
 mod durable_outbox;
 mod error;
--- a/crates/leader-election/src/message.rs
+++ b/crates/leader-election/src/message.rs
@@ -7,8 +7,8 @@
 // On the wire by the order of variants and fields: do not reorder.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether the receiver would vote for the sender in this term. Sent before a vote request, so that a member that
-    /// alone is cut off from the leader does not raise the term repeatedly.
+    /// Asks whether the receiver would vote for the sender in this term. This message precedes a vote request, so that a
+    /// member that alone is cut off from the leader does not raise the term repeatedly.
     PreVoteRequest {
         /// The term in which the sender would be a candidate.
         term: u64,
--- a/crates/leader-election/src/snapshot.rs
+++ b/crates/leader-election/src/snapshot.rs
@@ -10,7 +10,7 @@
 /// The maximum size of an encoded snapshot in bytes; a larger one is neither sent nor read.
 pub const MAX_SNAPSHOT_BYTES: usize = 8 << 20;
 
-// Stored in the first two bytes, big-endian; every change of the layout needs a new version.
+// The version is stored in the first two bytes, big-endian. Every change of the layout needs a new version.
 const FORMAT_VERSION: u16 = 2;
 const VERSION_BYTES: usize = 2;
 const CHECKSUM_BYTES: usize = 16;
--- a/crates/singleton-tasks/src/journal.rs
+++ b/crates/singleton-tasks/src/journal.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Writes a record, unless another request is in flight. Returns whether it does.
+    /// Writes a record. Returns false, and does nothing, if another request is in flight.
     pub(crate) fn write(&mut self, context: &mut Context<impl Host>, record: StepRecord) -> bool {
         if !self.is_idle() {
             return false;
--- a/crates/singleton-tasks/src/lease_holder.rs
+++ b/crates/singleton-tasks/src/lease_holder.rs
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Drops all leases that have expired. This runs before anything else is handled: after a stall, other members may hold
-    /// the tasks.
+    /// Drops all leases that have expired. Timers and messages of the leader are handled only afterwards: after a stall, other
+    /// members may hold the tasks.
     fn drop_expired(&mut self, context: &mut Context<impl Host>) {
         let now = context.now;
         let released: Vec<TaskId> =
--- a/crates/singleton-tasks/src/lease_manager/mod.rs
+++ b/crates/singleton-tasks/src/lease_manager/mod.rs
@@ -161,8 +161,7 @@
         let Some(member) = self.members.remove(&id) else { return };
         context.host.log(TaskEvent::HolderLost { member: id, tasks: member.granted.len() });
         self.flap_damping.record(now, id);
-        // The leases of a member that is no longer a voter have not expired yet: such a member cannot renew them, and holds
-        // its tasks until then.
+        // A member that is no longer a voter cannot renew its leases, but holds its tasks until these leases expire.
         let expires_at = self.leases_expire_at(&member);
         for lease in &mut self.leases {
             if lease.holder == Some(id) {
--- a/crates/singleton-tasks/src/lib.rs
+++ b/crates/singleton-tasks/src/lib.rs
@@ -3,10 +3,10 @@
 //! The crate does no I/O and reads no clock. The caller passes each event to a [`TaskManager`], with the time by this
 //! member's clock; the task manager acts through its [`Host`].
 //!
-//! Guaranteed regardless of the clocks: a fencing token has at most one holder, the tokens of a task only rise, and the
-//! next holder continues with the step whose beginning a quorum has stored. Guaranteed while clocks stay within the
-//! configured drift: a task has at most one holder at a time. If a clock exceeds the drift, the [`Fence`] at the target of
-//! the effects rejects the holder with the lower token.
+//! Regardless of the clocks, a fencing token has at most one holder, the tokens of a task only rise, and the next holder
+//! continues with the step whose beginning a quorum has stored. While the clocks stay within the configured drift, a task
+//! has at most one holder at a time. If a clock exceeds the drift, the [`Fence`] at the target of the effects rejects the
+//! holder with the lower token.
 
 mod balance;
 mod config;
--- a/crates/singleton-tasks/src/task_manager/mod.rs
+++ b/crates/singleton-tasks/src/task_manager/mod.rs
@@ -78,8 +78,8 @@
         others.into_iter().flatten().chain(journals).min().unwrap_or(Duration::MAX)
     }
 
-    /// Returns the token by which this member may act on a task at this moment; `None` if it may not. `now` must be read right
-    /// before the effect.
+    /// Returns the token by which this member may act on a task at this moment; `None` if it may not. `now` must be read
+    /// right before the effect.
     pub fn current_token(&self, now: Duration, task: TaskId) -> Option<FencingToken> {
         self.lease_holder.current_token(now, task)
     }
--- a/crates/site-failover/src/recovery_ramp.rs
+++ b/crates/site-failover/src/recovery_ramp.rs
@@ -108,8 +108,8 @@
         self.step
     }
 
-    /// Returns the minimum duration of a step: an equal part of the warm-up, doubled with each flap up to a whole warm-up, and
-    /// at least the propagation time.
+    /// Returns the minimum duration of a step: an equal part of the warm-up, doubled with each flap up to a whole warm-up,
+    /// and at least the propagation time.
     fn min_step_duration(&self, parameters: &RampParameters) -> Duration {
         let part = parameters.warm_up / WEIGHT_FRACTIONS.len() as u32;
         let damped = (part * (1 << self.flaps)).min(parameters.warm_up.max(part));
