--- a/crates/controller/src/site_watch.rs
+++ b/crates/controller/src/site_watch.rs
@@ -100,7 +100,7 @@
 
     /// Passes on that a proxy of the zone sent a report.
     pub(crate) fn zone_reported(&mut self, now: Duration, zone: ZoneId) {
-        self.failover.observations().clients_heard(now, usize::from(zone));
+        self.failover.observations().clients_reported(now, usize::from(zone));
     }
 
     /// Passes on whether a server of the zone answered a health check.
