--- a/crates/config-distribution/src/chain/link.rs
+++ b/crates/config-distribution/src/chain/link.rs
@@ -1,31 +1,32 @@
-//! Links of a chain, and the state that they result in.
+//! Links of a chain, and the state that results from them.
 
 use super::ChainError;
 use crate::digest::Digest;
 use grebespool_config_consensus::{Change, Configuration, EffectiveConfiguration};
 use serde::{Deserialize, Serialize};
 
-/// A zone or a service, by the number that the control machines gave it.
+/// Identifies a scope, which is a zone or a service, by the number that the control machines gave to it.
 // stored and on the wire: do not reorder
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ScopeId(pub u32);
 
-/// The place of a link in its scope's chain; the first link has one.
+/// Number of a link in its scope's chain, from one.
 pub type Revision = u64;
 
-/// How urgent a change is; a lower one is sent first.
+/// Urgency of a change; the lowest value is sent first.
+// the order of the variants is the order of sending
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// It takes servers out of service.
+    /// The change withdraws a server.
     Drain,
-    /// It changes a bound.
+    /// The change sets a limit or a route.
     Limit,
-    /// Anything else.
+    /// Any other change.
     Other,
 }
 
 impl Priority {
-    /// The priority of the most urgent of these changes.
+    /// Returns the priority of the most urgent of these changes.
     pub fn of(changes: &[Change]) -> Priority {
         let priority = |change: &Change| match change {
             change if change.withdrawn_server().is_some() => Priority::Drain,
@@ -36,11 +37,11 @@
     }
 }
 
-/// What a link does.
+/// The effect of a link on the state.
 // stored and on the wire: do not reorder
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Step {
-    /// Prepares a new version beside the active one, made from it by these changes.
+    /// Prepares a new version beside the active one: the active version with these changes.
     Prepare(Vec<Change>),
     /// Activates the pending version.
     Activate,
@@ -52,13 +53,13 @@
 pub struct Link {
     /// The scope.
     pub scope: ScopeId,
-    /// Its place in the chain.
+    /// Number of the link in the chain.
     pub revision: Revision,
-    /// The hash of the link before it.
+    /// Hash of the link before.
     pub parent: Digest,
-    /// Its own hash: of the scope, the place, the parent and the state after it.
+    /// Hash of this link, over the scope, the revision, the parent and the state after the link.
     pub hash: Digest,
-    /// What it does.
+    /// The effect of the link.
     pub step: Step,
 }
 
@@ -66,24 +67,24 @@
 // stored and on the wire: do not reorder
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// How many versions were prepared before it.
+    /// Number of the version, which is the number of versions that were prepared before.
     pub number: u64,
     /// The configuration.
     pub configuration: Configuration,
 }
 
-/// The state that a chain results in.
+/// The state that results from a chain.
 // stored and on the wire: do not reorder
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ScopeState {
-    /// The version that is active alone.
+    /// The active version, which applies alone while no version is pending.
     pub active: Version,
-    /// The version that is prepared beside it.
+    /// The version that is prepared and not yet active.
     pub pending: Option<Version>,
 }
 
 impl ScopeState {
-    /// The active configuration, or its intersection with the pending one.
+    /// Returns the active configuration, or its intersection with the pending one.
     pub fn effective_configuration(&self) -> EffectiveConfiguration {
         match &self.pending {
             None => EffectiveConfiguration::single(&self.active.configuration),
@@ -93,12 +94,12 @@
         }
     }
 
-    /// The numbers of the active and the pending version.
+    /// Returns the numbers of the active and the pending version.
     pub fn versions(&self) -> (u64, Option<u64>) {
         (self.active.number, self.pending.as_ref().map(|pending| pending.number))
     }
 
-    /// The state after a step.
+    /// Returns the state after a step.
     pub(super) fn after(&self, step: &Step) -> Result<ScopeState, ChainError> {
         match (step, &self.pending) {
             (Step::Prepare(changes), None) => {
--- a/crates/config-distribution/src/chain/mod.rs
+++ b/crates/config-distribution/src/chain/mod.rs
@@ -1,8 +1,8 @@
-//! A scope's configuration as a chain of links, each with the hash of the one before it.
+//! A scope's configuration as a chain of links, each of which has the hash of the link before.
 //!
-//! A change goes through two links: one prepares a new version beside the active one, the next activates it. In between, a
-//! planner applies the intersection of both. A link is applied only on exactly the link before it, so a gap, a wrong order
-//! or another history is detected and never applied.
+//! A change takes two links: the first prepares a new version beside the active one, the second activates the new version.
+//! Between the two, a planner applies the intersection of both versions. A link is applied only directly after its parent, so
+//! a gap, a wrong order or another history is detected and never applied.
 
 mod error;
 mod link;
@@ -14,26 +14,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Links that are kept to bring others up to date; a node that is further behind gets a snapshot.
-pub const LINKS_KEPT: usize = 64;
+/// Number of links that a chain retains to update other nodes; a node that is further behind gets a snapshot.
+pub const MAX_RETAINED_LINKS: usize = 64;
 
-/// The last link of a chain.
+/// Identifies the last link of a chain, and so its history.
 // stored and on the wire: do not reorder
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// The last link's revision.
+    /// Revision of the last link.
     pub revision: Revision,
-    /// Its hash.
+    /// Hash of the last link.
     pub hash: Digest,
 }
 
-/// The whole of a scope at a position, for a node that is too far behind for links.
+/// The state of a scope at a position, for a node that is too far behind to be updated by links.
 // stored and on the wire: do not reorder
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The scope.
     pub scope: ScopeId,
-    /// Position of its chain.
+    /// Position of the chain.
     pub position: Position,
     /// Hash of the link before that position.
     pub parent: Digest,
@@ -41,7 +41,7 @@
     pub state: Vec<u8>,
 }
 
-/// A scope's chain: the state that it results in, and its newest links.
+/// The chain of a scope: the resulting state and the newest links.
 // stored: do not reorder
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ScopeChain {
@@ -53,7 +53,7 @@
 }
 
 impl ScopeChain {
-    /// Of a scope that has no link yet.
+    /// Returns the chain of a scope that has no links yet.
     pub fn new(scope: ScopeId) -> ScopeChain {
         ScopeChain {
             scope,
@@ -64,63 +64,64 @@
         }
     }
 
-    /// The scope.
+    /// Returns the scope.
     pub fn scope(&self) -> ScopeId {
         self.scope
     }
 
-    /// The last link.
+    /// Returns the position of the last link.
     pub fn position(&self) -> Position {
         self.position
     }
 
-    /// The last link's revision.
+    /// Returns the revision of the last link.
     pub fn revision(&self) -> Revision {
         self.position.revision
     }
 
-    /// The state that it results in.
+    /// Returns the state that results from the chain.
     pub fn state(&self) -> &ScopeState {
         &self.state
     }
 
-    /// The revision that prepared the newest version.
+    /// Returns the revision that prepared the newest version.
     pub fn prepared(&self) -> Revision {
         self.position.revision.saturating_sub(u64::from(self.state.pending.is_none()))
     }
 
-    /// The revision that prepared the active version: a node with an older one may not apply the scope.
+    /// Returns the revision that prepared the active version: a node with an older revision may not apply the scope.
     pub fn required(&self) -> Revision {
         self.prepared().saturating_sub(if self.state.pending.is_some() { 2 } else { 0 })
     }
 
-    /// The next link, which does this.
+    /// Returns the link that follows the chain with this step.
     ///
     /// # Errors
     ///
-    /// The step does not follow: a version is pending already, or none is.
+    /// Returns a [`ChainError`] if the step prepares a version while one is pending, or activates one while no version is
+    /// pending.
     pub fn next(&self, step: Step) -> Result<Link, ChainError> {
         let (revision, parent) = (self.position.revision + 1, self.position.hash);
-        let hash = hash_of(self.scope, revision, parent, &self.state.after(&step)?);
+        let hash = link_hash(self.scope, revision, parent, &self.state.after(&step)?);
         Ok(Link { scope: self.scope, revision, parent, hash, step })
     }
 
-    /// Applies the next link; any other leaves the chain as it is.
+    /// Applies the next link. Any other link leaves the chain unchanged.
     ///
     /// # Errors
     ///
-    /// It is not the next link of this history.
+    /// Returns a [`ChainError`] if the link is not the next one of this history.
     pub fn apply(&mut self, link: Link) -> Result<(), ChainError> {
         self.check_follows(&link)?;
         let state = self.state.after(&link.step)?;
-        let hash = hash_of(self.scope, link.revision, link.parent, &state);
+        let hash = link_hash(self.scope, link.revision, link.parent, &state);
         if hash != link.hash {
-            return Err(ChainError::WrongState { revision: link.revision, found: hash, told: link.hash });
+            return Err(ChainError::WrongState { revision: link.revision, found: hash, claimed: link.hash });
         }
         (self.parent, self.state) = (link.parent, state);
         self.position = Position { revision: link.revision, hash };
         self.links.push_back(link);
-        if self.links.len() > LINKS_KEPT {
+        if self.links.len() > MAX_RETAINED_LINKS {
             self.links.pop_front();
         }
         Ok(())
@@ -144,7 +145,7 @@
         Ok(())
     }
 
-    /// The links after a position, if that is in this history and all of them are kept.
+    /// Returns the links after a position, if the position is in this history and the chain still has all links after it.
     pub fn links_after(&self, position: Position) -> Option<Vec<&Link>> {
         if position == self.position {
             return Some(vec![]);
@@ -157,7 +158,7 @@
         after.first().is_some_and(|link| link.parent == position.hash).then_some(after)
     }
 
-    /// A snapshot at the last link.
+    /// Returns a snapshot at the last link.
     pub fn snapshot(&self) -> Snapshot {
         let state = postcard::to_stdvec(&self.state).expect("encoding into memory does not fail");
         Snapshot { scope: self.scope, position: self.position, parent: self.parent, state }
@@ -167,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// It is of another scope, not newer, or not what its hash says.
+    /// Returns a [`ChainError`] if the snapshot is of another scope, is not newer, or doesn't match its hash.
     pub fn restore(&mut self, snapshot: &Snapshot) -> Result<(), ChainError> {
         let Snapshot { scope, position, parent, .. } = *snapshot;
         if scope != self.scope {
@@ -177,16 +178,20 @@
             return Err(ChainError::GoesBack { found: position.revision, held: self.position.revision });
         }
         let state: ScopeState = postcard::from_bytes(&snapshot.state).map_err(|_| ChainError::Unreadable)?;
-        let found = hash_of(scope, position.revision, parent, &state);
+        let found = link_hash(scope, position.revision, parent, &state);
         if found != position.hash {
-            return Err(ChainError::WrongState { revision: position.revision, found, told: position.hash });
+            return Err(ChainError::WrongState {
+                revision: position.revision,
+                found,
+                claimed: position.hash,
+            });
         }
         *self = ScopeChain { scope, position, parent, state, links: VecDeque::new() };
         Ok(())
     }
 }
 
-// Hashes are stored and on the wire: do not change what they are of.
-fn hash_of(scope: ScopeId, revision: Revision, parent: Digest, state: &ScopeState) -> Digest {
+// Hashes are stored and on the wire: do not change the hashed values or their order.
+fn link_hash(scope: ScopeId, revision: Revision, parent: Digest, state: &ScopeState) -> Digest {
     Digest::of(&(scope, revision, parent, Digest::of(state)))
 }
--- a/crates/config-distribution/src/control/publisher.rs
+++ b/crates/config-distribution/src/control/publisher.rs
@@ -54,7 +54,7 @@
             in_log: BTreeSet::new(),
             pending: store.chains().filter(is_pending).map(ScopeChain::scope).collect(),
             unheard: registered,
-            former_expiry: now + settings.outlasting(settings.relay_lease),
+            former_expiry: now + settings.lease_expiry_wait(settings.relay_lease),
             registering: BTreeMap::new(),
             unregistering: BTreeSet::new(),
             registered_at: BTreeMap::new(),
--- a/crates/config-distribution/src/digest.rs
+++ b/crates/config-distribution/src/digest.rs
@@ -1,16 +1,17 @@
-//! Digests that stand for a scope's history and content.
+//! Digests that identify a scope's history and content.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 const BYTES: usize = 16;
 
-/// A BLAKE3 hash, cut to 16 bytes: enough that no two histories share one by chance.
+/// A BLAKE3 hash, truncated to 16 bytes: enough to make an accidental collision of two histories negligible.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest([u8; BYTES]);
 
 impl Digest {
-    /// Of what serializes to the same bytes everywhere.
+    /// Computes the digest of a value, which has to serialize to the same bytes on all nodes.
+    // The digest is over the postcard bytes: a reordered field or variant of the value changes the digest.
     pub fn of<T: Serialize>(value: &T) -> Digest {
         let bytes = postcard::to_stdvec(value).expect("encoding into memory does not fail");
         let mut digest = [0; BYTES];
--- a/crates/config-distribution/src/distributor/mod.rs
+++ b/crates/config-distribution/src/distributor/mod.rs
@@ -217,7 +217,7 @@
             !lease.is_zero() && self.may_grant(now, store, holder, statuses, authority.covers)
         });
         if let (Some(known), Some(lease)) = (self.sessions.get_mut(&holder), lease) {
-            known.until = known.until.max(now + self.settings.outlasting(lease));
+            known.until = known.until.max(now + self.settings.lease_expiry_wait(lease));
         }
         out.push((holder, Downward::Granted { session, term: authority.term, count, lease }));
     }
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -1,14 +1,15 @@
 //! Distribution of configuration by scope: from a quorum of control machines over relays in each zone to planners
 //! (`docs/design/config-distribution.md`).
 //!
-//! No I/O and no clock: the caller reports events to a [`ControlMachine`] and a [`Planner`] with the time of their own
-//! clocks, and takes what is to be sent and written.
+//! The crate does no I/O and reads no clock: the caller passes events to a [`ControlMachine`] or a [`Planner`] with the time
+//! of that node's clock, and takes from it the messages to send and the data to write.
 //!
-//! Guarantees, whatever clocks do: a scope has one history, and nobody goes back in it or applies a link over a gap. With
-//! clocks within the stated drift, of all planners that apply a scope at one time some version is among those that each of
-//! them applies.
+//! Guarantees that hold for any behaviour of the clocks: a scope has one history, and a node neither goes back in this history
+//! nor applies a link over a gap. While all clocks stay within the configured drift, the planners that apply a scope at the
+//! same time have at least one version in common among those that each of them applies.
 //!
-//! It never decides who leads, judges servers, or waits for a single planner longer than its lease.
+//! The crate doesn't elect the leader, doesn't assess servers, and never waits for a single planner for longer than the
+//! planner's lease.
 
 mod budget;
 mod chain;
@@ -25,8 +26,8 @@
 
 pub use budget::{Rate, TokenBucket};
 pub use chain::{
-    ChainError, LINKS_KEPT, Link, Position, Priority, Revision, ScopeChain, ScopeId, ScopeState, Snapshot,
-    Step, Version,
+    ChainError, Link, MAX_RETAINED_LINKS, Position, Priority, Revision, ScopeChain, ScopeId, ScopeState,
+    Snapshot, Step, Version,
 };
 pub use control::{Authority, ControlMachine};
 pub use digest::Digest;
--- a/crates/config-distribution/src/message.rs
+++ b/crates/config-distribution/src/message.rs
@@ -1,6 +1,7 @@
 //! Messages between nodes.
 //!
-//! On the wire, and in part stored: variants and fields must not be reordered.
+//! The types are sent, and some of them are stored, as postcard, which encodes positions and not names: variants and fields
+//! must not be reordered.
 
 use crate::chain::{Link, Position, Priority, Revision, ScopeId};
 use crate::digest::Digest;
@@ -9,26 +10,27 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A leader's term; a later leader's is higher.
+/// A leader's term; each later leader has a higher one.
 pub type Term = u64;
 
-/// A session of a holder with a distributor; later ones are higher, across restarts of the holder.
+/// Identifies a session of a holder with a distributor; a later session has a greater id, also across restarts of the holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId {
-    /// How often the holder was started.
+    /// Number of starts of the holder.
     pub start: u32,
-    /// Sessions since that start.
+    /// Number of sessions since that start.
     pub number: u32,
 }
 
-/// What a holder has of a scope.
+/// The progress of a holder in a scope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ScopeStatus {
     /// The scope.
     pub scope: ScopeId,
-    /// The last link that it has.
+    /// Position of the last link that the holder has.
     pub held: Position,
-    /// Up to which revision it, and everybody whose lease it answers for, is ready: none of them applies an older one.
+    /// The revision up to which the holder is ready, and with it every node that applies the scope by a lease from the holder:
+    /// none of them applies an older revision.
     pub ready: Revision,
 }
 
@@ -37,47 +39,47 @@
 pub struct SnapshotPart {
     /// The scope.
     pub scope: ScopeId,
-    /// Position of its chain.
+    /// Position of the chain that the snapshot was taken at.
     pub position: Position,
     /// Hash of the link before that position.
     pub parent: Digest,
     /// Index of this part, from zero.
     pub part: u32,
-    /// How many parts there are.
+    /// Number of parts of the snapshot.
     pub parts: u32,
-    /// The bytes of this part.
+    /// Bytes of this part of the encoded state.
     pub bytes: Vec<u8>,
 }
 
-/// From a holder of configuration to its distributor: a planner to its relays, a relay to the leader.
+/// A message from a holder of configuration to its distributor: from a planner to a relay, or from a relay to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Upward {
-    /// Begins a session, with the status of every scope that is subscribed to.
+    /// Begins a session, with the status of every scope that the holder subscribes to.
     Attach {
         /// The session.
         session: SessionId,
-        /// The newest term that the holder has seen.
+        /// The highest term that the holder has seen.
         term: Term,
-        /// The status of each scope; revision zero where nothing is held.
+        /// The status of each scope; revision zero if the holder has nothing of the scope.
         statuses: Vec<ScopeStatus>,
     },
-    /// Asks to renew the lease, with the statuses that changed since the last answer.
+    /// Requests a renewal of the lease, with the statuses that changed since the last answer.
     Renew {
         /// The session.
         session: SessionId,
-        /// Counts renewals of the session.
+        /// Number of this renewal within the session.
         count: u64,
-        /// Scopes that are new or have advanced.
+        /// The statuses of scopes that are new or have advanced.
         statuses: Vec<ScopeStatus>,
     },
-    /// Ends a session and gives its lease back: nobody applies anything by it any more.
+    /// Ends a session and releases its lease: no node applies anything by this lease any more.
     Release {
         /// The session.
         session: SessionId,
     },
 }
 
-/// From a distributor to a holder.
+/// A message from a distributor to a holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Downward {
     /// The session has begun.
@@ -87,70 +89,72 @@
         /// The leader's term.
         term: Term,
     },
-    /// The statuses up to this renewal are known. A lease runs from when that renewal was sent.
+    /// Answers a renewal: the distributor knows the statuses up to it. The lease counts from when the renewal was sent.
     Granted {
         /// The session.
         session: SessionId,
         /// The leader's term.
         term: Term,
-        /// The renewal that is answered.
+        /// Number of the renewal that is answered.
         count: u64,
-        /// How long, from the sending; none while the holder is behind or the distributor has no lease itself.
+        /// Duration of the lease from the sending of the renewal; `None` while the holder is behind or the distributor has no
+        /// lease of its own.
         lease: Option<Duration>,
     },
     /// The next links of scopes.
     Links {
-        /// The links, in the order of each chain.
+        /// The links; those of one scope are in the order of its chain.
         links: Vec<Link>,
     },
     /// A part of a snapshot.
     Part(SnapshotPart),
-    /// Another machine leads, or none that this node knows.
+    /// The sender doesn't lead, so it cannot serve the session.
     NotLeading {
-        /// The session that was asked for.
+        /// The session that the holder asked for.
         session: SessionId,
-        /// The leader, where it is known.
+        /// The leader, if the sender knows it.
         leader: Option<MemberId>,
     },
-    /// The session is refused.
+    /// The distributor refuses the session.
     Refused {
         /// The session.
         session: SessionId,
-        /// Why.
+        /// The reason.
         why: Refusal,
     },
-    /// The distributor shuts down: nothing may be applied by its leases any more.
+    /// The distributor shuts down: the holder must not apply anything by its leases any more.
     ShuttingDown,
 }
 
-/// Why a session is refused.
+/// A reason to refuse a session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Refusal {
-    /// It is not known here, for instance after a restart.
+    /// The distributor doesn't know the session, for instance because it was restarted.
     UnknownSession,
-    /// The distributor has as many sessions as it takes.
+    /// The distributor has reached its limit of sessions.
     Full,
     /// The holder has another history of this scope.
     OtherHistory(ScopeId),
-    /// The holder is not of the distributor's zone.
+    /// The holder is in another zone than the distributor.
     OtherZone,
 }
 
-/// Identifies a proposal among those of all proposers.
+/// Identifies a proposal among the proposals of all proposers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProposalKey {
     /// The proposer.
     pub proposer: MemberId,
-    /// The proposal's number.
+    /// Number of the proposal among those of its proposer.
     pub number: u64,
 }
 
-/// Changes that are proposed for a scope.
+/// A proposal to change the configuration of a scope.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Proposal {
     /// The proposer.
     pub proposer: MemberId,
-    /// Counts its proposals. A proposal is retransmitted until it is answered, and takes effect once.
+    /// Number of the proposal among those of its proposer. A proposal is retransmitted until it is answered, and the number
+    /// ensures that it takes effect only once.
     pub number: u64,
     /// The scope.
     pub scope: ScopeId,
@@ -159,40 +163,40 @@
 }
 
 impl Proposal {
-    /// Its proposer and number.
+    /// Returns the key of the proposal.
     pub fn key(&self) -> ProposalKey {
         ProposalKey { proposer: self.proposer, number: self.number }
     }
 
-    /// How urgent it is.
+    /// Returns the priority of the proposal's most urgent change.
     pub fn priority(&self) -> Priority {
         Priority::of(&self.changes)
     }
 }
 
-/// An entry of the log of control machines.
+/// An entry of the log that the control machines replicate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogEntry {
-    /// A leader has begun; what is before it is committed with it.
+    /// The first entry of a leader; committing it commits all entries before it.
     Begin,
-    /// A link of a scope, and the proposals that are part of it.
+    /// A link of a scope, and the proposals that it includes.
     Link(Link, Vec<ProposalKey>),
-    /// A relay, with its start, may be granted leases.
+    /// Permits leases for a relay, which is identified by its id and its number of starts.
     Register(MemberId, u32),
-    /// A relay's leases are over, and it is granted none.
+    /// Forbids leases for a relay, whose former leases have expired.
     Unregister(MemberId),
 }
 
-/// A record of the log of control machines.
+/// A record of the log that the control machines replicate.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// The term of the leader that wrote it.
+    /// The term of the leader that wrote the record.
     pub term: Term,
-    /// Its entry.
+    /// The entry.
     pub entry: LogEntry,
 }
 
-/// The term and the index of a record; indices begin with one. A later record is greater.
+/// The term and the index of a record. Indices start at one; a later record has a greater position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct LogPosition {
     /// The record's term.
@@ -201,60 +205,61 @@
     pub index: u64,
 }
 
-/// Among control machines, from and to the leader.
+/// A message between the leader and another control machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogMessage {
-    /// A leader has begun: nothing of a former one is accepted any more. Asks for the last record.
+    /// Announces a leader and asks for the position of the last record. The receiver accepts nothing from leaders of lower
+    /// terms any more.
     Recover {
         /// The leader's term.
         term: Term,
     },
-    /// The last record that is on this machine's disk.
+    /// Reports the last record on the sender's disk, in answer to `Recover`.
     Recovered {
         /// The leader's term.
         term: Term,
-        /// The last record.
+        /// Position of the last record.
         last: LogPosition,
     },
-    /// Asks for the records from this index on.
+    /// Requests the records from an index on.
     Fetch {
         /// The leader's term.
         term: Term,
         /// The first index.
         from: u64,
     },
-    /// Records from an index on.
+    /// Returns records from an index on, in answer to `Fetch`.
     Fetched {
         /// The leader's term.
         term: Term,
         /// The first index.
         from: u64,
-        /// The records; fewer than there are where they are many.
+        /// The records, at most as many as fit into one message.
         records: Vec<LogRecord>,
     },
-    /// Append these after that record.
+    /// Asks the receiver to append records after a given record.
     Append {
         /// The leader's term.
         term: Term,
-        /// The record before them.
+        /// Position of the record before the first of these.
         previous: LogPosition,
         /// The records.
         records: Vec<LogRecord>,
-        /// How many records are committed.
+        /// Number of committed records.
         committed: u64,
     },
-    /// All records up to this index are on this machine's disk, as the leader has them.
+    /// Confirms that the sender's disk has the leader's records up to an index.
     Appended {
         /// The leader's term.
         term: Term,
         /// The last index.
         last: u64,
     },
-    /// The record before is not here; up to this index the records may be the same.
+    /// Reports that the sender lacks the record before those to append.
     Missing {
         /// The leader's term.
         term: Term,
-        /// The last index that may be the same.
+        /// The last index up to which both logs may be the same.
         last: u64,
     },
 }
@@ -262,19 +267,19 @@
 /// Any message between nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To a relay or the leader.
+    /// A message to a relay or the leader.
     Upward(Upward),
-    /// To a planner or a relay.
+    /// A message to a planner or a relay.
     Downward(Downward),
-    /// Among control machines.
+    /// A message between control machines.
     Log(LogMessage),
-    /// To a control machine, which forwards it to the leader.
+    /// A proposal to a control machine, which forwards it to the leader.
     Propose(Proposal),
-    /// A proposal is active, or rejected.
+    /// Answers a proposal, whose changes are active or rejected.
     Proposed {
-        /// The proposal.
+        /// Number of the proposal.
         number: u64,
-        /// Why it was rejected.
+        /// The reason if the proposal was rejected.
         refused: Option<String>,
     },
 }
--- a/crates/config-distribution/src/planner/mod.rs
+++ b/crates/config-distribution/src/planner/mod.rs
@@ -96,8 +96,11 @@
             sessions: if is_relay { 0 } else { RELAYS_PER_PLANNER },
         };
         // Leases that a former start granted may still run.
-        let former =
-            if config.start > 1 { settings.outlasting(settings.planner_lease) } else { Duration::ZERO };
+        let former = if config.start > 1 {
+            settings.lease_expiry_wait(settings.planner_lease)
+        } else {
+            Duration::ZERO
+        };
         let mut planner = Planner {
             relays: Subscriber::new(policy, config.start, 0, relays),
             leader: None,
@@ -112,7 +115,9 @@
             rejections: RejectionCounts::default(),
             events: vec![],
             outbox: vec![],
-            store: Store::of(stored.into_iter().filter(|chain| config.scopes.contains(&chain.scope()))),
+            store: Store::from_chains(
+                stored.into_iter().filter(|chain| config.scopes.contains(&chain.scope())),
+            ),
             config,
         };
         for scope in planner.config.scopes.clone() {
--- a/crates/config-distribution/src/planner/receiving.rs
+++ b/crates/config-distribution/src/planner/receiving.rs
@@ -51,7 +51,7 @@
         if !self.wants(scope) {
             return self.reject(from, scope, RejectCause::NotSubscribed);
         }
-        match self.store.part(now, part) {
+        match self.store.add_part(now, part) {
             Ok(true) => self.scope_advanced(now, scope),
             Ok(false) => {}
             Err(error) => self.reject_chain(from, scope, error),
--- a/crates/config-distribution/src/settings.rs
+++ b/crates/config-distribution/src/settings.rs
@@ -1,33 +1,34 @@
-//! Settings that all nodes of a fleet must state alike.
+//! Settings that must be the same on all nodes of a fleet.
 
 use crate::budget::Rate;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Leases, fan-out and budgets.
+/// Settings of leases, fan-out and budgets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Settings {
-    /// How long a planner may apply scopes after it sent the last renewal that its relay answered.
+    /// Longest lease of a planner, counted from when it sent the last renewal that its relay answered.
     pub planner_lease: Duration,
-    /// How long a relay may grant leases after it sent the last renewal that the leader answered.
+    /// Longest lease of a relay, counted from when it sent the last renewal that the leader answered. A relay grants leases
+    /// only within its own.
     pub relay_lease: Duration,
     /// Time between two renewals.
     pub renew: Duration,
     /// Maximum relative error of a clock's rate, as a fraction.
     pub drift: f64,
-    /// How long after its relay has a link a planner may be without it and still be granted a lease.
+    /// Time after a scope advanced at a relay during which a planner that is behind is still granted a lease.
     pub planner_patience: Duration,
-    /// The same for a relay and the leader. Longer, since a relay waits for its planners' leases.
+    /// The same time for a relay at the leader. It is longer because a relay waits for its planners' leases.
     pub relay_patience: Duration,
-    /// Planners of one relay; each planner has two relays.
+    /// Planners of a zone per relay. Each planner has sessions with two relays.
     pub fan_out: usize,
-    /// The most planners of one relay, while others of its zone are lost.
+    /// Maximum number of planners of one relay, reached while other relays of its zone are lost.
     pub most_planners: usize,
-    /// Rate and burst of bytes to one planner.
+    /// Rate and burst of bytes from a relay to one planner.
     pub planner_budget: Rate,
-    /// Rate and burst of bytes to one relay.
+    /// Rate and burst of bytes from the leader to one relay.
     pub relay_budget: Rate,
-    /// Bytes of one part of a snapshot.
+    /// Maximum size of one part of a snapshot, in bytes.
     pub part_bytes: usize,
 }
 
@@ -54,9 +55,9 @@
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("{field}: {cause}")]
 pub struct SettingsError {
-    /// The field.
+    /// Name of the setting.
     pub field: &'static str,
-    /// What is wrong with it.
+    /// The value and what was expected instead.
     pub cause: String,
 }
 
@@ -65,60 +66,73 @@
 }
 
 impl Settings {
-    /// The smallest burst of a budget, in bytes: one link of some entries.
-    pub const LEAST_BURST: f64 = 1024.0;
+    /// Minimum burst of a budget, in bytes: one link with a few changes.
+    pub const MIN_BURST_BYTES: f64 = 1024.0;
 
-    /// Validates the settings, and those that depend on one another.
+    /// Validates each setting, and the settings that depend on each other.
     ///
     /// # Errors
     ///
-    /// The first field that is not valid, and why.
+    /// Returns the first setting that is not valid, with the cause, if there is one.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.fan_out == 0 {
-            return invalid("fan_out", "0: a relay has one planner at least");
+            return invalid("fan_out", "0: expected at least 1 planner per relay");
         }
+        // A relay has to be able to take over the planners of a lost one.
         if self.most_planners < 2 * self.fan_out {
-            let cause =
-                format!("{} is less than two relays' planners of {} each", self.most_planners, self.fan_out);
+            let cause = format!("{}: expected at least 2 * fan_out of {}", self.most_planners, self.fan_out);
             return invalid("most_planners", cause);
         }
         if !(0.0..0.2).contains(&self.drift) {
-            return invalid("drift", format!("{}: 0 to 0.2 can be", self.drift));
+            return invalid("drift", format!("{}: expected at least 0 and less than 0.2", self.drift));
         }
         if self.planner_lease < self.renew * 2 {
             return invalid(
                 "planner_lease",
-                format!("{:?} is shorter than two renewals", self.planner_lease),
+                format!("{:?}: expected at least 2 * renew of {:?}", self.planner_lease, self.renew),
             );
         }
         if self.relay_lease < self.planner_lease {
-            return invalid("relay_lease", format!("{:?} is shorter than planner_lease", self.relay_lease));
+            return invalid(
+                "relay_lease",
+                format!(
+                    "{:?}: expected at least planner_lease of {:?}",
+                    self.relay_lease, self.planner_lease
+                ),
+            );
         }
+        // A relay that is behind may be waiting for a planner's lease to expire.
         if self.relay_patience < self.planner_patience + self.planner_lease {
-            let cause = format!("{:?} does not let a relay wait for a planner's lease", self.relay_patience);
+            let cause =
+                format!("{:?}: expected at least planner_patience + planner_lease", self.relay_patience);
             return invalid("relay_patience", cause);
         }
         for (field, rate) in [("planner_budget", self.planner_budget), ("relay_budget", self.relay_budget)] {
-            if !(rate.bytes_per_second > 0.0 && rate.burst >= Self::LEAST_BURST) {
+            if !(rate.bytes_per_second > 0.0 && rate.burst >= Self::MIN_BURST_BYTES) {
                 return invalid(
                     field,
-                    format!("{rate:?} does not let one link of {} bytes through", Self::LEAST_BURST),
+                    format!(
+                        "{rate:?}: expected a positive rate and a burst of at least {} bytes",
+                        Self::MIN_BURST_BYTES
+                    ),
                 );
             }
         }
+        // A part larger than the burst would never fit into the budget.
         if self.part_bytes == 0 || self.part_bytes as f64 > self.planner_budget.burst {
             return invalid(
                 "part_bytes",
-                format!("{}: a part has to fit into planner_budget", self.part_bytes),
+                format!("{}: expected 1 up to the burst of planner_budget", self.part_bytes),
             );
         }
         Ok(())
     }
 
-    /// Time from granting a lease after which it has expired, by the clock of the node that granted it.
-    pub fn outlasting(&self, lease: Duration) -> Duration {
-        // Once for the holder's clock, and once for a relay's, by which a planner's lease ends with its relay's.
-        let once = |lease| grebespool_leader_election::drift_adjusted_wait(lease, self.drift);
-        once(once(lease))
+    /// Returns the time after which a lease has certainly expired, measured from its grant by the clock of the granting node.
+    pub fn lease_expiry_wait(&self, lease: Duration) -> Duration {
+        // The drift is added twice: for the holder's clock, and for the clock of a relay, since a planner's lease ends with the
+        // lease of its relay.
+        let add_drift = |lease| grebespool_leader_election::drift_adjusted_wait(lease, self.drift);
+        add_drift(add_drift(lease))
     }
 }
--- a/crates/config-distribution/tests/fixtures.rs
+++ b/crates/config-distribution/tests/fixtures.rs
@@ -165,7 +165,7 @@
     );
     let stored = include_str!("fixtures/chains.txt").lines();
     let chains = stored.map(|line| from_hex(line.split_once(' ').unwrap().1));
-    let store = Store::of(chains.map(|bytes| postcard::from_bytes::<ScopeChain>(&bytes).unwrap()));
+    let store = Store::from_chains(chains.map(|bytes| postcard::from_bytes::<ScopeChain>(&bytes).unwrap()));
     assert_eq!(store.chain(SCOPE), Some(&three));
     assert_eq!((store.revision(SCOPE), store.position(SCOPE)), (3, three.position()));
 }
--- a/crates/config-distribution/tests/parts.rs
+++ b/crates/config-distribution/tests/parts.rs
@@ -71,7 +71,7 @@
     let (newer, links) = chain(9);
     let snapshot = newer.snapshot();
     let parts: Vec<&[u8]> = snapshot.state.chunks(part_bytes).collect();
-    let mut store = Store::of([chain(2).0]);
+    let mut store = Store::from_chains([chain(2).0]);
     for (number, bytes) in parts.iter().enumerate() {
         let part = SnapshotPart {
             scope: SCOPE,
@@ -81,7 +81,7 @@
             parts: parts.len() as u32,
             bytes: bytes.to_vec(),
         };
-        assert_eq!(store.part(Duration::ZERO, part), Ok(number + 1 == parts.len()));
+        assert_eq!(store.add_part(Duration::ZERO, part), Ok(number + 1 == parts.len()));
     }
     assert_eq!(store.position(SCOPE), newer.position());
     assert_eq!(store.chain(SCOPE).unwrap().state(), newer.state());
@@ -102,14 +102,14 @@
     let (scope, position, parent, bytes) = (SCOPE, snapshot.position, snapshot.parent, snapshot.state);
     let mut part = SnapshotPart { scope, position, parent, part: 0, parts: 1, bytes };
     alter(&mut part);
-    let mut store = Store::of([chain(2).0]);
-    assert_eq!(store.part(Duration::ZERO, part).is_err(), refused);
+    let mut store = Store::from_chains([chain(2).0]);
+    assert_eq!(store.add_part(Duration::ZERO, part).is_err(), refused);
     assert_eq!(store.revision(SCOPE), if refused { 2 } else { 9 });
 }
 
 #[rstest]
 fn keeps_the_newest_links_only() {
-    let (long, links) = chain(2 * LINKS_KEPT as u64);
+    let (long, links) = chain(2 * MAX_RETAINED_LINKS as u64);
     let position = |k: usize| Position { revision: links[k].revision, hash: links[k].hash };
     let last = links.len() - 1;
     assert_eq!(long.links_after(position(last - 3)).unwrap().len(), 3);
