--- a/crates/config-distribution/src/control/commit.rs
+++ b/crates/config-distribution/src/control/commit.rs
@@ -1,4 +1,4 @@
-//! What a committed entry of the log changes.
+//! Effects of committed log entries.
 
 use super::ControlMachine;
 use crate::chain::{Link, Step};
@@ -27,7 +27,7 @@
 
     fn apply_link(&mut self, now: Duration, link: Link, proposals: Vec<ProposalKey>) {
         let (scope, prepares) = (link.scope, matches!(link.step, Step::Prepare(_)));
-        // Links are made from what is committed, one of a scope at a time, so each follows the one before it.
+        // A leader makes each link from committed state, and only one per scope at a time, so each link follows the one before.
         if self.store.apply(now, link).is_err() {
             return;
         }
--- a/crates/config-distribution/src/control/mod.rs
+++ b/crates/config-distribution/src/control/mod.rs
@@ -1,8 +1,8 @@
-//! A control machine: its copy of the log, and, while it leads, the publisher of all scopes.
+//! A control machine: its replica of the log, and the publisher of all scopes while the machine leads.
 //!
-//! Who leads is told from outside before each call, with a clock that was just read. Versions are committed by a quorum's
-//! log; the leader prepares one version of a scope at a time, and activates it once every relay that may apply it by a lease
-//! reports that it and its planners are ready, or its lease has expired.
+//! The caller sets the authority of the machine before each call, by a clock that was just read. The log commits versions by
+//! quorum. The leader prepares one version of a scope at a time, and activates it once each relay either reports that it and
+//! its planners are ready, or has no lease any more by which the scope may be applied.
 
 mod commit;
 mod proposals;
@@ -19,37 +19,37 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Proposals that wait for one scope; the rest is retransmitted by their proposers.
-const MAX_WAITING: usize = 1024;
+/// Maximum number of queued proposals of one scope; proposers retransmit those beyond it.
+const MAX_QUEUED_PROPOSALS: usize = 1024;
 
-/// Whether this machine leads, as the election tells at the time of a call.
+/// The result of the election at the time of a call.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Authority {
-    /// The term, where this machine leads and its own lease runs.
+    /// The term, if this machine leads and its own lease has not expired.
     pub term: Option<Term>,
-    /// The leader, as far as it is known.
+    /// The leader, if it is known.
     pub leader: Option<MemberId>,
 }
 
-/// A control machine.
+/// A control machine, which replicates the log and, while it leads, publishes all scopes to relays.
 pub struct ControlMachine {
     own: MemberId,
     settings: Settings,
     replica: LogReplica,
     authority: Authority,
     store: Store,
-    /// Relays that may be granted leases, with their starts.
+    /// Relays that may be granted leases, with their numbers of starts.
     registered: BTreeMap<MemberId, u32>,
-    /// The last proposal of each proposer that is part of a scope.
+    /// Number of the last proposal of each proposer that a scope includes.
     applied: BTreeMap<(MemberId, ScopeId), u64>,
-    /// Proposals of the pending version of each scope.
+    /// Proposals that each scope's pending version includes.
     preparing: BTreeMap<ScopeId, Vec<ProposalKey>>,
     publisher: Option<Publisher>,
     outbox: Vec<(MemberId, Message)>,
 }
 
 impl ControlMachine {
-    /// Starts with what is stored.
+    /// Returns a control machine that starts with the stored log.
     pub fn new(
         own: MemberId,
         others: Vec<MemberId>,
@@ -70,33 +70,33 @@
         }
     }
 
-    /// Messages since this was called last.
+    /// Returns the messages to send since the last call.
     pub fn take_outbox(&mut self) -> Vec<(MemberId, Message)> {
         let log = self.replica.take_outbox().into_iter().map(|(to, message)| (to, Message::Log(message)));
         std::mem::take(&mut self.outbox).into_iter().chain(log).collect()
     }
 
-    /// Writes since this was called last, in their order.
+    /// Returns the writes to carry out since the last call, in order.
     pub fn take_writes(&mut self) -> Vec<LogWrite> {
         self.replica.take_writes()
     }
 
-    /// Whether it publishes.
-    pub fn publishes(&self) -> bool {
+    /// Returns true if this machine is the leader and publishes scopes.
+    pub fn is_publishing(&self) -> bool {
         self.publisher.is_some()
     }
 
-    /// A scope's chain, as far as this machine knows it to be committed.
+    /// Returns a scope's chain up to the last link that this machine knows to be committed.
     pub fn chain(&self, scope: ScopeId) -> Option<&ScopeChain> {
         self.store.chain(scope)
     }
 
-    /// Relays that it distributes to.
-    pub fn relays(&self) -> usize {
+    /// Returns the number of relays that have a session with this machine.
+    pub fn relay_count(&self) -> usize {
         self.publisher.as_ref().map_or(0, |publisher| publisher.distributor.len())
     }
 
-    /// Sets whether this machine leads at the time of the next call, by a clock that was just read.
+    /// Sets the result of the election, which holds for the next call. `now` has to be from a clock that was just read.
     pub fn set_authority(&mut self, now: Duration, authority: Authority) {
         let before = std::mem::replace(&mut self.authority, authority);
         if before.term == authority.term {
@@ -104,30 +104,30 @@
         }
         self.publisher = None;
         match authority.term {
-            Some(term) => self.replica.lead(now, term),
-            None => self.replica.follow(),
+            Some(term) => self.replica.become_leader(now, term),
+            None => self.replica.step_down(),
         }
     }
 
-    /// When [`ControlMachine::timer_fired`] is to be called next.
+    /// Returns the time at which [`ControlMachine::timer_fired`] has to be called.
     pub fn next_timer(&self) -> Duration {
         let publisher = self.publisher.as_ref().map_or(Duration::MAX, |p| p.next_timer(&self.store));
         self.replica.next_timer().min(publisher)
     }
 
-    /// The time of [`ControlMachine::next_timer`] has come.
+    /// Does what is due at the time of [`ControlMachine::next_timer`].
     pub fn timer_fired(&mut self, now: Duration) {
         self.replica.timer_fired(now);
         self.proceed(now);
     }
 
-    /// All writes up to this stamp are on disk.
+    /// Handles the completion of all writes up to this stamp.
     pub fn persisted(&mut self, now: Duration, stamp: u64) {
         self.replica.persisted(now, stamp);
         self.proceed(now);
     }
 
-    /// A message was received.
+    /// Handles a message from another node.
     pub fn message_received(&mut self, now: Duration, from: MemberId, message: Message) {
         match message {
             Message::Log(message) => self.replica.message_received(now, from, message),
@@ -138,7 +138,7 @@
         self.proceed(now);
     }
 
-    /// Proposes changes, or forwards them to the leader.
+    /// Queues a proposal, or forwards it to the leader.
     pub fn propose(&mut self, proposal: Proposal) {
         let Some(publisher) = &mut self.publisher else {
             if let Some(leader) = self.authority.leader.filter(|leader| *leader != self.own) {
@@ -186,12 +186,12 @@
         self.outbox.extend(messages.into_iter().map(|(to, message)| (to, Message::Downward(message))));
     }
 
-    /// Applies what was committed, and takes every step that is possible now.
+    /// Applies committed entries, appends the entries that are due, and sends what budgets allow.
     fn proceed(&mut self, now: Duration) {
         for entry in self.replica.take_committed() {
             self.apply_entry(now, entry);
         }
-        // A newer leader was heard of before the election told of it.
+        // A message of a newer leader may arrive before `set_authority` ends this machine's leadership.
         if self
             .publisher
             .as_ref()
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Starts to publish once the leader's own first record is committed, and with it all before it.
+    /// Starts to publish once the leader's own first record is committed, and all records before it with it.
     fn start_publishing(&mut self, now: Duration) {
         let leading = self.replica.leading_term();
         let Some(term) = self.authority.term.filter(|term| leading == Some(*term)) else { return };
--- a/crates/config-distribution/src/control/proposals.rs
+++ b/crates/config-distribution/src/control/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals that become the next version of a scope.
+//! Preparation of the next version of a scope from queued proposals.
 
 use super::ControlMachine;
 use crate::chain::{Priority, ScopeChain, ScopeId, Step};
@@ -6,22 +6,23 @@
 use grebespool_config_consensus::{Change, ValidationError, ValidationRules, validate};
 use thiserror::Error;
 
-/// Why a proposal is rejected.
+/// A reason to reject a proposal.
+// the text is sent to the proposer, also the Debug form of the change
 #[derive(Debug, Clone, PartialEq, Error)]
 enum ProposalError {
-    /// It changes the state of something that is not listed.
+    /// A change names an object that the configuration doesn't contain.
     #[error("scope {}: nothing of that name to change: {change:?}", .scope.0)]
     NothingToChange { scope: ScopeId, change: Change },
-    /// The configuration after it is not valid.
-    #[error("scope {}: {}", .scope.0, join(.errors))]
+    /// The configuration with the proposal is not valid.
+    #[error("scope {}: {}", .scope.0, join_errors(.errors))]
     Invalid { scope: ScopeId, errors: Vec<ValidationError> },
 }
 
-fn join(errors: &[ValidationError]) -> String {
+fn join_errors(errors: &[ValidationError]) -> String {
     errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; ")
 }
 
-/// Proposals of one scope on their way into a version.
+/// The proposals that the next version of a scope will include.
 #[derive(Default)]
 struct Batch {
     changes: Vec<Change>,
@@ -29,7 +30,8 @@
 }
 
 impl ControlMachine {
-    /// Links that prepare a version of all that waits for a scope, the most urgent first. Invalid proposals are rejected.
+    /// Returns links that each prepare a version of a scope from its queued proposals, the most urgent link first. Invalid
+    /// proposals are rejected.
     pub(super) fn preparations(&mut self) -> Vec<LogEntry> {
         let Some(publisher) = &mut self.publisher else { return vec![] };
         let mut entries: Vec<(Priority, LogEntry)> = vec![];
@@ -41,7 +43,7 @@
             let Some(proposals) = publisher.queue.remove(&scope) else { continue };
             let empty = ScopeChain::new(scope);
             let chain = self.store.chain(scope).unwrap_or(&empty);
-            let Batch { changes, accepted } = fold(chain, proposals, &mut self.outbox);
+            let Batch { changes, accepted } = merge_proposals(chain, proposals, &mut self.outbox);
             let priority = Priority::of(&changes);
             if let (false, Ok(link)) = (accepted.is_empty(), chain.next(Step::Prepare(changes))) {
                 publisher.in_log.insert(scope);
@@ -53,10 +55,10 @@
     }
 }
 
-fn fold(chain: &ScopeChain, proposals: Vec<Proposal>, outbox: &mut Vec<(u64, Message)>) -> Batch {
+fn merge_proposals(chain: &ScopeChain, proposals: Vec<Proposal>, outbox: &mut Vec<(u64, Message)>) -> Batch {
     let mut batch = Batch::default();
     for proposal in proposals {
-        match check(chain, &batch.changes, &proposal) {
+        match validate_proposal(chain, &batch.changes, &proposal) {
             Ok(()) => {
                 batch.accepted.push(proposal.key());
                 batch.changes.extend(proposal.changes);
@@ -70,9 +72,13 @@
     batch
 }
 
-/// Whether a proposal is valid on top of these changes. How much may be withdrawn at once is judged over all scopes, where
-/// proposals are made.
-fn check(chain: &ScopeChain, before: &[Change], proposal: &Proposal) -> Result<(), ProposalError> {
+/// Validates a proposal on top of the changes that the next version already includes. The share of servers that may be
+/// withdrawn at once is not checked here: proposers check it over all scopes.
+fn validate_proposal(
+    chain: &ScopeChain,
+    before: &[Change],
+    proposal: &Proposal,
+) -> Result<(), ProposalError> {
     let scope = proposal.scope;
     let active = &chain.state().active.configuration;
     let mut next = active.clone();
--- a/crates/config-distribution/src/control/publisher.rs
+++ b/crates/config-distribution/src/control/publisher.rs
@@ -1,6 +1,6 @@
-//! What a leader publishes: pending scopes, and the relays that it distributes to.
+//! The leader's publisher: pending scopes, and the relays to which the leader distributes them.
 
-use super::{ControlMachine, MAX_WAITING};
+use super::{ControlMachine, MAX_QUEUED_PROPOSALS};
 use crate::chain::{ScopeChain, ScopeId, Step};
 use crate::distributor::{Distributor, GrantLimits, Outgoing};
 use crate::message::{LogEntry, Proposal, ScopeStatus, SessionId, Term};
@@ -10,35 +10,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A relay that does not renew for so long after its lease is unregistered.
+/// Time after the end of its lease after which a relay that has not renewed is unregistered.
 const UNREGISTER_AFTER: Duration = Duration::from_secs(5);
-/// A registration that is not committed after so long is put into the log again.
+/// Time after which a registration that is not committed is appended to the log again.
 const REGISTER_RETRY: Duration = Duration::from_secs(1);
 
-/// One term of publishing.
+/// The state of publishing in one term.
 pub(super) struct Publisher {
     pub(super) term: Term,
     pub(super) distributor: Distributor,
+    /// Proposals that no version includes yet.
     pub(super) queue: BTreeMap<ScopeId, Vec<Proposal>>,
     /// Scopes with a link that is not committed yet.
     pub(super) in_log: BTreeSet<ScopeId>,
     /// Scopes with a pending version.
     pub(super) pending: BTreeSet<ScopeId>,
-    /// Relays of a former leader that have not turned to this one, with their starts.
-    unheard: BTreeMap<MemberId, u32>,
-    /// Leases of a former leader have expired by then.
+    /// Relays of a former leader that have not attached to this one, with their numbers of starts.
+    unattached: BTreeMap<MemberId, u32>,
+    /// Time by which all leases from former leaders have expired.
     former_expiry: Duration,
-    /// Relays to be registered, with their starts.
+    /// Relays to be registered, with their numbers of starts.
     registering: BTreeMap<MemberId, u32>,
-    /// Relays that are being unregistered: a lease that is granted meanwhile would be unknown to the next leader.
+    /// Relays whose end of registration is not committed yet. They are granted no lease, since the next leader would not know
+    /// of it.
     unregistering: BTreeSet<MemberId>,
-    /// When a registration that is not committed yet was put into the log.
+    /// Time at which each registration that is not committed yet was appended to the log.
     registered_at: BTreeMap<MemberId, Duration>,
+    /// Time at which a budget allows more bytes, if messages are waiting for it.
     pub(super) flush_at: Option<Duration>,
 }
 
 impl Publisher {
-    /// Of a leader that starts now; `registered` are the relays that a former leader may have granted leases.
+    /// Returns the publisher of a leader that starts now; `registered` are the relays to which a former leader may have granted
+    /// leases.
     pub(super) fn new(
         now: Duration,
         term: Term,
@@ -53,7 +57,7 @@
             queue: BTreeMap::new(),
             in_log: BTreeSet::new(),
             pending: store.chains().filter(is_pending).map(ScopeChain::scope).collect(),
-            unheard: registered,
+            unattached: registered,
             former_expiry: now + settings.lease_expiry_wait(settings.relay_lease),
             registering: BTreeMap::new(),
             unregistering: BTreeSet::new(),
@@ -62,9 +66,9 @@
         }
     }
 
-    /// When something is to be done next: a scope becomes ready, or a budget allows more bytes.
+    /// Returns the time at which a pending scope becomes ready at the latest, or a budget allows more bytes.
     pub(super) fn next_timer(&self, store: &Store) -> Duration {
-        let former = if self.unheard.is_empty() { Duration::ZERO } else { self.former_expiry };
+        let former = if self.unattached.is_empty() { Duration::ZERO } else { self.former_expiry };
         let waiting = self.pending.iter().filter(|scope| !self.in_log.contains(scope));
         let ready = waiting.map(|scope| {
             self.distributor.ready_at(Duration::ZERO, *scope, store.revision(*scope)).max(former)
@@ -72,16 +76,16 @@
         ready.chain(self.flush_at).min().unwrap_or(Duration::MAX)
     }
 
-    /// Takes a proposal, unless it waits already or too many do.
+    /// Queues a proposal, unless it is in the queue already or the queue of its scope is full.
     pub(super) fn enqueue(&mut self, proposal: Proposal) {
-        let waiting = self.queue.entry(proposal.scope).or_default();
-        let is_known = waiting.iter().any(|known| known.key() == proposal.key());
-        if waiting.len() < MAX_WAITING && !is_known {
-            waiting.push(proposal);
+        let queued = self.queue.entry(proposal.scope).or_default();
+        let is_known = queued.iter().any(|known| known.key() == proposal.key());
+        if queued.len() < MAX_QUEUED_PROPOSALS && !is_known {
+            queued.push(proposal);
         }
     }
 
-    /// A relay begins a session.
+    /// Begins a session with a relay.
     pub(super) fn attach(
         &mut self,
         now: Duration,
@@ -92,13 +96,14 @@
         out: &mut Outgoing,
     ) {
         self.distributor.attach(now, store, (relay, session, self.term), statuses, out);
-        if self.unheard.get(&relay) == Some(&session.start) {
-            self.unheard.remove(&relay);
+        if self.unattached.get(&relay) == Some(&session.start) {
+            self.unattached.remove(&relay);
             self.distributor.assume_lease(relay, self.former_expiry);
         }
     }
 
-    /// Whether a relay with this start is registered, and so may be granted a lease. If not, it is registered.
+    /// Returns true if a relay with this number of starts is registered, so that it may be granted a lease. Otherwise
+    /// requests its registration.
     pub(super) fn is_registered(
         &mut self,
         now: Duration,
@@ -107,25 +112,25 @@
         registered: &BTreeMap<MemberId, u32>,
     ) -> bool {
         let is_registered = registered.get(&relay) == Some(&start) && !self.unregistering.contains(&relay);
-        let asked = self.registered_at.get(&relay).is_some_and(|at| now < *at + REGISTER_RETRY);
-        if !is_registered && !asked {
+        let is_requested = self.registered_at.get(&relay).is_some_and(|at| now < *at + REGISTER_RETRY);
+        if !is_registered && !is_requested {
             self.registering.insert(relay, start);
             self.registered_at.insert(relay, now);
         }
         is_registered
     }
 
-    /// A registration was committed.
+    /// Handles a committed registration.
     pub(super) fn registered(&mut self, relay: MemberId) {
         self.registered_at.remove(&relay);
     }
 
-    /// The end of a registration was committed.
+    /// Handles the committed end of a registration.
     pub(super) fn unregistered(&mut self, relay: MemberId) {
         self.unregistering.remove(&relay);
     }
 
-    /// A link of a scope was committed.
+    /// Handles a committed link of a scope.
     pub(super) fn link_committed(&mut self, store: &Store, scope: ScopeId, prepares: bool) {
         self.in_log.remove(&scope);
         if prepares {
@@ -133,49 +138,49 @@
         } else {
             self.pending.remove(&scope);
         }
-        self.distributor.advanced(store, scope);
+        self.distributor.scope_advanced(store, scope);
     }
 
-    /// Relays that are silent, or that have not turned to this leader in time.
-    fn take_gone(&mut self, now: Duration) -> Vec<MemberId> {
-        let mut gone = self.distributor.expire(now, UNREGISTER_AFTER);
+    /// Removes and returns the relays that have stopped renewing, or have not attached to this leader in time.
+    fn take_lost_relays(&mut self, now: Duration) -> Vec<MemberId> {
+        let mut lost = self.distributor.expire(now, UNREGISTER_AFTER);
         if now >= self.former_expiry {
-            gone.extend(std::mem::take(&mut self.unheard).into_keys());
+            lost.extend(std::mem::take(&mut self.unattached).into_keys());
         }
-        gone
+        lost
     }
 }
 
 impl ControlMachine {
-    /// Entries that register and unregister relays.
+    /// Returns entries that register and unregister relays.
     pub(super) fn registrations(&mut self, now: Duration) -> Vec<LogEntry> {
         let Some(publisher) = &mut self.publisher else { return vec![] };
         let registering = std::mem::take(&mut publisher.registering).into_iter();
         let mut entries: Vec<LogEntry> =
             registering.map(|(relay, start)| LogEntry::Register(relay, start)).collect();
-        for relay in publisher.take_gone(now) {
+        for relay in publisher.take_lost_relays(now) {
             let registered = self.registered.contains_key(&relay);
-            let back = publisher.distributor.start_of(relay).is_some();
-            if registered && !back && publisher.unregistering.insert(relay) {
+            let is_attached = publisher.distributor.start_of(relay).is_some();
+            if registered && !is_attached && publisher.unregistering.insert(relay) {
                 entries.push(LogEntry::Unregister(relay));
             }
         }
         entries
     }
 
-    /// Links that activate the pending versions that everybody is ready for.
+    /// Returns links that activate the pending versions for which all relays and their planners are ready.
     pub(super) fn activations(&mut self, now: Duration) -> Vec<LogEntry> {
         let Some(publisher) = &mut self.publisher else { return vec![] };
-        if !publisher.unheard.is_empty() && now < publisher.former_expiry {
+        if !publisher.unattached.is_empty() && now < publisher.former_expiry {
             return vec![];
         }
         let mut entries = vec![];
         for scope in publisher.pending.difference(&publisher.in_log).copied().collect::<Vec<_>>() {
             let Some(chain) = self.store.chain(scope) else { continue };
-            if publisher.distributor.ready(now, scope) >= chain.revision()
+            if publisher.distributor.ready_revision(now, scope) >= chain.revision()
                 && let Ok(link) = chain.next(Step::Activate)
             {
-                publisher.distributor.promise(scope, chain.revision());
+                publisher.distributor.require_ready(scope, chain.revision());
                 publisher.in_log.insert(scope);
                 entries.push(LogEntry::Link(link, vec![]));
             }
--- a/crates/config-distribution/src/distributor/readiness.rs
+++ b/crates/config-distribution/src/distributor/readiness.rs
@@ -1,4 +1,4 @@
-//! Up to which revision everybody is ready who may apply a scope by a lease of this node.
+//! The revision up to which all nodes are ready that may apply a scope by a lease from this node.
 
 use super::Distributor;
 use super::session::Session;
@@ -6,42 +6,42 @@
 use std::time::Duration;
 
 impl Distributor {
-    /// Sessions of holders that subscribe to a scope.
+    /// Returns the sessions of holders that subscribe to a scope.
     fn sessions_of(&self, scope: ScopeId) -> impl Iterator<Item = &Session> {
         let holders = self.holders.get(&scope).into_iter().flatten();
         holders.filter_map(|holder| self.sessions.get(holder))
     }
 
-    /// Up to which revision of a scope nobody is behind who may apply it by a lease of this node. No bound where there is
-    /// nobody.
-    pub fn ready(&self, now: Duration, scope: ScopeId) -> Revision {
+    /// Returns the revision of a scope up to which all nodes are ready that may apply the scope by a lease from this node.
+    /// Returns [`Revision::MAX`] if no node may apply the scope, and zero while leases from a former start may still run.
+    pub fn ready_revision(&self, now: Duration, scope: ScopeId) -> Revision {
         if now < self.former_expiry {
             return 0;
         }
-        let leased = self.sessions_of(scope).filter(|session| now < session.until);
+        let leased = self.sessions_of(scope).filter(|session| now < session.lease_expiry);
         let known = leased.filter_map(|session| session.scopes.get(&scope));
         let applying = known.filter(|known| known.position.revision > 0).map(|known| known.ready);
-        let ended = self.ended.iter().filter(|ended| now < ended.until);
+        let ended = self.ended.iter().filter(|ended| now < ended.lease_expiry);
         let ended = ended.filter_map(|ended| ended.ready.get(&scope).copied());
         applying.chain(ended).min().unwrap_or(Revision::MAX)
     }
 
-    /// When the leases that keep a scope from being ready up to a revision have expired at the latest.
+    /// Returns the time by which the leases have expired whose holders are not ready for a revision of a scope.
     pub fn ready_at(&self, now: Duration, scope: ScopeId, revision: Revision) -> Duration {
         let is_behind = |session: &&Session| {
             let known = session.scopes.get(&scope);
             known.is_some_and(|known| known.position.revision > 0 && known.ready < revision)
         };
-        let sessions = self.sessions_of(scope).filter(is_behind).map(|session| session.until);
+        let sessions = self.sessions_of(scope).filter(is_behind).map(|session| session.lease_expiry);
         let ended = self.ended.iter();
         let ended = ended.filter(|ended| ended.ready.get(&scope).is_some_and(|ready| *ready < revision));
-        let expiries = sessions.chain(ended.map(|ended| ended.until));
+        let expiries = sessions.chain(ended.map(|ended| ended.lease_expiry));
         expiries.fold(self.former_expiry, Duration::max).max(now)
     }
 
-    /// From now on no lease is granted to a holder that is behind this revision.
-    pub fn promise(&mut self, scope: ScopeId, revision: Revision) {
-        let promised = self.promised.entry(scope).or_default();
-        *promised = (*promised).max(revision);
+    /// Requires holders to be ready for this revision of a scope before they are granted a lease.
+    pub fn require_ready(&mut self, scope: ScopeId, revision: Revision) {
+        let required = self.required.entry(scope).or_default();
+        *required = (*required).max(revision);
     }
 }
--- a/crates/config-distribution/src/distributor/sending.rs
+++ b/crates/config-distribution/src/distributor/sending.rs
@@ -1,4 +1,4 @@
-//! Sending holders what they lack, within their budgets.
+//! Sending of links and snapshots to holders, within their budgets.
 
 use super::session::{HolderScope, NextPart, Session};
 use super::{Distributor, Outgoing};
@@ -8,41 +8,43 @@
 use grebespool_leader_election::MemberId;
 use std::time::Duration;
 
-/// What was sent and is not confirmed after so long is sent again.
+/// Time after which links and snapshots that a holder has not confirmed are sent again.
 const RESEND_AFTER: Duration = Duration::from_millis(1200);
-/// Bytes of links beyond which a snapshot is cheaper to apply.
+/// Size of links, in bytes, beyond which a snapshot is cheaper to apply.
 const MAX_LINK_BYTES: usize = 64 * 1024;
-/// Bytes that a message costs beyond its body: length, authentication code, and the transport's headers.
+/// Size of a message beyond its body, in bytes: length, authentication code, and the transport's headers.
 const FRAME_BYTES: usize = 60;
 
 impl Distributor {
-    /// Has everything sent again that a holder has not confirmed in time.
+    /// Queues the scopes again that a holder has not confirmed in time.
     pub(super) fn resend_unconfirmed(&mut self, now: Duration, store: &Store, holder: MemberId) {
         let Some(session) = self.sessions.get_mut(&holder) else { return };
-        let mut again = vec![];
+        let mut overdue = vec![];
         for scope in &session.unconfirmed {
             if let Some(known) = session.scopes.get_mut(scope)
                 && now >= known.sent_at + RESEND_AFTER
             {
                 (known.sent, known.next_part) = (known.position, None);
-                again.push(*scope);
+                overdue.push(*scope);
             }
         }
-        session.unconfirmed.retain(|scope| !again.contains(scope));
-        again.into_iter().for_each(|scope| self.compare(store, scope, holder));
+        session.unconfirmed.retain(|scope| !overdue.contains(scope));
+        overdue.into_iter().for_each(|scope| self.update_backlog(store, scope, holder));
     }
 
-    /// Sends what waits, as far as budgets allow. Returns when to call it again, if anything still waits.
+    /// Sends the backlogs of all holders as far as budgets allow. Returns the time at which to call this again, if a backlog
+    /// remains.
     pub fn flush(&mut self, now: Duration, store: &Store, out: &mut Outgoing) -> Option<Duration> {
         let part_bytes = self.settings.part_bytes;
-        let waiting = self.sessions.iter_mut().filter(|(_, session)| !session.waiting.is_empty());
+        let waiting = self.sessions.iter_mut().filter(|(_, session)| !session.backlog.is_empty());
         let blocked = waiting
             .filter_map(|(holder, session)| flush_session(now, store, part_bytes, *holder, session, out));
         blocked.min()
     }
 }
 
-/// Sends what waits for one holder. Returns when its budget allows more, if anything still waits.
+/// Sends the backlog of one holder as far as its budget allows. Returns the time at which the budget allows more, if a backlog
+/// remains.
 fn flush_session(
     now: Duration,
     store: &Store,
@@ -51,13 +53,13 @@
     session: &mut Session,
     out: &mut Outgoing,
 ) -> Option<Duration> {
-    while let Some((priority, scope)) = session.waiting.first().copied() {
+    while let Some((priority, scope)) = session.backlog.first().copied() {
         let (Some(chain), Some(known)) = (store.chain(scope), session.scopes.get_mut(&scope)) else {
-            session.waiting.pop_first();
+            session.backlog.pop_first();
             continue;
         };
         let next = next_message(chain, known, part_bytes);
-        // A drain does not wait for what was sent before it; the rest then waits for longer.
+        // A drain is sent at once and overdraws the budget; less urgent scopes then wait for longer.
         if priority > Priority::Drain && !session.bucket.allows(now, next.bytes) {
             return Some(session.bucket.ready_at(now, next.bytes));
         }
@@ -66,19 +68,19 @@
         if known.next_part.is_none() {
             (known.sent, known.sent_at) = (chain.position(), now);
             session.unconfirmed.insert(scope);
-            session.waiting.pop_first();
+            session.backlog.pop_first();
         }
     }
     None
 }
 
-/// A message, and the bytes that it costs.
+/// A message and its size on the wire, in bytes.
 struct CostedMessage {
     message: Downward,
     bytes: usize,
 }
 
-/// The next message that brings a holder up to date. Advances the parts of a snapshot.
+/// Returns the next message that updates a holder. If that is a part of a snapshot, advances to the next part.
 fn next_message(chain: &ScopeChain, known: &mut HolderScope, part_bytes: usize) -> CostedMessage {
     let links = chain.links_after(known.sent).filter(|_| known.next_part.is_none());
     if let Some(links) = links {
--- a/crates/config-distribution/src/distributor/session.rs
+++ b/crates/config-distribution/src/distributor/session.rs
@@ -1,4 +1,4 @@
-//! What a distributor knows of one holder.
+//! The state of a distributor's session with one holder.
 
 use crate::budget::{Rate, TokenBucket};
 use crate::chain::{Position, Priority, Revision, ScopeChain, ScopeId, Step};
@@ -7,21 +7,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The next part of a snapshot that is being sent.
+/// The next part to send of a snapshot.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct NextPart {
     /// The position of the snapshot.
     pub(super) position: Position,
+    /// Index of the part.
     pub(super) part: u32,
 }
 
-/// What is known of a holder's scope.
+/// The progress of a holder in a scope, as far as the distributor knows it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct HolderScope {
     pub(super) position: Position,
     pub(super) ready: Revision,
-    /// Up to where it was sent, and when.
+    /// Position up to which links or a snapshot were sent.
     pub(super) sent: Position,
+    /// Time at which they were sent.
     pub(super) sent_at: Duration,
     pub(super) next_part: Option<NextPart>,
 }
@@ -31,13 +33,13 @@
 pub(super) struct Session {
     pub(super) id: SessionId,
     pub(super) scopes: BTreeMap<ScopeId, HolderScope>,
-    /// Its last lease has expired by then.
-    pub(super) until: Duration,
-    /// Scopes of which something is to be sent, the most urgent first.
-    pub(super) waiting: BTreeSet<(Priority, ScopeId)>,
-    /// Scopes that were sent and are not confirmed.
+    /// Time by which the holder's last lease has expired; zero if no lease was granted.
+    pub(super) lease_expiry: Duration,
+    /// Scopes of which the holder lacks links, the most urgent first.
+    pub(super) backlog: BTreeSet<(Priority, ScopeId)>,
+    /// Scopes whose sent links or snapshots the holder has not confirmed.
     pub(super) unconfirmed: BTreeSet<ScopeId>,
-    /// Scopes whose newest version it is not ready for.
+    /// Scopes for whose newest version the holder is not ready.
     pub(super) behind: BTreeSet<ScopeId>,
     pub(super) bucket: TokenBucket,
 }
@@ -47,8 +49,8 @@
 pub(super) struct EndedSession {
     pub(super) holder: MemberId,
     pub(super) id: SessionId,
-    pub(super) until: Duration,
-    /// Up to which revision the holder was ready, of each scope that it applied.
+    pub(super) lease_expiry: Duration,
+    /// The revision up to which the holder was ready, for each scope that it may apply.
     pub(super) ready: BTreeMap<ScopeId, Revision>,
 }
 
@@ -57,26 +59,26 @@
         Session {
             id,
             scopes: BTreeMap::new(),
-            until: Duration::ZERO,
-            waiting: BTreeSet::new(),
+            lease_expiry: Duration::ZERO,
+            backlog: BTreeSet::new(),
             unconfirmed: BTreeSet::new(),
             behind: BTreeSet::new(),
             bucket: TokenBucket::new(budget, now),
         }
     }
 
-    /// Scopes that the holder subscribes to.
+    /// Returns the scopes that the holder subscribes to.
     pub(super) fn scopes(&self) -> impl Iterator<Item = &ScopeId> {
         self.scopes.keys()
     }
 
-    /// Up to which revision the holder is ready.
+    /// Returns the revision of a scope up to which the holder is ready.
     pub(super) fn ready(&self, scope: ScopeId) -> Option<Revision> {
         self.scopes.get(&scope).map(|known| known.ready)
     }
 
-    /// Takes the status of a scope.
-    pub(super) fn learn(&mut self, status: &ScopeStatus) {
+    /// Updates the progress of the holder in a scope by a reported status.
+    pub(super) fn update_status(&mut self, status: &ScopeStatus) {
         let known = self.scopes.entry(status.scope).or_default();
         if status.held.revision >= known.position.revision {
             known.position = status.held;
@@ -88,13 +90,13 @@
         }
     }
 
-    /// Notes whether something of a scope is to be sent, and whether the holder is behind.
-    pub(super) fn compare(&mut self, chain: &ScopeChain) {
+    /// Updates the backlog by a scope, and records if the holder is behind.
+    pub(super) fn update_backlog(&mut self, chain: &ScopeChain) {
         let scope = chain.scope();
         let Some(known) = self.scopes.get(&scope) else { return };
-        self.waiting.retain(|(_, waiting)| *waiting != scope);
+        self.backlog.retain(|(_, waiting)| *waiting != scope);
         if known.sent.revision < chain.revision() {
-            self.waiting.insert((urgency(chain, known.sent), scope));
+            self.backlog.insert((update_priority(chain, known.sent), scope));
         }
         if known.position.revision > 0 && known.ready < chain.prepared() {
             self.behind.insert(scope);
@@ -103,19 +105,19 @@
         }
     }
 
-    /// What remains of the session while its lease may still run.
-    pub(super) fn end(self, holder: MemberId) -> EndedSession {
+    /// Returns the part of the session that matters while its lease may still run.
+    pub(super) fn into_ended(self, holder: MemberId) -> EndedSession {
         let applied = self.scopes.iter().filter(|(_, known)| known.position.revision > 0);
         let ready = applied.map(|(scope, known)| (*scope, known.ready)).collect();
-        EndedSession { holder, id: self.id, until: self.until, ready }
+        EndedSession { holder, id: self.id, lease_expiry: self.lease_expiry, ready }
     }
 }
 
-/// How urgent it is to bring a holder from this position up to date.
-fn urgency(chain: &ScopeChain, from: Position) -> Priority {
+/// Returns the priority of updating a holder from this position.
+fn update_priority(chain: &ScopeChain, from: Position) -> Priority {
     let priority = |step: &Step| match step {
         Step::Prepare(changes) => Priority::of(changes),
-        // What it raises is not in force until it is activated, so nothing breaks meanwhile.
+        // Until its activation the intersection with the former version applies, so a delayed activation is safe.
         Step::Activate => Priority::Limit,
     };
     let links = chain.links_after(from).into_iter().flatten();
--- a/crates/config-distribution/src/planner/mod.rs
+++ b/crates/config-distribution/src/planner/mod.rs
@@ -1,8 +1,9 @@
-//! A planner's part: it holds the scopes that it subscribes to, applies them while it has a lease, and serves as a relay for
-//! others of its zone.
+//! The planner's side: a planner has the chains of the scopes that it subscribes to, applies them while it has a lease, and may
+//! serve as a relay for other planners of its zone.
 //!
-//! A planner has sessions with two relays. A relay has one with the leader, subscribes for its planners as well, and answers
-//! for their leases: what it reports as ready, everybody is ready for who may apply it by a lease of the relay.
+//! A planner has sessions with two relays. A relay has one session, with the leader, and subscribes there to the scopes of its
+//! planners as well. It answers for their leases: a revision that it reports as ready is one for which all planners are ready
+//! that may apply the scope by a lease from this relay.
 
 mod event;
 mod receiving;
@@ -22,62 +23,68 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Relays that a planner has sessions with: where one dies, the other has granted as well.
+/// Number of relays with which a planner has sessions: if one is lost, the planner still has the lease from the other.
 const RELAYS_PER_PLANNER: usize = 2;
-/// A stand-in that nobody turns to any more stays a relay for so long.
-const STAND_IN_FOR: Duration = Duration::from_secs(10);
-/// A holder that does not renew for so long after its lease is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(5);
+/// Time without holders after which a stand-in stops serving as a relay.
+const STAND_IN_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after the end of its lease after which the session of a holder that has not renewed is removed.
+const SESSION_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a planner is started with.
+/// The configuration with which a planner starts.
 #[derive(Debug, Clone)]
 pub struct PlannerConfig {
-    /// Its own id.
+    /// The planner's own id.
     pub own: MemberId,
-    /// Its zone.
+    /// The planner's zone.
     pub zone: u32,
-    /// All planners of the zone.
+    /// All planners of the zone, including this one.
     pub zone_planners: Vec<MemberId>,
     /// The control machines.
     pub control: Vec<MemberId>,
-    /// What it subscribes to.
+    /// The scopes that the planner subscribes to.
     pub scopes: BTreeSet<ScopeId>,
-    /// How often it was started, this start included.
+    /// Number of starts of the planner, including this one.
     pub start: u32,
-    /// Shared settings.
+    /// The settings, which are the same on all nodes.
     pub settings: Settings,
 }
 
-/// The versions that a planner applies of a scope.
+/// The versions of a scope that a planner may apply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ActiveVersions {
     /// This version alone.
     Single(u64),
     /// The intersection of both versions.
     Joint(u64, u64),
-    /// None, without a lease: published weights and known drains are kept, and nothing is raised.
+    /// No version, since the planner has no lease: it keeps published weights and known drains, and raises nothing.
     Unleased,
-    /// Nothing of the scope was received yet.
+    /// No version, since the planner has received nothing of the scope yet.
     NothingReceived,
 }
 
-/// A planner.
+/// A planner, which is also a relay if its zone needs it as one.
 #[derive(Debug, Clone)]
 pub struct Planner {
     config: PlannerConfig,
     store: Store,
+    /// Sessions with relays.
     relays: Subscriber,
+    /// Session with the leader, while the planner serves as a relay.
     leader: Option<Subscriber>,
-    /// Sessions with leaders that were begun before it stopped standing in.
+    /// Number of sessions with leaders that were begun until the planner last stopped serving as a stand-in.
     leader_sessions: u32,
     distributor: Distributor,
+    /// True if the planner is a regular relay of its zone.
     is_relay: bool,
-    /// Up to which revision of each scope the leader was told that this relay and its planners are ready.
+    /// The revision of each scope up to which this relay has reported itself and its planners as ready to the leader.
     reported: BTreeMap<ScopeId, u64>,
-    /// Scopes for whose newest revision not everybody is ready.
+    /// Scopes for whose newest revision this relay and its planners are not all ready.
     lagging: BTreeSet<ScopeId>,
+    /// Time at which a budget allows more bytes, if messages are waiting for it.
     flush_at: Option<Duration>,
-    last_needed: Duration,
+    /// Time at which the distributor last had a holder or a running lease.
+    last_holder_at: Duration,
+    /// Scopes whose chains have changed since the caller last took them.
     unsaved: BTreeSet<ScopeId>,
     rejections: RejectionCounts,
     events: Vec<PlannerEvent>,
@@ -85,7 +92,7 @@
 }
 
 impl Planner {
-    /// Starts with the chains that were stored.
+    /// Returns a planner that starts with the stored chains.
     pub fn new(config: PlannerConfig, stored: Vec<ScopeChain>, now: Duration) -> Planner {
         let settings = config.settings;
         let is_relay = is_relay(config.zone, &config.zone_planners, config.own, settings.fan_out);
@@ -95,7 +102,7 @@
             silence_timeout: settings.planner_lease,
             sessions: if is_relay { 0 } else { RELAYS_PER_PLANNER },
         };
-        // Leases that a former start granted may still run.
+        // Leases that were granted before a restart may still run.
         let former = if config.start > 1 {
             settings.lease_expiry_wait(settings.planner_lease)
         } else {
@@ -110,7 +117,7 @@
             reported: BTreeMap::new(),
             lagging: BTreeSet::new(),
             flush_at: None,
-            last_needed: now,
+            last_holder_at: now,
             unsaved: BTreeSet::new(),
             rejections: RejectionCounts::default(),
             events: vec![],
@@ -127,37 +134,38 @@
         planner
     }
 
-    /// Messages since this was called last.
+    /// Returns the messages to send since the last call.
     pub fn take_outbox(&mut self) -> Vec<(MemberId, Message)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Scopes to be written to disk since this was called last; none of the writes has to be waited for.
+    /// Returns the scopes whose chains have changed since the last call and are to be written to disk. The caller doesn't have
+    /// to wait for the writes.
     pub fn take_unsaved(&mut self) -> BTreeSet<ScopeId> {
         std::mem::take(&mut self.unsaved)
     }
 
-    /// Events for the log since this was called last.
+    /// Returns the events to log since the last call.
     pub fn take_events(&mut self) -> Vec<PlannerEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// What was rejected since the start.
+    /// Returns the numbers of rejections since the start.
     pub fn rejections(&self) -> RejectionCounts {
         self.rejections
     }
 
-    /// A scope's chain.
+    /// Returns a scope's chain.
     pub fn chain(&self, scope: ScopeId) -> Option<&ScopeChain> {
         self.store.chain(scope)
     }
 
-    /// Planners that it answers for.
-    pub fn planners(&self) -> usize {
+    /// Returns the number of planners that have a session with this relay.
+    pub fn planner_count(&self) -> usize {
         self.distributor.len()
     }
 
-    /// The versions that it may apply of a scope at this time. Ask with a clock that was just read.
+    /// Returns the versions of a scope that the planner may apply at this time. `now` has to be from a clock that was just read.
     pub fn active_versions(&self, now: Duration, scope: ScopeId) -> ActiveVersions {
         let Some(chain) = self.store.chain(scope) else { return ActiveVersions::NothingReceived };
         if now >= self.leased_until(scope) {
@@ -169,42 +177,43 @@
         }
     }
 
-    /// Until when it may apply a scope.
+    /// Returns the time until which the planner may apply a scope.
     pub fn leased_until(&self, scope: ScopeId) -> Duration {
         let by_leader = self.leader.as_ref().map_or(Duration::ZERO, |leader| leader.leased_until(scope));
         self.relays.leased_until(scope).max(by_leader)
     }
 
-    /// What a scope's configuration allows, as it is stored.
+    /// Returns a scope's effective configuration, also without a lease.
     pub fn effective_configuration(&self, scope: ScopeId) -> Option<EffectiveConfiguration> {
         self.store.chain(scope).map(|chain| chain.state().effective_configuration())
     }
 
-    /// When [`Planner::timer_fired`] is to be called next.
+    /// Returns the time at which [`Planner::timer_fired`] has to be called.
     pub fn next_timer(&self) -> Duration {
         let leader = self.leader.as_ref().map_or(Duration::MAX, Subscriber::next_timer);
         let ready_at =
             |scope: &ScopeId| self.distributor.ready_at(Duration::ZERO, *scope, self.store.revision(*scope));
         let lagging = self.lagging.iter().map(ready_at).min().unwrap_or(Duration::MAX);
-        let idle = if self.stands_in() { self.last_needed + STAND_IN_FOR } else { Duration::MAX };
-        let free = if self.lacks_leader() { self.distributor.former_expiry() } else { Duration::MAX };
+        let idle =
+            if self.is_stand_in() { self.last_holder_at + STAND_IN_IDLE_TIMEOUT } else { Duration::MAX };
+        let free = if self.needs_leader() { self.distributor.former_expiry() } else { Duration::MAX };
         let flush = self.flush_at.unwrap_or(Duration::MAX);
         self.relays.next_timer().min(leader).min(flush).min(idle).min(free).min(lagging)
     }
 
-    /// The time of [`Planner::next_timer`] has come.
+    /// Does what is due at the time of [`Planner::next_timer`].
     pub fn timer_fired(&mut self, now: Duration) {
         let mut upward = vec![];
         self.relays.timer_fired(now, &mut upward);
-        self.distributor.expire(now, FORGET_AFTER);
+        self.distributor.expire(now, SESSION_TIMEOUT);
         if !self.distributor.is_empty() {
-            self.last_needed = now;
+            self.last_holder_at = now;
         }
-        // A leader that hears of it assumes that no lease of a former start of this relay runs any more.
-        if self.lacks_leader() && now >= self.distributor.former_expiry() {
-            self.turn_to_leader(now);
+        // The leader takes the session as proof that no lease from a former start of this relay runs any more.
+        if self.needs_leader() && now >= self.distributor.former_expiry() {
+            self.attach_to_leader(now);
         }
-        if self.stands_in() && now >= self.last_needed + STAND_IN_FOR {
+        if self.is_stand_in() && now >= self.last_holder_at + STAND_IN_IDLE_TIMEOUT {
             self.stop_standing_in(&mut upward);
         }
         for scope in self.lagging.clone() {
@@ -217,7 +226,7 @@
         self.flush(now);
     }
 
-    /// A message was received.
+    /// Handles a message from another node.
     pub fn message_received(&mut self, now: Duration, from: MemberId, message: Message) {
         match message {
             Message::Upward(message) => self.upward_received(now, from, message),
@@ -227,14 +236,14 @@
         self.timer_fired(now);
     }
 
-    /// Prepares a planned stop: gives its leases back, and tells its planners to turn to other relays.
+    /// Prepares a planned stop: releases the planner's leases, and makes its holders attach to other relays.
     pub fn shut_down(&mut self) {
         let holders = self.distributor.holders();
-        let told = holders.map(|holder| (holder, Message::Downward(Downward::ShuttingDown)));
-        self.outbox.extend(told);
+        let notices = holders.map(|holder| (holder, Message::Downward(Downward::ShuttingDown)));
+        self.outbox.extend(notices);
         let mut upward = vec![];
         self.relays.release(&mut upward);
-        // The leader waits for the leases of its planners; without any, its own is given back.
+        // While its planners may have leases from this relay, the leader has to wait for them, so the relay's lease is not released.
         if let Some(leader) = self.leader.as_mut().filter(|_| self.distributor.is_empty()) {
             leader.release(&mut upward);
         }
@@ -255,13 +264,13 @@
         self.send_downward(out);
     }
 
-    /// Tells relays, holders and the leader what is held of a scope.
+    /// Publishes this planner's progress in a scope to its relays, its holders and the leader.
     fn publish_status(&mut self, now: Duration, scope: ScopeId) {
         let held = self.store.position(scope);
         if self.config.scopes.contains(&scope) {
             self.relays.set_status(ScopeStatus { scope, held, ready: held.revision });
         }
-        self.distributor.advanced(&self.store, scope);
+        self.distributor.scope_advanced(&self.store, scope);
         self.report_readiness(now, scope);
     }
 }
--- a/crates/config-distribution/src/planner/receiving.rs
+++ b/crates/config-distribution/src/planner/receiving.rs
@@ -1,4 +1,4 @@
-//! Links and snapshots from a planner's relays, or from the leader.
+//! Handling of links and snapshots from a planner's relays or from the leader.
 
 use super::{Planner, PlannerEvent, RejectCause};
 use crate::chain::{ChainError, Link, ScopeId};
@@ -6,14 +6,14 @@
 use grebespool_leader_election::MemberId;
 use std::time::Duration;
 
-/// Events that are kept until they are taken.
+/// Maximum number of events that are stored until the caller takes them.
 const MAX_EVENTS: usize = 32;
 
 impl Planner {
     pub(super) fn downward_received(&mut self, now: Duration, from: MemberId, message: Downward) {
         let term = self.term();
         for subscriber in [Some(&mut self.relays), self.leader.as_mut()].into_iter().flatten() {
-            subscriber.see_term(term);
+            subscriber.observe_term(term);
             if subscriber.servers().contains(&from) {
                 subscriber.message_received(now, from, &message);
             }
@@ -29,15 +29,15 @@
         }
     }
 
-    /// Whether it subscribes to a scope, for itself or for its planners: the leader waits for both.
-    fn wants(&self, scope: ScopeId) -> bool {
+    /// Returns true if the planner needs a scope for itself or for its planners; the leader waits for both.
+    fn needs_scope(&self, scope: ScopeId) -> bool {
         self.config.scopes.contains(&scope)
             || self.leader.as_ref().is_some_and(|leader| leader.subscribes(scope))
     }
 
     fn link_received(&mut self, now: Duration, from: MemberId, link: Link) {
         let scope = link.scope;
-        if !self.wants(scope) {
+        if !self.needs_scope(scope) {
             return self.reject(from, scope, RejectCause::NotSubscribed);
         }
         match self.store.apply(now, link) {
@@ -48,7 +48,7 @@
 
     fn part_received(&mut self, now: Duration, from: MemberId, part: SnapshotPart) {
         let scope = part.scope;
-        if !self.wants(scope) {
+        if !self.needs_scope(scope) {
             return self.reject(from, scope, RejectCause::NotSubscribed);
         }
         match self.store.add_part(now, part) {
--- a/crates/config-distribution/src/planner/relay.rs
+++ b/crates/config-distribution/src/planner/relay.rs
@@ -1,4 +1,4 @@
-//! A planner as a relay: it answers for the leases of its planners, and has a session with the leader.
+//! The relay's role of a planner: a relay answers for the leases of its planners, and has a session with the leader.
 
 use super::Planner;
 use crate::chain::ScopeId;
@@ -9,18 +9,18 @@
 use std::time::Duration;
 
 impl Planner {
-    /// Whether it is a relay that has not turned to a leader.
-    pub(super) fn lacks_leader(&self) -> bool {
+    /// Returns true if the planner is a relay that has not attached to a leader yet.
+    pub(super) fn needs_leader(&self) -> bool {
         self.leader.is_none() && (self.is_relay || !self.distributor.is_empty())
     }
 
-    /// Whether it serves as a relay in place of others that were lost.
-    pub(super) fn stands_in(&self) -> bool {
+    /// Returns true if the planner serves as a relay in place of a lost one.
+    pub(super) fn is_stand_in(&self) -> bool {
         self.leader.is_some() && !self.is_relay
     }
 
-    /// Begins sessions with the leader, and tells it of all scopes.
-    pub(super) fn turn_to_leader(&mut self, now: Duration) {
+    /// Begins to subscribe at the leader, with the statuses of all scopes.
+    pub(super) fn attach_to_leader(&mut self, now: Duration) {
         let settings = &self.config.settings;
         let policy = SessionPolicy {
             renew_interval: settings.renew,
@@ -28,7 +28,7 @@
             sessions: 1,
         };
         let mut control = self.config.control.clone();
-        // Each relay asks another machine first.
+        // Relays start with different control machines, to spread their requests.
         let first = self.config.own as usize % control.len().max(1);
         control.rotate_left(first);
         self.leader = Some(Subscriber::new(policy, self.config.start, self.leader_sessions, control));
@@ -47,18 +47,18 @@
         self.reported.clear();
     }
 
-    /// Tells the leader up to which revision of a scope this relay and its planners are ready. From then on nobody who is
-    /// behind that is granted a lease.
+    /// Reports to the leader the revision of a scope up to which this relay and its planners are ready. Afterwards no planner
+    /// that is behind this revision is granted a lease.
     pub(super) fn report_readiness(&mut self, now: Duration, scope: ScopeId) {
         let held = self.store.position(scope);
         let Some(leader) = &mut self.leader else {
             self.lagging.remove(&scope);
             return;
         };
-        let ready = held.revision.min(self.distributor.ready(now, scope));
+        let ready = held.revision.min(self.distributor.ready_revision(now, scope));
         let reported = self.reported.entry(scope).or_default();
         *reported = (*reported).max(ready);
-        self.distributor.promise(scope, *reported);
+        self.distributor.require_ready(scope, *reported);
         leader.set_status(ScopeStatus { scope, held, ready: *reported });
         if *reported < held.revision {
             self.lagging.insert(scope);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The newest term that was seen.
+    /// Returns the highest term that this planner has seen.
     pub(super) fn term(&self) -> u64 {
         self.relays.term().max(self.leader.as_ref().map_or(0, Subscriber::term))
     }
@@ -80,7 +80,7 @@
                     let why = Refusal::OtherZone;
                     return self.outbox.push((from, Message::Downward(Downward::Refused { session, why })));
                 }
-                self.relays.see_term(term);
+                self.relays.observe_term(term);
                 self.attach_planner(now, from, session, &statuses);
             }
             Upward::Renew { session, count, statuses } => {
@@ -105,7 +105,7 @@
         self.send_downward(out);
     }
 
-    /// Grants a lease that lasts no longer than this relay's own.
+    /// Handles a planner's renewal. The lease that is granted doesn't outlast this relay's own.
     fn renew_planner(&mut self, now: Duration, renewal: &HolderRenewal) {
         let mut out = vec![];
         let leader = self.leader.as_ref();
--- a/crates/config-distribution/src/replica/follower.rs
+++ b/crates/config-distribution/src/replica/follower.rs
@@ -1,11 +1,12 @@
-//! What a control machine does with a leader's messages.
+//! The log of a control machine while another machine leads.
 
 use super::{LogReplica, MAX_RECORDS};
 use crate::message::{LogMessage, LogPosition, LogRecord, Term};
 use grebespool_leader_election::MemberId;
 
 impl LogReplica {
-    /// Whether a leader is not older than the newest that was heard of. A newer one ends this machine's own leadership.
+    /// Returns true if a leader's term is the highest one that this machine has seen, and this machine doesn't lead in it. A
+    /// higher term ends this machine's own leadership.
     fn accept_term(&mut self, term: Term) -> bool {
         if term > self.term {
             self.term = term;
--- a/crates/config-distribution/src/replica/leader.rs
+++ b/crates/config-distribution/src/replica/leader.rs
@@ -1,4 +1,4 @@
-//! What a control machine does with its log while it leads.
+//! The log of a control machine while it leads.
 
 use super::{LogReplica, MAX_RECORDS, RETRANSMIT_AFTER};
 use crate::message::{LogEntry, LogMessage, LogPosition, LogRecord, Term};
@@ -8,19 +8,20 @@
 
 #[derive(Debug, Clone)]
 enum Phase {
-    /// Asks the others for their last records.
-    Asking { answers: BTreeMap<MemberId, LogPosition> },
-    /// Fetches a more advanced log: from whom, the next index, and the last.
+    /// The leader asks the others for their last records.
+    Recovering { answers: BTreeMap<MemberId, LogPosition> },
+    /// The leader fetches a more advanced log from another machine, from the next index to the last.
     Fetching { from: MemberId, next: u64, last: u64 },
-    /// Appends records.
+    /// The leader appends records.
     Leading,
 }
 
-/// What was sent to another machine last.
+/// The records that were sent last to another machine.
 #[derive(Debug, Clone, Copy)]
 struct SentRecords {
-    until: u64,
-    at: Duration,
+    /// Index of the last record that was sent.
+    last: u64,
+    sent_at: Duration,
 }
 
 /// One term in which this machine leads.
@@ -28,7 +29,7 @@
 pub(super) struct Leadership {
     term: Term,
     phase: Phase,
-    /// Up to which index each other's log is the leader's.
+    /// The index up to which each other machine's log is the same as the leader's.
     matched: BTreeMap<MemberId, u64>,
     sent: BTreeMap<MemberId, SentRecords>,
     retransmit_at: Duration,
@@ -45,7 +46,7 @@
 }
 
 impl LogReplica {
-    /// The term that this machine leads in, once it may append.
+    /// Returns the term in which this machine leads, once it may append records.
     pub fn leading_term(&self) -> Option<Term> {
         self.leadership
             .as_ref()
@@ -53,8 +54,8 @@
             .map(|leadership| leadership.term)
     }
 
-    /// This machine leads from now on.
-    pub fn lead(&mut self, now: Duration, term: Term) {
+    /// Makes this machine the leader of a term.
+    pub fn become_leader(&mut self, now: Duration, term: Term) {
         if term < self.term {
             return;
         }
@@ -62,7 +63,7 @@
         self.write(self.log.len(), vec![]);
         self.leadership = Some(Leadership {
             term,
-            phase: Phase::Asking { answers: BTreeMap::new() },
+            phase: Phase::Recovering { answers: BTreeMap::new() },
             matched: BTreeMap::new(),
             sent: BTreeMap::new(),
             retransmit_at: now,
@@ -70,12 +71,12 @@
         self.timer_fired(now);
     }
 
-    /// This machine leads no longer.
-    pub fn follow(&mut self) {
+    /// Ends the leadership of this machine.
+    pub fn step_down(&mut self) {
         self.leadership = None;
     }
 
-    /// Retransmits what was not answered, if it is time.
+    /// Retransmits unanswered messages, if it is time.
     pub fn timer_fired(&mut self, now: Duration) {
         let Some(leadership) = self.leadership.as_mut().filter(|leadership| now >= leadership.retransmit_at)
         else {
@@ -84,7 +85,7 @@
         leadership.retransmit_at = now + RETRANSMIT_AFTER;
         let term = leadership.term;
         match &leadership.phase {
-            Phase::Asking { answers } => {
+            Phase::Recovering { answers } => {
                 for other in self.others.iter().filter(|other| !answers.contains_key(other)) {
                     self.outbox.push((*other, LogMessage::Recover { term }));
                 }
@@ -96,11 +97,11 @@
         }
     }
 
-    /// Continues with the most advanced log, once a quorum has answered and this machine's disk has the term.
+    /// Continues with the most advanced log, once a quorum has answered and the term is on this machine's disk.
     pub(super) fn choose_log(&mut self, now: Duration) {
         let (own, persisted) = (self.last(), self.all_persisted());
         let Some(leadership) = &mut self.leadership else { return };
-        let Phase::Asking { answers } = &leadership.phase else { return };
+        let Phase::Recovering { answers } = &leadership.phase else { return };
         let quorum = (answers.len() + 1) * 2 > self.others.len() + 1;
         if !quorum || !persisted {
             return;
@@ -108,23 +109,23 @@
         let best = answers.iter().max_by_key(|(_, last)| **last).map(|(id, last)| (*id, *last));
         match best.filter(|(_, last)| *last > own) {
             Some((from, last)) => {
-                // Committed records are the same in both.
+                // Committed records are the same in both logs, so they are not fetched.
                 leadership.phase = Phase::Fetching { from, next: self.committed + 1, last: last.index };
                 leadership.retransmit_at = now;
                 self.timer_fired(now);
             }
-            None => self.begin(now),
+            None => self.start_leading(now),
         }
     }
 
-    fn begin(&mut self, now: Duration) {
+    fn start_leading(&mut self, now: Duration) {
         if let Some(leadership) = &mut self.leadership {
             leadership.phase = Phase::Leading;
             self.append(now, vec![LogEntry::Begin]);
         }
     }
 
-    /// Appends entries, as the leader.
+    /// Appends entries to the log, if this machine leads.
     pub fn append(&mut self, now: Duration, entries: Vec<LogEntry>) {
         let Some(term) = self.leading_term().filter(|_| !entries.is_empty()) else { return };
         let records = entries.into_iter().map(|entry| LogRecord { term, entry }).collect();
@@ -139,27 +140,28 @@
         }
     }
 
-    /// Sends another machine what it lacks; with `retransmit` also what was sent before.
+    /// Sends another machine the records that it lacks; with `retransmit` also those that it has not confirmed in time.
     fn append_to(&mut self, now: Duration, other: MemberId, retransmit: bool) {
         let (end, committed) = (self.log.len() as u64, self.committed);
         let Some(leadership) = &mut self.leadership else { return };
         let matched = leadership.matched.get(&other).copied().unwrap_or(committed.min(end));
-        let unsent = SentRecords { until: matched, at: Duration::ZERO };
+        let unsent = SentRecords { last: matched, sent_at: Duration::ZERO };
         let sent = leadership.sent.get(&other).copied().unwrap_or(unsent);
-        let overdue = retransmit && now >= sent.at + RETRANSMIT_AFTER;
-        let from = if overdue { matched } else { sent.until.max(matched) };
+        let overdue = retransmit && now >= sent.sent_at + RETRANSMIT_AFTER;
+        let from = if overdue { matched } else { sent.last.max(matched) };
         if from == end && !retransmit {
             return;
         }
-        let until = end.min(from + MAX_RECORDS as u64);
-        leadership.sent.insert(other, SentRecords { until, at: now });
+        let last = end.min(from + MAX_RECORDS as u64);
+        leadership.sent.insert(other, SentRecords { last, sent_at: now });
         let term = leadership.term;
-        let records = self.log[from as usize..until as usize].to_vec();
+        let records = self.log[from as usize..last as usize].to_vec();
         let previous = LogPosition { term: self.term_at(from).unwrap_or(0), index: from };
         self.outbox.push((other, LogMessage::Append { term, previous, records, committed }));
     }
 
-    /// Commits what a quorum has on its disks. A record of a former term is committed only with one of this term.
+    /// Commits the records that a quorum has on disk. A record of a former term is committed only together with a record of
+    /// this term.
     pub(super) fn commit(&mut self, now: Duration) {
         let Some(leadership) = self.leadership.as_ref().filter(|leadership| leadership.is_leading()) else {
             return;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// The leadership in this term.
+    /// Returns this machine's leadership, if it is in this term.
     fn leadership_in(&mut self, term: Term) -> Option<&mut Leadership> {
         self.leadership.as_mut().filter(|leadership| leadership.term == term)
     }
@@ -187,7 +189,7 @@
         term: Term,
         last: LogPosition,
     ) {
-        if let Some(Leadership { phase: Phase::Asking { answers }, .. }) = self.leadership_in(term) {
+        if let Some(Leadership { phase: Phase::Recovering { answers }, .. }) = self.leadership_in(term) {
             answers.insert(from, last);
             self.choose_log(now);
         }
@@ -210,7 +212,7 @@
         let complete = *next > *last;
         leadership.retransmit_at = now;
         self.write(index as usize - 1, records);
-        if complete { self.begin(now) } else { self.timer_fired(now) }
+        if complete { self.start_leading(now) } else { self.timer_fired(now) }
     }
 
     pub(super) fn appended_received(&mut self, now: Duration, from: MemberId, term: Term, last: u64) {
@@ -225,7 +227,7 @@
     pub(super) fn missing_received(&mut self, now: Duration, from: MemberId, term: Term, last: u64) {
         if let Some(leadership) = self.leadership_in(term) {
             leadership.matched.insert(from, last);
-            leadership.sent.insert(from, SentRecords { until: last, at: Duration::ZERO });
+            leadership.sent.insert(from, SentRecords { last, sent_at: Duration::ZERO });
             self.append_to(now, from, false);
         }
     }
--- a/crates/config-distribution/src/replica/mod.rs
+++ b/crates/config-distribution/src/replica/mod.rs
@@ -1,8 +1,9 @@
-//! The log of a control machine: records that a quorum has on its disks are committed, in one order for all.
+//! The replicated log of the control machines: a record is committed once a quorum has it on disk, in the same order on all
+//! machines.
 //!
-//! Who leads is decided elsewhere (`grebespool-leader-election`): one leader a term. A leader that begins asks the others for
-//! their logs, continues with the most advanced one of a quorum, and commits what is before its own first record with that
-//! one.
+//! `grebespool-leader-election` elects the leader, one per term. A new leader asks the other machines for the ends of their
+//! logs and continues with the most advanced log of a quorum. It commits the records before its own first record together
+//! with that record.
 
 mod follower;
 mod leader;
@@ -13,35 +14,35 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Records of one message.
+/// Maximum number of records in one message.
 const MAX_RECORDS: usize = 256;
-/// Unanswered messages are retransmitted after so long.
+/// Time after which an unanswered message is retransmitted.
 const RETRANSMIT_AFTER: Duration = Duration::from_millis(400);
 
-/// What a control machine stores before it answers others.
+/// The state that a control machine has on disk before it answers others.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StoredLog {
-    /// The newest term that was heard of.
+    /// The highest term that the machine has seen.
     pub term: Term,
     /// The log.
     pub records: Vec<LogRecord>,
 }
 
-/// A change of what is stored.
+/// A change of the stored log, to be written to disk.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogWrite {
-    /// The newest term.
+    /// The highest term that the machine has seen.
     pub term: Term,
-    /// So many records stay.
+    /// Number of records before the new ones; any later records are removed.
     pub keep: usize,
-    /// These follow them.
+    /// The new records.
     pub records: Vec<LogRecord>,
-    /// Counts writes: [`LogReplica::persisted`] reports this one once it is on disk.
+    /// Number of this write, for [`LogReplica::persisted`] once the write is on disk.
     pub stamp: u64,
 }
 
 impl StoredLog {
-    /// Carries out a write.
+    /// Applies a write.
     pub fn apply(&mut self, write: &LogWrite) {
         self.term = write.term;
         self.records.truncate(write.keep);
@@ -49,7 +50,7 @@
     }
 }
 
-/// An answer that waits for a write.
+/// A message that is sent once a write is on disk.
 #[derive(Debug, Clone)]
 struct Deferred {
     stamp: u64,
@@ -64,23 +65,24 @@
     term: Term,
     log: Vec<LogRecord>,
     committed: u64,
-    /// Committed records that were taken.
+    /// Number of committed records that the caller has taken.
     taken: u64,
     leadership: Option<Leadership>,
-    /// The last write that was started, and the last that is on disk.
+    /// Stamp of the last write that was started.
     started_stamp: u64,
+    /// Stamp of the last write that is on disk.
     persisted_stamp: u64,
-    /// Up to which index the log is on this machine's disk.
+    /// The index up to which the log is on this machine's disk.
     durable: u64,
     deferred: Vec<Deferred>,
     writes: Vec<LogWrite>,
-    /// The end of the log at each write that is not on disk yet.
+    /// Last index of the log after each write that is not on disk yet, by stamp.
     write_ends: BTreeMap<u64, u64>,
     outbox: Vec<(MemberId, LogMessage)>,
 }
 
 impl LogReplica {
-    /// Starts with what is stored.
+    /// Returns a replica that starts with the stored log.
     pub fn new(others: Vec<MemberId>, stored: StoredLog) -> LogReplica {
         let durable = stored.records.len() as u64;
         LogReplica {
@@ -100,24 +102,24 @@
         }
     }
 
-    /// Messages since this was called last.
+    /// Returns the messages to send since the last call.
     pub fn take_outbox(&mut self) -> Vec<(MemberId, LogMessage)> {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Writes since this was called last, in their order.
+    /// Returns the writes to carry out since the last call, in order.
     pub fn take_writes(&mut self) -> Vec<LogWrite> {
         std::mem::take(&mut self.writes)
     }
 
-    /// Entries that were committed since this was called last.
+    /// Returns the entries that were committed since the last call.
     pub fn take_committed(&mut self) -> Vec<LogEntry> {
         let from = self.taken as usize;
         self.taken = self.committed;
         self.log[from..self.committed as usize].iter().map(|record| record.entry.clone()).collect()
     }
 
-    /// Whether everything in the log is committed.
+    /// Returns true if all records of the log are committed.
     pub fn all_committed(&self) -> bool {
         self.committed == self.log.len() as u64
     }
@@ -127,12 +129,12 @@
         LogPosition { term, index: self.log.len() as u64 }
     }
 
-    /// The term of the record at an index; zero before the first.
+    /// Returns the term of the record at an index; zero before the first record.
     fn term_at(&self, index: u64) -> Option<Term> {
         if index == 0 { Some(0) } else { self.log.get(index as usize - 1).map(|record| record.term) }
     }
 
-    /// Keeps so many records, appends these, and starts to write that.
+    /// Truncates the log to `keep` records, appends new ones, and starts the write of this change.
     fn write(&mut self, keep: usize, records: Vec<LogRecord>) {
         self.started_stamp += 1;
         self.log.truncate(keep);
@@ -156,7 +158,7 @@
         }
     }
 
-    /// All writes up to this stamp are on disk.
+    /// Handles the completion of all writes up to this stamp.
     pub fn persisted(&mut self, now: Duration, stamp: u64) {
         self.persisted_stamp = self.persisted_stamp.max(stamp);
         let later = self.write_ends.split_off(&(stamp + 1));
@@ -172,12 +174,12 @@
         self.commit(now);
     }
 
-    /// When [`LogReplica::timer_fired`] is to be called next.
+    /// Returns the time at which [`LogReplica::timer_fired`] has to be called.
     pub fn next_timer(&self) -> Duration {
         self.leadership.as_ref().map_or(Duration::MAX, Leadership::retransmit_at)
     }
 
-    /// A message of another control machine was received.
+    /// Handles a message from another control machine.
     pub fn message_received(&mut self, now: Duration, from: MemberId, message: LogMessage) {
         match message {
             LogMessage::Recover { term } => self.recover_received(from, term),
--- a/crates/config-distribution/src/subscriber/mod.rs
+++ b/crates/config-distribution/src/subscriber/mod.rs
@@ -1,7 +1,7 @@
-//! The holding side of sessions: a planner at its relays, a relay at the leader.
+//! The holder's side of sessions: a planner's with its relays, and a relay's with the leader.
 //!
-//! A lease counts from the sending of the renewal that was answered, and covers the scopes whose status that renewal, or one
-//! before it, told.
+//! A lease counts from the sending of the renewal that was answered. It covers the scopes whose status was in that renewal or
+//! in one before.
 
 mod uplink;
 
@@ -12,29 +12,30 @@
 use std::time::Duration;
 use uplink::Uplink;
 
-/// A node that did not answer is avoided for so long, while there are others.
+/// Time for which a node that did not answer is avoided, while other nodes are left.
 const AVOID_FOR: Duration = Duration::from_secs(3);
-/// Between two looks at whether a more preferred node is back.
+/// Time between two checks if a more preferred node is back.
 const RETURN_CHECK_INTERVAL: Duration = Duration::from_secs(20);
-/// Between the beginnings of two sessions, as fractions of the renewal interval.
+/// Minimum time between the beginnings of two sessions, as a fraction of the renewal interval.
 const MIN_BEGIN_PAUSE: f64 = 0.5;
+/// Range of the varying part of that time, as a fraction of the renewal interval.
 const BEGIN_PAUSE_RANGE: f64 = 0.5;
 
-/// How many sessions a subscriber has, and when it renews or ends them.
+/// The number of sessions of a subscriber, and the times at which it renews or ends them.
 #[derive(Debug, Clone, Copy)]
 pub struct SessionPolicy {
-    /// Between two renewals.
+    /// Time between two renewals.
     pub renew_interval: Duration,
-    /// A node that does not answer for so long is avoided.
+    /// Time without an answer after which a node is avoided.
     pub silence_timeout: Duration,
-    /// Sessions that it keeps at once.
+    /// Number of concurrent sessions.
     pub sessions: usize,
 }
 
-/// Messages, and for whom.
+/// Messages with their receivers.
 pub(crate) type Outgoing = Vec<(MemberId, Upward)>;
 
-/// What a node has of a scope, and up to which revision it is ready.
+/// The position of a node in a scope, and the revision up to which it is ready.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct HeldScope {
     position: Position,
@@ -47,25 +48,29 @@
     }
 }
 
-/// The holding side of a node's sessions.
+/// The holder's side of a node's sessions.
 #[derive(Debug, Clone)]
 pub struct Subscriber {
     policy: SessionPolicy,
     start: u32,
+    /// Number of sessions begun since the start of the node.
     sessions: u32,
-    /// Nodes to turn to, the most preferred first.
+    /// Nodes to begin sessions with, the most preferred first.
     candidates: Vec<MemberId>,
+    /// Nodes to avoid, with the time until which they are avoided.
     avoided: BTreeMap<MemberId, Duration>,
     uplinks: Vec<Uplink>,
     held: BTreeMap<ScopeId, HeldScope>,
     term: Term,
     return_check_at: Duration,
-    /// The next session may begin then. Without a pause, all relays would ask all control machines while nobody leads.
+    /// Time at which the next session may begin. Without a pause between sessions, all relays would ask all control machines in
+    /// quick succession while no machine leads.
     begin_at: Duration,
 }
 
 impl Subscriber {
-    /// Without a session. `start`: how often the node was started; `sessions`: how many it has begun since.
+    /// Returns a subscriber without a session. `start` is the number of starts of the node; `sessions` is the number of sessions
+    /// that the node has begun since the last start.
     pub fn new(policy: SessionPolicy, start: u32, sessions: u32, candidates: Vec<MemberId>) -> Subscriber {
         Subscriber {
             policy,
@@ -81,37 +86,38 @@
         }
     }
 
-    /// How many sessions it has begun.
+    /// Returns the number of sessions that were begun since the start of the node.
     pub fn sessions(&self) -> u32 {
         self.sessions
     }
 
-    /// The newest term that was seen.
+    /// Returns the highest term that was seen.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// Whether a scope is subscribed to.
+    /// Returns true if the node subscribes to a scope.
     pub fn subscribes(&self, scope: ScopeId) -> bool {
         self.held.contains_key(&scope)
     }
 
-    /// Nodes that it has sessions with.
+    /// Returns the nodes with which a session is running.
     pub fn servers(&self) -> Vec<MemberId> {
         self.uplinks.iter().map(Uplink::server).collect()
     }
 
-    /// Until when the node may apply a scope.
+    /// Returns the time until which the node may apply a scope.
     pub fn leased_until(&self, scope: ScopeId) -> Duration {
         self.uplinks.iter().map(|uplink| uplink.leased_until(scope)).max().unwrap_or_default()
     }
 
-    /// Until when any lease runs.
+    /// Returns the time at which the last of the leases ends.
     pub fn any_leased_until(&self) -> Duration {
-        self.uplinks.iter().map(Uplink::until).max().unwrap_or_default()
+        self.uplinks.iter().map(Uplink::lease_expiry).max().unwrap_or_default()
     }
 
-    /// Subscribes to a scope, or tells at once that more of it is held or ready.
+    /// Subscribes to a scope, or updates its status. A changed status is sent with the next call of
+    /// [`Subscriber::timer_fired`].
     pub fn set_status(&mut self, status: ScopeStatus) {
         let ScopeStatus { scope, held: position, ready } = status;
         let held = HeldScope { position, ready };
@@ -124,7 +130,7 @@
         self.uplinks.len() < self.policy.sessions.min(self.candidates.len())
     }
 
-    /// When [`Subscriber::timer_fired`] is to be called next.
+    /// Returns the time at which [`Subscriber::timer_fired`] has to be called.
     pub fn next_timer(&self) -> Duration {
         if self.lacks_sessions() {
             return self.begin_at;
@@ -132,13 +138,13 @@
         self.uplinks.iter().map(Uplink::next_timer).min().unwrap_or(Duration::MAX)
     }
 
-    /// Begins sessions, renews, and avoids nodes that are silent.
+    /// Begins sessions, renews leases, and avoids nodes that don't answer.
     pub fn timer_fired(&mut self, now: Duration, out: &mut Outgoing) {
         self.avoid_silent(now);
         self.return_to_preferred(now, out);
         while now >= self.begin_at && self.lacks_sessions() {
             let Some(server) = self.next_candidate(now) else { break };
-            self.begin(now, server);
+            self.begin_session(now, server);
         }
         for uplink in &mut self.uplinks {
             uplink.send_due(now, self.policy.renew_interval, self.term, &self.held, out);
@@ -152,27 +158,29 @@
         silent.into_iter().for_each(|server| self.avoid(now, server));
     }
 
-    /// Ends the session with the less preferred of two nodes where a more preferred one may be back, at intervals.
+    /// Ends the session with the least preferred node if a more preferred one may be back. This is checked at intervals, and only
+    /// while the lease of another session runs.
     fn return_to_preferred(&mut self, now: Duration, out: &mut Outgoing) {
         if now < self.return_check_at || self.uplinks.len() < 2 {
             return;
         }
         self.return_check_at = now + RETURN_CHECK_INTERVAL;
-        let place = |server: MemberId| {
+        let rank = |server: MemberId| {
             self.candidates.iter().position(|candidate| *candidate == server).unwrap_or(usize::MAX)
         };
-        let places = self.uplinks.iter().map(|uplink| place(uplink.server()));
-        let Some((worst, worst_place)) = places.enumerate().max_by_key(|(_, place)| *place) else { return };
-        let better = self.next_candidate(now).is_some_and(|candidate| place(candidate) < worst_place);
+        let ranks = self.uplinks.iter().map(|uplink| rank(uplink.server()));
+        let Some((worst, worst_rank)) = ranks.enumerate().max_by_key(|(_, rank)| *rank) else { return };
+        let better = self.next_candidate(now).is_some_and(|candidate| rank(candidate) < worst_rank);
         let others = self.uplinks.iter().enumerate().filter(|(index, _)| *index != worst);
-        let others_leased = others.map(|(_, uplink)| uplink.until()).any(|until| until > now);
+        let others_leased = others.map(|(_, uplink)| uplink.lease_expiry()).any(|until| until > now);
         if better && others_leased {
-            let given_up = self.uplinks.remove(worst);
-            out.push((given_up.server(), given_up.release()));
+            let removed = self.uplinks.remove(worst);
+            out.push((removed.server(), removed.release()));
         }
     }
 
-    /// The most preferred node without a session that is not avoided; the most preferred of all where all are avoided.
+    /// Returns the most preferred node that has no session and is not avoided. If all nodes without a session are avoided,
+    /// returns the most preferred of these.
     fn next_candidate(&self, now: Duration) -> Option<MemberId> {
         let has_session =
             |candidate: &MemberId| self.uplinks.iter().any(|uplink| uplink.server() == *candidate);
@@ -187,7 +195,7 @@
         self.uplinks.retain(|uplink| uplink.server() != server);
     }
 
-    fn begin(&mut self, now: Duration, server: MemberId) {
+    fn begin_session(&mut self, now: Duration, server: MemberId) {
         self.sessions += 1;
         if self.sessions as usize > self.policy.sessions {
             self.begin_at = now + self.begin_pause(server);
@@ -196,36 +204,38 @@
         self.uplinks.push(Uplink::new(now, server, session));
     }
 
-    /// The pause before the next session: another one for each node and each time, so that not all begin together.
+    /// Returns the pause before the next session. The pause differs by node and session, so that nodes don't begin sessions at
+    /// the same time.
     fn begin_pause(&self, server: MemberId) -> Duration {
+        // The pause is derived from a hash: these values and their order must not change.
         let seed = postcard::to_stdvec(&(server, self.sessions, self.start)).unwrap_or_default();
         let part = f64::from(blake3::hash(&seed).as_bytes()[0]) / f64::from(u8::MAX);
         self.policy.renew_interval.mul_f64(MIN_BEGIN_PAUSE + BEGIN_PAUSE_RANGE * part)
     }
 
-    /// A message of a distributor was received. Links and parts are the caller's to apply.
+    /// Handles a message from a distributor. The caller applies links and parts of snapshots.
     pub fn message_received(&mut self, now: Duration, from: MemberId, message: &Downward) {
         match message {
             Downward::Attached { session, term } => {
-                self.see_term(*term);
+                self.observe_term(*term);
                 if let Some(uplink) = self.uplink(from, *session) {
                     uplink.attached(now);
                 }
             }
             Downward::Granted { session, term, count, lease } => {
                 if *term >= self.term {
-                    self.see_term(*term);
+                    self.observe_term(*term);
                     self.granted(now, from, *session, *count, *lease);
                 }
             }
             Downward::Refused { session, why } => self.refused(now, from, *session, *why),
-            // A repeated answer, or one of a session that was given up, is no reason to avoid the node.
+            // The node is not avoided because of a repeated answer or one for a session that has ended.
             Downward::NotLeading { session, .. } if self.uplink(from, *session).is_none() => {}
             Downward::NotLeading { leader, .. } => self.not_leading(now, from, *leader),
             Downward::ShuttingDown => self.avoid(now, from),
             Downward::Links { .. } | Downward::Part(_) => {
                 if let Some(uplink) = self.uplinks.iter_mut().find(|uplink| uplink.server() == from) {
-                    uplink.heard(now);
+                    uplink.message_received(now);
                 }
             }
         }
@@ -236,13 +246,13 @@
             return;
         }
         match why {
-            // It was restarted, most likely: a new session is begun at once.
+            // The node has most likely been restarted, so a new session with it may begin.
             Refusal::UnknownSession => self.uplinks.retain(|uplink| uplink.server() != from),
             Refusal::Full | Refusal::OtherHistory(_) | Refusal::OtherZone => self.avoid(now, from),
         }
     }
 
-    /// Turns to the leader first, where it is known.
+    /// Avoids a node that doesn't lead, and makes the leader the most preferred node if it is known.
     fn not_leading(&mut self, now: Duration, from: MemberId, leader: Option<MemberId>) {
         self.avoid(now, from);
         if let Some(leader) = leader.filter(|leader| self.candidates.contains(leader)) {
@@ -252,13 +262,13 @@
         }
     }
 
-    /// A term was seen: no lease of an older one is accepted any more.
-    pub fn see_term(&mut self, term: Term) {
+    /// Updates the highest term that was seen. No lease from a lower term is accepted any more.
+    pub fn observe_term(&mut self, term: Term) {
         self.term = self.term.max(term);
     }
 
     fn uplink(&mut self, server: MemberId, session: SessionId) -> Option<&mut Uplink> {
-        self.uplinks.iter_mut().find(|uplink| uplink.is(server, session))
+        self.uplinks.iter_mut().find(|uplink| uplink.matches(server, session))
     }
 
     fn granted(
@@ -269,12 +279,12 @@
         count: u64,
         lease: Option<Duration>,
     ) {
-        if let Some(uplink) = self.uplinks.iter_mut().find(|uplink| uplink.is(from, session)) {
+        if let Some(uplink) = self.uplinks.iter_mut().find(|uplink| uplink.matches(from, session)) {
             uplink.granted(now, count, lease, &self.held);
         }
     }
 
-    /// Gives all leases back; nothing may be applied by them any more.
+    /// Ends all sessions and releases their leases; nothing may be applied by these leases any more.
     pub fn release(&mut self, out: &mut Outgoing) {
         out.extend(self.uplinks.drain(..).map(|uplink| (uplink.server(), uplink.release())));
     }
--- a/crates/config-distribution/src/subscriber/uplink.rs
+++ b/crates/config-distribution/src/subscriber/uplink.rs
@@ -1,4 +1,4 @@
-//! One session of a subscriber.
+//! The state of one session of a subscriber.
 
 use super::{HeldScope, Outgoing};
 use crate::chain::ScopeId;
@@ -7,12 +7,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Renewals whose answers are still accepted.
+/// Maximum number of unanswered renewals whose answers are still accepted.
 const MAX_UNANSWERED: usize = 16;
 
+/// A renewal that is not answered yet.
 #[derive(Debug, Clone)]
 struct SentRenewal {
-    at: Duration,
+    sent_at: Duration,
     statuses: Vec<ScopeStatus>,
 }
 
@@ -23,12 +24,13 @@
     session: SessionId,
     attached: bool,
     attach_at: Duration,
-    heard_at: Duration,
+    last_message_at: Duration,
     renew_at: Duration,
     count: u64,
+    /// Renewals without an answer, by their numbers.
     sent: BTreeMap<u64, SentRenewal>,
-    /// The lease runs until then.
-    until: Duration,
+    /// Time at which the lease ends.
+    lease_expiry: Duration,
     /// Scopes that the lease covers.
     covered: BTreeSet<ScopeId>,
     /// Scopes whose status the distributor has not confirmed.
@@ -42,11 +44,11 @@
             session,
             attached: false,
             attach_at: now,
-            heard_at: now,
+            last_message_at: now,
             renew_at: now,
             count: 0,
             sent: BTreeMap::new(),
-            until: Duration::ZERO,
+            lease_expiry: Duration::ZERO,
             covered: BTreeSet::new(),
             unconfirmed: BTreeSet::new(),
         }
@@ -56,38 +58,38 @@
         self.server
     }
 
-    pub(super) fn is(&self, server: MemberId, session: SessionId) -> bool {
+    pub(super) fn matches(&self, server: MemberId, session: SessionId) -> bool {
         self.server == server && self.session == session
     }
 
-    pub(super) fn until(&self) -> Duration {
-        self.until
+    pub(super) fn lease_expiry(&self) -> Duration {
+        self.lease_expiry
     }
 
-    /// Until when the lease covers a scope; zero where it does not.
+    /// Returns the time until which the lease covers a scope; zero if the lease doesn't cover it.
     pub(super) fn leased_until(&self, scope: ScopeId) -> Duration {
-        if self.covered.contains(&scope) { self.until } else { Duration::ZERO }
+        if self.covered.contains(&scope) { self.lease_expiry } else { Duration::ZERO }
     }
 
     pub(super) fn is_silent(&self, now: Duration, timeout: Duration) -> bool {
-        now >= self.heard_at + timeout
+        now >= self.last_message_at + timeout
     }
 
-    pub(super) fn heard(&mut self, now: Duration) {
-        self.heard_at = now;
+    pub(super) fn message_received(&mut self, now: Duration) {
+        self.last_message_at = now;
     }
 
     pub(super) fn next_timer(&self) -> Duration {
         if self.attached { self.renew_at } else { self.attach_at }
     }
 
-    /// The status of a scope has changed: it is told at once.
+    /// Makes the next [`Uplink::send_due`] send the changed status of a scope.
     pub(super) fn status_changed(&mut self, scope: ScopeId) {
         self.unconfirmed.insert(scope);
         self.renew_at = Duration::ZERO;
     }
 
-    /// Attaches or renews, if it is time.
+    /// Sends a request to attach or to renew, if it is time.
     pub(super) fn send_due(
         &mut self,
         now: Duration,
@@ -115,7 +117,7 @@
         self.count += 1;
         let status = |scope: &ScopeId| Some(held.get(scope)?.status(*scope));
         let statuses: Vec<ScopeStatus> = self.unconfirmed.iter().filter_map(status).collect();
-        self.sent.insert(self.count, SentRenewal { at: now, statuses: statuses.clone() });
+        self.sent.insert(self.count, SentRenewal { sent_at: now, statuses: statuses.clone() });
         if self.sent.len() > MAX_UNANSWERED {
             self.sent.pop_first();
         }
@@ -123,14 +125,14 @@
     }
 
     pub(super) fn attached(&mut self, now: Duration) {
-        self.heard_at = now;
+        self.last_message_at = now;
         if !std::mem::replace(&mut self.attached, true) {
             self.renew_at = now;
         }
     }
 
-    /// A renewal was answered. A lease covers the scopes that it told as held: of others, the distributor does not count this
-    /// node among those that apply them.
+    /// Handles the answer to a renewal. The lease covers the scopes that the renewal reported with a revision above zero: for
+    /// other scopes, the distributor doesn't count this node among those that may apply them.
     pub(super) fn granted(
         &mut self,
         now: Duration,
@@ -138,9 +140,9 @@
         lease: Option<Duration>,
         held: &BTreeMap<ScopeId, HeldScope>,
     ) {
-        self.heard_at = now;
+        self.last_message_at = now;
         let (Some(lease), Some(sent)) = (lease, self.sent.get(&count)) else { return };
-        self.until = self.until.max(sent.at + lease);
+        self.lease_expiry = self.lease_expiry.max(sent.sent_at + lease);
         for status in &sent.statuses {
             if status.held.revision > 0 {
                 self.covered.insert(status.scope);
@@ -152,7 +154,7 @@
         self.sent = self.sent.split_off(&(count + 1));
     }
 
-    /// The message that gives the lease back.
+    /// Returns the message that releases the lease.
     pub(super) fn release(&self) -> Upward {
         Upward::Release { session: self.session }
     }
--- a/crates/config-distribution/tests/schedules/fleet/mod.rs
+++ b/crates/config-distribution/tests/schedules/fleet/mod.rs
@@ -208,7 +208,7 @@
     pub fn relays(&self) -> Vec<Id> {
         let planners = self.planners().into_iter();
         let mut relays: Vec<(usize, Id)> =
-            planners.filter_map(|id| Some((self.nodes[&id].planner()?.planners(), id))).collect();
+            planners.filter_map(|id| Some((self.nodes[&id].planner()?.planner_count(), id))).collect();
         relays.retain(|(planners, _)| *planners > 0);
         relays.sort_by(|a, b| b.cmp(a));
         relays.into_iter().map(|(_, id)| id).collect()
--- a/crates/config-distribution/tests/schedules/fleet/node.rs
+++ b/crates/config-distribution/tests/schedules/fleet/node.rs
@@ -140,10 +140,10 @@
             Some(Machine::Planner(planner)) => {
                 let active = |scope: &ScopeId| (scope.0, planner.active_versions(self.clock(now), *scope));
                 let active: Vec<_> = self.scopes.iter().map(active).collect();
-                format!("{active:?}, {} planners, {:?}", planner.planners(), planner.rejections())
+                format!("{active:?}, {} planners, {:?}", planner.planner_count(), planner.rejections())
             }
             Some(Machine::Control(control)) => {
-                format!("publishes {}, {} relays", control.publishes(), control.relays())
+                format!("publishes {}, {} relays", control.is_publishing(), control.relay_count())
             }
             None => "down".into(),
         }
