--- a/crates/config-distribution/src/chain/link.rs
+++ b/crates/config-distribution/src/chain/link.rs
@@ -67,7 +67,7 @@
 // stored and on the wire: do not reorder
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Version {
-    /// Number of the version, which is the number of versions that were prepared before.
+    /// Number of the version: zero for the initial empty one, and one more for each version that is prepared.
     pub number: u64,
     /// The configuration.
     pub configuration: Configuration,
--- a/crates/config-distribution/src/chain/mod.rs
+++ b/crates/config-distribution/src/chain/mod.rs
@@ -1,8 +1,8 @@
 //! A scope's configuration as a chain of links, each of which has the hash of the link before.
 //!
-//! A change takes two links: the first prepares a new version beside the active one, the second activates the new version.
-//! Between the two, a planner applies the intersection of both versions. A link is applied only directly after its parent, so
-//! a gap, a wrong order or another history is detected and never applied.
+//! A change takes two links: the first prepares a new version beside the active one, the second activates the new
+//! version. Between the two, a planner applies the intersection of both versions. A link is applied only directly after
+//! its parent, so a gap, a wrong order or another history is detected and never applied.
 
 mod error;
 mod link;
--- a/crates/config-distribution/src/control/commit.rs
+++ b/crates/config-distribution/src/control/commit.rs
@@ -27,7 +27,8 @@
 
     fn apply_link(&mut self, now: Duration, link: Link, proposals: Vec<ProposalKey>) {
         let (scope, prepares) = (link.scope, matches!(link.step, Step::Prepare(_)));
-        // A leader makes each link from committed state, and only one per scope at a time, so each link follows the one before.
+        // A leader makes each link from committed state, and only one per scope at a time, so each link follows the one
+        // before.
         if self.store.apply(now, link).is_err() {
             return;
         }
--- a/crates/config-distribution/src/control/mod.rs
+++ b/crates/config-distribution/src/control/mod.rs
@@ -1,8 +1,8 @@
 //! A control machine: its replica of the log, and the publisher of all scopes while the machine leads.
 //!
-//! The caller sets the authority of the machine before each call, by a clock that was just read. The log commits versions by
-//! quorum. The leader prepares one version of a scope at a time, and activates it once each relay either reports that it and
-//! its planners are ready, or has no lease any more by which the scope may be applied.
+//! The caller sets the authority of the machine before each call, by a clock that was just read. The log commits
+//! versions by quorum. The leader prepares one version of a scope at a time, and activates it once each relay either
+//! reports that it and its planners are ready, or has no lease any more by which the scope may be applied.
 
 mod commit;
 mod proposals;
--- a/crates/config-distribution/src/control/proposals.rs
+++ b/crates/config-distribution/src/control/proposals.rs
@@ -30,8 +30,8 @@
 }
 
 impl ControlMachine {
-    /// Returns links that each prepare a version of a scope from its queued proposals, the most urgent link first. Invalid
-    /// proposals are rejected.
+    /// Returns links that each prepare a version of a scope from its queued proposals, the most urgent link first.
+    /// Invalid proposals are rejected.
     pub(super) fn preparations(&mut self) -> Vec<LogEntry> {
         let Some(publisher) = &mut self.publisher else { return vec![] };
         let mut entries: Vec<(Priority, LogEntry)> = vec![];
--- a/crates/config-distribution/src/control/publisher.rs
+++ b/crates/config-distribution/src/control/publisher.rs
@@ -31,8 +31,8 @@
     former_expiry: Duration,
     /// Relays to be registered, with their numbers of starts.
     registering: BTreeMap<MemberId, u32>,
-    /// Relays whose end of registration is not committed yet. They are granted no lease, since the next leader would not know
-    /// of it.
+    /// Relays whose end of registration is not committed yet. They are granted no lease, since the next leader would
+    /// not know of it.
     unregistering: BTreeSet<MemberId>,
     /// Time at which each registration that is not committed yet was appended to the log.
     registered_at: BTreeMap<MemberId, Duration>,
@@ -41,8 +41,8 @@
 }
 
 impl Publisher {
-    /// Returns the publisher of a leader that starts now; `registered` are the relays to which a former leader may have granted
-    /// leases.
+    /// Returns the publisher of a leader that starts now; `registered` are the relays to which a former leader may have
+    /// granted leases.
     pub(super) fn new(
         now: Duration,
         term: Term,
--- a/crates/config-distribution/src/distributor/mod.rs
+++ b/crates/config-distribution/src/distributor/mod.rs
@@ -1,9 +1,9 @@
 //! The distributing side of sessions: the leader's with relays, and a relay's with planners.
 //!
-//! A distributor sends holders the links and snapshots that they lack, within their budgets and the most urgent first. It
-//! grants leases to holders, and computes the revision of a scope up to which every node is ready that may apply the scope by
-//! one of these leases. The backlog of a holder is a set of scopes and not a queue of messages, so its size is bounded by the
-//! number of scopes that the holder subscribes to.
+//! A distributor sends holders the links and snapshots that they lack, within their budgets and the most urgent first.
+//! It grants leases to holders, and computes the revision of a scope up to which every node is ready that may apply the
+//! scope by one of these leases. The backlog of a holder is a set of scopes and not a queue of messages, so its size is
+//! bounded by the number of scopes that the holder subscribes to.
 
 mod readiness;
 mod sending;
@@ -224,8 +224,8 @@
         out.push((holder, Downward::Granted { session, term: authority.term, count, lease }));
     }
 
-    /// Returns true if a holder may be granted a lease: this node's own lease covers the holder's scopes, the holder is ready
-    /// for the required revisions, and it has not been behind for longer than permitted.
+    /// Returns true if a holder may be granted a lease: this node's own lease covers the holder's scopes, the holder is
+    /// ready for the required revisions, and it has not been behind for longer than permitted.
     fn may_grant(
         &self,
         now: Duration,
@@ -276,8 +276,8 @@
         Some(session)
     }
 
-    /// Removes expired leases, and sessions that were not renewed for `timeout` after their lease. Returns the holders of the
-    /// removed sessions.
+    /// Removes expired leases, and sessions that were not renewed for `timeout` after their lease. Returns the holders
+    /// of the removed sessions.
     pub fn expire(&mut self, now: Duration, timeout: Duration) -> Vec<MemberId> {
         self.ended.retain(|ended| now < ended.lease_expiry);
         // A session that was never granted a lease is not removed here.
--- a/crates/config-distribution/src/distributor/readiness.rs
+++ b/crates/config-distribution/src/distributor/readiness.rs
@@ -12,8 +12,9 @@
         holders.filter_map(|holder| self.sessions.get(holder))
     }
 
-    /// Returns the revision of a scope up to which all nodes are ready that may apply the scope by a lease from this node.
-    /// Returns [`Revision::MAX`] if no node may apply the scope, and zero while leases from a former start may still run.
+    /// Returns the revision of a scope up to which all nodes are ready that may apply the scope by a lease from this
+    /// node. Returns [`Revision::MAX`] if no node may apply the scope, and zero while leases from a former start may
+    /// still run.
     pub fn ready_revision(&self, now: Duration, scope: ScopeId) -> Revision {
         if now < self.former_expiry {
             return 0;
--- a/crates/config-distribution/src/distributor/sending.rs
+++ b/crates/config-distribution/src/distributor/sending.rs
@@ -32,8 +32,8 @@
         overdue.into_iter().for_each(|scope| self.update_backlog(store, scope, holder));
     }
 
-    /// Sends the backlogs of all holders as far as budgets allow. Returns the time at which to call this again, if a backlog
-    /// remains.
+    /// Sends the backlogs of all holders as far as budgets allow. Returns the time at which to call this again, if a
+    /// backlog remains.
     pub fn flush(&mut self, now: Duration, store: &Store, out: &mut Outgoing) -> Option<Duration> {
         let part_bytes = self.settings.part_bytes;
         let waiting = self.sessions.iter_mut().filter(|(_, session)| !session.backlog.is_empty());
@@ -43,8 +43,8 @@
     }
 }
 
-/// Sends the backlog of one holder as far as its budget allows. Returns the time at which the budget allows more, if a backlog
-/// remains.
+/// Sends the backlog of one holder as far as its budget allows. Returns the time at which the budget allows more, if a
+/// backlog remains.
 fn flush_session(
     now: Duration,
     store: &Store,
--- a/crates/config-distribution/src/lib.rs
+++ b/crates/config-distribution/src/lib.rs
@@ -1,12 +1,12 @@
 //! Distribution of configuration by scope: from a quorum of control machines over relays in each zone to planners
 //! (`docs/design/config-distribution.md`).
 //!
-//! The crate does no I/O and reads no clock: the caller passes events to a [`ControlMachine`] or a [`Planner`] with the time
-//! of that node's clock, and takes from it the messages to send and the data to write.
+//! The crate does no I/O and reads no clock: the caller passes events to a [`ControlMachine`] or a [`Planner`] with the
+//! time of that node's clock, and takes from it the messages to send and the data to write.
 //!
-//! Guarantees that hold for any behaviour of the clocks: a scope has one history, and a node neither goes back in this history
-//! nor applies a link over a gap. While all clocks stay within the configured drift, the planners that apply a scope at the
-//! same time have at least one version in common among those that each of them applies.
+//! Guarantees that hold for any behaviour of the clocks: a scope has one history, and a node neither goes back in this
+//! history nor applies a link over a gap. While all clocks stay within the configured drift, the planners that apply a
+//! scope at the same time have at least one version in common among those that each of them applies.
 //!
 //! The crate doesn't elect the leader, doesn't assess servers, and never waits for a single planner for longer than the
 //! planner's lease.
--- a/crates/config-distribution/src/message.rs
+++ b/crates/config-distribution/src/message.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes.
 //!
-//! The types are sent, and some of them are stored, as postcard, which encodes positions and not names: variants and fields
-//! must not be reordered.
+//! The types are sent, and some of them are stored, as postcard, which encodes positions and not names: variants and
+//! fields must not be reordered.
 
 use crate::chain::{Link, Position, Priority, Revision, ScopeId};
 use crate::digest::Digest;
@@ -13,7 +13,8 @@
 /// A leader's term; each later leader has a higher one.
 pub type Term = u64;
 
-/// Identifies a session of a holder with a distributor; a later session has a greater id, also across restarts of the holder.
+/// Identifies a session of a holder with a distributor; a later session has a greater id, also across restarts of the
+/// holder.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId {
     /// Number of starts of the holder.
@@ -29,8 +30,8 @@
     pub scope: ScopeId,
     /// Position of the last link that the holder has.
     pub held: Position,
-    /// The revision up to which the holder is ready, and with it every node that applies the scope by a lease from the holder:
-    /// none of them applies an older revision.
+    /// The revision up to which the holder is ready, and with it every node that applies the scope by a lease from the
+    /// holder: none of them applies an older revision.
     pub ready: Revision,
 }
 
@@ -51,7 +52,8 @@
     pub bytes: Vec<u8>,
 }
 
-/// A message from a holder of configuration to its distributor: from a planner to a relay, or from a relay to the leader.
+/// A message from a holder to its distributor, where a holder is a node that receives scopes and leases: a planner sends
+/// it to a relay, or a relay to the leader.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Upward {
     /// Begins a session, with the status of every scope that the holder subscribes to.
@@ -97,8 +99,8 @@
         term: Term,
         /// Number of the renewal that is answered.
         count: u64,
-        /// Duration of the lease from the sending of the renewal; `None` while the holder is behind or the distributor has no
-        /// lease of its own.
+        /// Duration of the lease from the sending of the renewal; `None` while the holder is behind or the distributor
+        /// has no lease of its own.
         lease: Option<Duration>,
     },
     /// The next links of scopes.
@@ -153,8 +155,8 @@
 pub struct Proposal {
     /// The proposer.
     pub proposer: MemberId,
-    /// Number of the proposal among those of its proposer. A proposal is retransmitted until it is answered, and the number
-    /// ensures that it takes effect only once.
+    /// Number of the proposal among those of its proposer. A proposal is retransmitted until it is answered, and the
+    /// number ensures that it takes effect only once.
     pub number: u64,
     /// The scope.
     pub scope: ScopeId,
@@ -208,8 +210,8 @@
 /// A message between the leader and another control machine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum LogMessage {
-    /// Announces a leader and asks for the position of the last record. The receiver accepts nothing from leaders of lower
-    /// terms any more.
+    /// Announces a leader and asks for the position of the last record. The receiver accepts nothing from leaders of
+    /// lower terms any more.
     Recover {
         /// The leader's term.
         term: Term,
--- a/crates/config-distribution/src/planner/event.rs
+++ b/crates/config-distribution/src/planner/event.rs
@@ -10,8 +10,8 @@
 pub struct RejectionCounts {
     /// Links and snapshots that are not newer than the planner's chain; most are copies from the second relay.
     pub outdated: u64,
-    /// Links and snapshots of scopes that the planner doesn't subscribe to, over a gap, of another history, or with a wrong
-    /// hash.
+    /// Links and snapshots of scopes that the planner doesn't subscribe to, over a gap, of another history, or with a
+    /// wrong hash.
     pub invalid: u64,
     /// Attempts of planners of another zone to begin a session.
     pub other_zone: u64,
--- a/crates/config-distribution/src/planner/mod.rs
+++ b/crates/config-distribution/src/planner/mod.rs
@@ -1,9 +1,9 @@
-//! The planner's side: a planner has the chains of the scopes that it subscribes to, applies them while it has a lease, and may
-//! serve as a relay for other planners of its zone.
+//! The planner's side: a planner has the chains of the scopes that it subscribes to, applies them while it has a lease,
+//! and may serve as a relay for other planners of its zone.
 //!
-//! A planner has sessions with two relays. A relay has one session, with the leader, and subscribes there to the scopes of its
-//! planners as well. It answers for their leases: a revision that it reports as ready is one for which all planners are ready
-//! that may apply the scope by a lease from this relay.
+//! A planner has sessions with two relays. A relay has one session, with the leader, and subscribes there to the scopes
+//! of its planners as well. It answers for their leases: a revision that it reports as ready is one for which all
+//! planners are ready that may apply the scope by a lease from this relay.
 
 mod event;
 mod receiving;
@@ -139,8 +139,8 @@
         std::mem::take(&mut self.outbox)
     }
 
-    /// Returns the scopes whose chains have changed since the last call and are to be written to disk. The caller doesn't have
-    /// to wait for the writes.
+    /// Returns the scopes whose chains have changed since the last call and are to be written to disk. The caller
+    /// doesn't have to wait for the writes.
     pub fn take_unsaved(&mut self) -> BTreeSet<ScopeId> {
         std::mem::take(&mut self.unsaved)
     }
@@ -165,7 +165,8 @@
         self.distributor.len()
     }
 
-    /// Returns the versions of a scope that the planner may apply at this time. `now` has to be from a clock that was just read.
+    /// Returns the versions of a scope that the planner may apply at this time. `now` has to be from a clock that was
+    /// just read.
     pub fn active_versions(&self, now: Duration, scope: ScopeId) -> ActiveVersions {
         let Some(chain) = self.store.chain(scope) else { return ActiveVersions::NothingReceived };
         if now >= self.leased_until(scope) {
@@ -243,7 +244,8 @@
         self.outbox.extend(notices);
         let mut upward = vec![];
         self.relays.release(&mut upward);
-        // While its planners may have leases from this relay, the leader has to wait for them, so the relay's lease is not released.
+        // While its planners may have leases from this relay, the leader has to wait for them, so the relay's lease is
+        // not released.
         if let Some(leader) = self.leader.as_mut().filter(|_| self.distributor.is_empty()) {
             leader.release(&mut upward);
         }
--- a/crates/config-distribution/src/planner/relay.rs
+++ b/crates/config-distribution/src/planner/relay.rs
@@ -47,8 +47,8 @@
         self.reported.clear();
     }
 
-    /// Reports to the leader the revision of a scope up to which this relay and its planners are ready. Afterwards no planner
-    /// that is behind this revision is granted a lease.
+    /// Reports to the leader the revision of a scope up to which this relay and its planners are ready. Afterwards no
+    /// planner that is behind this revision is granted a lease.
     pub(super) fn report_readiness(&mut self, now: Duration, scope: ScopeId) {
         let held = self.store.position(scope);
         let Some(leader) = &mut self.leader else {
--- a/crates/config-distribution/src/replica/follower.rs
+++ b/crates/config-distribution/src/replica/follower.rs
@@ -5,8 +5,8 @@
 use grebespool_leader_election::MemberId;
 
 impl LogReplica {
-    /// Returns true if a leader's term is the highest one that this machine has seen, and this machine doesn't lead in it. A
-    /// higher term ends this machine's own leadership.
+    /// Returns true if a leader's term is the highest one that this machine has seen, and this machine doesn't lead in
+    /// it. A higher term ends this machine's own leadership.
     fn accept_term(&mut self, term: Term) -> bool {
         if term > self.term {
             self.term = term;
--- a/crates/config-distribution/src/replica/leader.rs
+++ b/crates/config-distribution/src/replica/leader.rs
@@ -160,8 +160,8 @@
         self.outbox.push((other, LogMessage::Append { term, previous, records, committed }));
     }
 
-    /// Commits the records that a quorum has on disk. A record of a former term is committed only together with a record of
-    /// this term.
+    /// Commits the records that a quorum has on disk. A record of a former term is committed only together with a
+    /// record of this term.
     pub(super) fn commit(&mut self, now: Duration) {
         let Some(leadership) = self.leadership.as_ref().filter(|leadership| leadership.is_leading()) else {
             return;
--- a/crates/config-distribution/src/replica/mod.rs
+++ b/crates/config-distribution/src/replica/mod.rs
@@ -1,9 +1,9 @@
-//! The replicated log of the control machines: a record is committed once a quorum has it on disk, in the same order on all
-//! machines.
+//! The replicated log of the control machines: a record is committed once a quorum has it on disk, in the same order on
+//! all machines.
 //!
-//! `grebespool-leader-election` elects the leader, one per term. A new leader asks the other machines for the ends of their
-//! logs and continues with the most advanced log of a quorum. It commits the records before its own first record together
-//! with that record.
+//! `grebespool-leader-election` elects the leader, one per term. A new leader asks the other machines for the ends of
+//! their logs and continues with the most advanced log of a quorum. It commits the records before its own first record
+//! together with that record.
 
 mod follower;
 mod leader;
--- a/crates/config-distribution/src/settings.rs
+++ b/crates/config-distribution/src/settings.rs
@@ -9,8 +9,8 @@
 pub struct Settings {
     /// Longest lease of a planner, counted from when it sent the last renewal that its relay answered.
     pub planner_lease: Duration,
-    /// Longest lease of a relay, counted from when it sent the last renewal that the leader answered. A relay grants leases
-    /// only within its own.
+    /// Longest lease of a relay, counted from when it sent the last renewal that the leader answered. A relay grants
+    /// leases only within its own.
     pub relay_lease: Duration,
     /// Time between two renewals.
     pub renew: Duration,
@@ -128,10 +128,11 @@
         Ok(())
     }
 
-    /// Returns the time after which a lease has certainly expired, measured from its grant by the clock of the granting node.
+    /// Returns the time after which a lease has certainly expired, measured from its grant by the clock of the granting
+    /// node.
     pub fn lease_expiry_wait(&self, lease: Duration) -> Duration {
-        // The drift is added twice: for the holder's clock, and for the clock of a relay, since a planner's lease ends with the
-        // lease of its relay.
+        // The drift is added twice: for the holder's clock, and for the clock of a relay, since a planner's lease ends
+        // with the lease of its relay.
         let add_drift = |lease| grebespool_leader_election::drift_adjusted_wait(lease, self.drift);
         add_drift(add_drift(lease))
     }
--- a/crates/config-distribution/src/store.rs
+++ b/crates/config-distribution/src/store.rs
@@ -74,8 +74,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`ChainError`] if the part doesn't follow the parts before it, the snapshot is not newer than the chain, or
-    /// its state doesn't match its hash.
+    /// Returns a [`ChainError`] if the part doesn't follow the parts before it, the snapshot is not newer than the
+    /// chain, or its state doesn't match its hash.
     pub fn add_part(&mut self, now: Duration, part: SnapshotPart) -> Result<bool, ChainError> {
         let SnapshotPart { scope, position, parent, part: number, parts, bytes } = part;
         let held = self.revision(scope);
--- a/crates/config-distribution/src/subscriber/mod.rs
+++ b/crates/config-distribution/src/subscriber/mod.rs
@@ -1,7 +1,7 @@
 //! The holder's side of sessions: a planner's with its relays, and a relay's with the leader.
 //!
-//! A lease counts from the sending of the renewal that was answered. It covers the scopes whose status was in that renewal or
-//! in one before.
+//! A lease counts from the sending of the renewal that was answered. It covers the scopes whose status was in that
+//! renewal or in one before.
 
 mod uplink;
 
@@ -63,14 +63,14 @@
     held: BTreeMap<ScopeId, HeldScope>,
     term: Term,
     return_check_at: Duration,
-    /// Time at which the next session may begin. Without a pause between sessions, all relays would ask all control machines in
-    /// quick succession while no machine leads.
+    /// Time at which the next session may begin. Without a pause between sessions, all relays would ask all control
+    /// machines in quick succession while no machine leads.
     begin_at: Duration,
 }
 
 impl Subscriber {
-    /// Returns a subscriber without a session. `start` is the number of starts of the node; `sessions` is the number of sessions
-    /// that the node has begun since the last start.
+    /// Returns a subscriber without a session. `start` is the number of starts of the node; `sessions` is the number of
+    /// sessions that the node has begun since the last start.
     pub fn new(policy: SessionPolicy, start: u32, sessions: u32, candidates: Vec<MemberId>) -> Subscriber {
         Subscriber {
             policy,
@@ -158,8 +158,8 @@
         silent.into_iter().for_each(|server| self.avoid(now, server));
     }
 
-    /// Ends the session with the least preferred node if a more preferred one may be back. This is checked at intervals, and only
-    /// while the lease of another session runs.
+    /// Ends the session with the least preferred node if a more preferred one may be back. This is checked at
+    /// intervals, and only while the lease of another session runs.
     fn return_to_preferred(&mut self, now: Duration, out: &mut Outgoing) {
         if now < self.return_check_at || self.uplinks.len() < 2 {
             return;
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Returns the most preferred node that has no session and is not avoided. If all nodes without a session are avoided,
-    /// returns the most preferred of these.
+    /// Returns the most preferred node that has no session and is not avoided. If all nodes without a session are
+    /// avoided, returns the most preferred of these.
     fn next_candidate(&self, now: Duration) -> Option<MemberId> {
         let has_session =
             |candidate: &MemberId| self.uplinks.iter().any(|uplink| uplink.server() == *candidate);
@@ -204,8 +204,8 @@
         self.uplinks.push(Uplink::new(now, server, session));
     }
 
-    /// Returns the pause before the next session. The pause differs by node and session, so that nodes don't begin sessions at
-    /// the same time.
+    /// Returns the pause before the next session. The pause differs by node and session, so that nodes don't begin
+    /// sessions at the same time.
     fn begin_pause(&self, server: MemberId) -> Duration {
         // The pause is derived from a hash: these values and their order must not change.
         let seed = postcard::to_stdvec(&(server, self.sessions, self.start)).unwrap_or_default();
--- a/crates/config-distribution/src/subscriber/uplink.rs
+++ b/crates/config-distribution/src/subscriber/uplink.rs
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Handles the answer to a renewal. The lease covers the scopes that the renewal reported with a revision above zero: for
-    /// other scopes, the distributor doesn't count this node among those that may apply them.
+    /// Handles the answer to a renewal. The lease covers the scopes that the renewal reported with a revision above
+    /// zero: for other scopes, the distributor doesn't count this node among those that may apply them.
     pub(super) fn granted(
         &mut self,
         now: Duration,
--- a/crates/config-distribution/tests/fixtures.rs
+++ b/crates/config-distribution/tests/fixtures.rs
@@ -1,6 +1,7 @@
-//! What is stored and what is on the wire, byte for byte: each line of a fixture is a name and the hex of its bytes.
+//! Byte-for-byte tests of the stored formats and the wire format. Each line of a fixture is a name and the hex form of
+//! the encoded value.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a panic fails the test")]
 
 use grebespool_config_consensus::{Change, Limit, ServerState};
 use grebespool_config_distribution::*;
@@ -19,7 +20,8 @@
     (0..text.len()).step_by(2).map(|at| u8::from_str_radix(&text[at..at + 2], 16).unwrap()).collect()
 }
 
-/// Each value encodes to the bytes of its line, and these decode to it; no line is left over.
+/// Asserts that each value encodes to the bytes of its line, that these bytes decode to the value, and that the fixture
+/// has no further line.
 fn assert_postcard_fixture<T>(fixture: &str, values: &[(&str, T)])
 where
     T: Serialize + DeserializeOwned + Debug + PartialEq,
@@ -44,7 +46,7 @@
     ]
 }
 
-/// Prepared, activated, and prepared again.
+/// Returns a chain that prepares a version, activates it and prepares another, and its links.
 fn chain() -> (ScopeChain, Vec<Link>) {
     let (mut chain, mut links) = (ScopeChain::new(SCOPE), vec![]);
     for step in [Step::Prepare(changes()), Step::Activate, Step::Prepare(changes()[..1].to_vec())] {
@@ -72,7 +74,7 @@
     Proposal { proposer: 11, number: 1 << 40, scope: SCOPE, changes: changes() }
 }
 
-/// Every kind of entry of the log.
+/// Returns one record for each kind of log entry.
 fn records() -> Vec<LogRecord> {
     let link = chain().1[0].clone();
     let entries = [
@@ -182,7 +184,7 @@
 }
 
 #[rstest]
-fn digests_stand_for_the_same_content() {
+fn digests_keep_their_bytes() {
     let position = chain().0.position();
     let digests =
         [("nothing", Digest::of(&())), ("changes", Digest::of(&changes())), ("chain", position.hash)];
--- a/crates/config-distribution/tests/schedules/faults.rs
+++ b/crates/config-distribution/tests/schedules/faults.rs
@@ -1,4 +1,4 @@
-//! The guarantees, one by one and under random schedules.
+//! Tests of the guarantees, first under single faults and then under random schedules.
 
 use crate::fleet::*;
 use grebespool_config_distribution::*;
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Few where checks are slow; `cargo test --release` plays more.
+/// Number of random schedules; small in debug builds, which are slow, and larger with `cargo test --release`.
 const SEEDS: u64 = if cfg!(debug_assertions) { 8 } else { 1000 };
 
 #[rstest]
@@ -19,7 +19,7 @@
     let from = fleet.now;
     while fleet.active_version(ScopeId(0)) != Some(2) {
         fleet.run(MS(5));
-        // Ten messages of at most 20 ms each, and a few writes.
+        // A change takes ten messages of at most 20 ms each, and a few writes.
         assert!(fleet.now - from < MS(350), "{}", fleet.describe());
     }
     fleet.run(MS(200));
@@ -27,7 +27,7 @@
     assert_eq!(fleet.violations, Vec::<String>::new());
 }
 
-/// Whichever node is lost, a change waits no longer than the leases that it can have.
+/// A change that waits for a lost node must not wait for longer than the leases that this node may have.
 #[rstest]
 #[case::planner_crashed(|f: &mut TestFleet| { let id = f.leaves()[0]; f.crash(id) }, 1300)]
 #[case::planner_suspended(|f: &mut TestFleet| { let id = f.leaves()[0]; f.set_suspended(id, true) }, 1300)]
@@ -43,7 +43,7 @@
     for seed in 0..3 {
         let mut fleet = TestFleet::settled(5, 3, 24, seed, DisabledGuard::None);
         fault(&mut fleet);
-        // Of a service, which all zones have.
+        // The scope is of a service, which planners of all zones subscribe to.
         let proposal = fleet.propose(ScopeId(100), draw_limit(60.0));
         let from = fleet.now;
         while !fleet.answered.contains_key(&proposal) {
@@ -62,14 +62,15 @@
     }
 }
 
-/// A planned restart gives its lease back, so nobody waits; who was away has what it missed from links.
+/// A planner that stops as planned releases its lease, so changes don't wait for the lease to expire. After its start,
+/// the planner receives the missed links.
 #[rstest]
-fn waits_for_nobody_during_a_planned_restart() {
+fn does_not_wait_for_a_planner_during_its_planned_restart() {
     let mut fleet = TestFleet::settled(3, 2, 16, 4, DisabledGuard::None);
     let id = fleet.planners()[3];
     fleet.shut_down(id);
-    for most in [90.0, 80.0, 70.0] {
-        fleet.propose(ScopeId(1), draw_limit(most));
+    for watts in [90.0, 80.0, 70.0] {
+        fleet.propose(ScopeId(1), draw_limit(watts));
         fleet.run(MS(400));
     }
     fleet.start(id);
@@ -101,13 +102,17 @@
         fleet.propose(scope, draw_limit(f64::from(seed as u32) + 0.5));
         fleet.run(S(2));
         let before = active.and_then(|active| active.get(&scope).copied());
-        assert!(fleet.active_version(scope) > before, "seed {seed}: nothing follows\n{}", fleet.describe());
+        assert!(
+            fleet.active_version(scope) > before,
+            "seed {seed}: no further change became active\n{}",
+            fleet.describe()
+        );
         assert!(fleet.violations.is_empty(), "seed {seed}: {:?}", fleet.violations.first());
     }
 }
 
-/// A planner sends and receives nothing while a change is made: it applies the former version until its lease ends.
-fn deaf_planner(fleet: &mut TestFleet) {
+/// A planner receives no messages while changes are made: it applies the former version until its lease ends.
+fn planner_cannot_receive(fleet: &mut TestFleet) {
     let id = fleet.leaves()[0];
     fleet.cut_off(id, false, true);
     fleet.propose(ScopeId(100), draw_limit(60.0));
@@ -115,7 +120,7 @@
     fleet.run(S(2));
 }
 
-/// Links get lost while changes follow each other.
+/// Links are lost while one change follows another.
 fn lost_links(fleet: &mut TestFleet) {
     fleet.loss = 0.3;
     for k in 0..12 {
@@ -124,7 +129,7 @@
     }
 }
 
-/// Planners are suspended while changes are made, and resume: answers to old renewals are in their sockets.
+/// Planners are suspended while changes are made, and then resume with answers to old renewals in their sockets.
 fn suspended_planners(fleet: &mut TestFleet) {
     for id in fleet.leaves() {
         fleet.set_suspended(id, true);
@@ -136,7 +141,7 @@
     }
 }
 
-/// The leader reaches the relays of one zone and nobody else; another is elected.
+/// The leader can reach only the planners of one zone, so another leader is elected.
 fn cut_off_leader(fleet: &mut TestFleet) {
     let (leader, _) = fleet.leader.unwrap();
     fleet.cut_from_all_but(leader, &[1]);
@@ -146,27 +151,31 @@
     }
 }
 
-/// What the guards are for: with one disabled, planners apply versions that contradict each other, or hold two histories;
-/// with it, the same schedule is harmless.
+/// Checks that the invariants detect a disabled guard: without it, planners apply versions that contradict each other,
+/// or have two histories. With the guard, the same schedule violates no invariant.
 #[rstest]
-#[case::a_relay_answers_for_a_planner_that_is_dead(DisabledGuard::ReadinessWait, deaf_planner)]
-#[case::a_link_is_applied_over_a_gap(DisabledGuard::ChainCheck, lost_links)]
-#[case::a_lease_counts_from_the_answer(DisabledGuard::LeaseFromSending, suspended_planners)]
-#[case::a_leader_grants_past_its_time(DisabledGuard::Authority, cut_off_leader)]
-fn finds_a_disabled_guard(#[case] disabled: DisabledGuard, #[case] schedule: fn(&mut TestFleet)) {
+#[case::relay_reports_planners_as_ready_without_waiting(DisabledGuard::ReadinessWait, planner_cannot_receive)]
+#[case::link_is_applied_over_a_gap(DisabledGuard::ChainCheck, lost_links)]
+#[case::lease_counts_from_the_answer(DisabledGuard::LeaseFromSending, suspended_planners)]
+#[case::leader_grants_leases_after_its_own_expired(DisabledGuard::Authority, cut_off_leader)]
+fn detects_violations_with_a_disabled_guard(
+    #[case] disabled: DisabledGuard,
+    #[case] schedule: fn(&mut TestFleet),
+) {
     let violations_of = |seed: u64, disabled: DisabledGuard| {
         let mut fleet = TestFleet::settled(3, 3, 18, seed, disabled);
         schedule(&mut fleet);
         fleet.violations
     };
     let found = (0..40).any(|seed| !violations_of(seed, disabled).is_empty());
-    assert!(found, "the fault is not found");
+    assert!(found, "no violation was detected");
     for seed in 0..4 {
         assert_eq!(violations_of(seed, DisabledGuard::None), Vec::<String>::new());
     }
 }
 
-/// A region's return does not ask for more than budgets allow, and comes to the newest versions.
+/// A zone that was cut off is updated to the newest versions within the budgets: by links after a few changes, or by a
+/// snapshot after many.
 #[rstest]
 fn updates_a_zone_that_was_cut_off_from_links_or_a_snapshot() {
     for changes in [5, 100] {
--- a/crates/config-distribution/tests/schedules/fleet/faults.rs
+++ b/crates/config-distribution/tests/schedules/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Random changes and faults.
+//! Faults and random changes of the simulated fleet.
 
 use super::{FIRST_PLANNER, Id, MS, TestFleet};
 use grebespool_config_consensus::{Change, Limit, ServerState};
@@ -7,6 +7,7 @@
 use std::collections::BTreeSet;
 
 impl TestFleet {
+    /// Stops a node without notice.
     pub fn crash(&mut self, id: Id) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.machine = None;
@@ -15,7 +16,7 @@
         self.end_leadership_of(id);
     }
 
-    /// Stops a node as planned, with its leases given back.
+    /// Stops a node as planned, after it has released its leases.
     pub fn shut_down(&mut self, id: Id) {
         self.call(id, |machine, _| machine.shut_down());
         self.crash(id);
@@ -30,13 +31,14 @@
         self.start(id);
     }
 
+    /// Suspends or resumes the process of a node.
     pub fn set_suspended(&mut self, id: Id, suspended: bool) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.suspended = suspended;
         }
     }
 
-    /// Ends all faults, and starts the nodes that are down.
+    /// Ends all faults and starts the nodes that are down.
     pub fn heal(&mut self) {
         self.reset_network();
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
@@ -76,19 +78,21 @@
         self.set_disk_full(id, full);
     }
 
+    /// Copies a planner's disk, as the older copy that a later fault may restore.
     fn copy_disk(&mut self, id: Id) {
         if let Some(node) = self.nodes.get_mut(&id) {
             node.older_chains = node.chains.values().cloned().collect();
         }
     }
 
+    /// Crashes or suspends the leader.
     fn lose_leader(&mut self) {
         if let Some((leader, _)) = self.leader {
             if self.rng.random() { self.crash(leader) } else { self.set_suspended(leader, true) }
         }
     }
 
-    /// A fault, or the end of one.
+    /// Causes a random fault, or ends one.
     pub fn random_fault(&mut self) {
         let ids: Vec<Id> = self.nodes.keys().copied().collect();
         let id = ids[self.rng.random_range(0..ids.len())];
--- a/crates/config-distribution/tests/schedules/fleet/figures.rs
+++ b/crates/config-distribution/tests/schedules/fleet/figures.rs
@@ -1,26 +1,26 @@
-//! Bytes that nodes send.
+//! Counts of the bytes that nodes send.
 
 use super::{FIRST_PLANNER, Id, TestFleet};
 use grebespool_config_distribution::Message;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The length and the authentication code of a frame.
+/// Size of a frame beyond its body, in bytes: length and authentication code.
 const FRAME_BYTES: u64 = 20;
 
-/// Bytes per second that were sent.
+/// Sent bytes per second.
 pub struct SentBytes {
-    /// By a planner in the mean.
+    /// Mean over all planners.
     pub planner: f64,
-    /// By the busiest planner.
+    /// Value of the busiest planner.
     pub busiest_planner: f64,
-    /// By the busiest control machine, the leader.
+    /// Value of the busiest control machine, which is the leader.
     pub leader: f64,
 }
 
 impl TestFleet {
-    /// Counts bytes from now on.
-    pub fn count_bytes(&mut self) {
+    /// Starts to count bytes.
+    pub fn start_counting_bytes(&mut self) {
         self.sent_bytes = Some(BTreeMap::new());
     }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// What was sent over a span; counting ends.
+    /// Stops counting, and returns the rates over this span.
     pub fn take_sent_bytes(&mut self, span: Duration) -> SentBytes {
         let sent = self.sent_bytes.take().unwrap_or_default();
         let rate = |bytes: u64| bytes as f64 / span.as_secs_f64();
--- a/crates/config-distribution/tests/schedules/fleet/invariants.rs
+++ b/crates/config-distribution/tests/schedules/fleet/invariants.rs
@@ -1,10 +1,10 @@
-//! What must hold at every moment.
+//! Invariants that are checked after each call of a planner.
 
 use super::{Id, TestFleet};
 use grebespool_config_distribution::*;
 use std::collections::BTreeSet;
 
-/// A scope that advanced at a node, with the contents of its versions.
+/// A scope that has advanced at a node, with the digests of its versions by number.
 struct AdvancedScope {
     scope: ScopeId,
     revision: Revision,
@@ -12,7 +12,8 @@
 }
 
 impl TestFleet {
-    /// After each call of a planner: it does not go back, a version number has one content, and what it applies is common.
+    /// Checks after a call of a planner that its scopes don't go back, that a version number has only one content, and
+    /// that the planners that apply a scope have a version in common.
     pub(super) fn check_node(&mut self, id: Id) {
         let Some(node) = self.nodes.get(&id) else { return };
         let Some(planner) = node.planner() else { return };
@@ -25,9 +26,9 @@
             }
             let active = planner.active_versions(clock, *scope);
             let until = planner.leased_until(*scope);
-            // One whose lease ended in between is checked again, though it applies the same as before.
+            // A planner whose lease ended in between is checked again, although it applies the same versions as before.
             let before = self.applied.insert((id, *scope), (active, until));
-            if before.is_none_or(|(was, lasted)| was != active || clock >= lasted) {
+            if before.is_none_or(|(versions, lease_end)| versions != active || clock >= lease_end) {
                 changed.push(*scope);
             }
         }
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Of all planners that apply a scope, some version is among those that each of them applies.
+    /// Checks that all planners that apply a scope have at least one version in common.
     fn check_common_version(&mut self, scope: ScopeId) {
         let mut common: Option<BTreeSet<u64>> = None;
         let mut applying = vec![];
--- a/crates/config-distribution/tests/schedules/fleet/mod.rs
+++ b/crates/config-distribution/tests/schedules/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! Control machines and planners under a simulated network, disks and clocks that fail. The fleet decides who leads, as
-//! `grebespool-leader-election` would: one machine at a time, with terms that rise.
+//! A fleet of control machines and planners with a simulated network, disks and clocks, all of which can fail. The
+//! fleet elects the leader in place of `grebespool-leader-election`: one machine at a time, with increasing terms.
 
 mod faults;
 mod figures;
@@ -23,24 +23,25 @@
 pub const S: fn(u64) -> Duration = Duration::from_secs;
 pub const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Planners' ids begin here; control machines are before it.
+/// First id of a planner; the ids of control machines are below it.
 const FIRST_PLANNER: Id = 1000;
 const SERVICES: u32 = 4;
-/// Scopes of services begin here; those of zones are before it.
+/// First scope of a service; the scopes of zones are below it.
 const FIRST_SERVICE: u32 = 100;
+/// Time between two checks of the leader's lease and of unanswered proposals.
 const STEP: Duration = Duration::from_millis(10);
 
-/// A guard that is disabled, to see that the invariants miss it.
+/// A guard that is disabled, to check that the invariants detect its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DisabledGuard {
     None,
     /// A relay reports its planners as ready without waiting for them.
     ReadinessWait,
-    /// A link is made to fit whatever is held.
+    /// A link over a gap is altered to fit the receiver's chain.
     ChainCheck,
-    /// Leases count from the answer instead of the sending of the renewal.
+    /// A lease counts from the last renewal that was sent instead of the one that is answered.
     LeaseFromSending,
-    /// A leader whose lease is over goes on granting leases.
+    /// A leader continues to grant leases after its own lease has ended.
     Authority,
 }
 
@@ -50,36 +51,36 @@
     pub rng: Pcg64Mcg,
     pub settings: Settings,
     disabled: DisabledGuard,
-    // The network.
+    // Network.
     events: BTreeMap<(Duration, u64), Event>,
     scheduled: u64,
     pub loss: f64,
     pub duplication: f64,
     pub max_delay: Duration,
     cut: BTreeSet<(Id, Id)>,
-    /// The newest renewal that each sent to each.
+    /// Number of the last renewal that each node sent to each other node.
     renewals: BTreeMap<(Id, Id), u64>,
-    // The election.
+    // Election.
     pub leader: Option<(Id, Term)>,
-    leads_until: Duration,
+    leader_lease_end: Duration,
     terms: Term,
     // Proposals.
     proposals: u64,
     propose_at: Duration,
     pub open: BTreeMap<u64, OpenProposal>,
-    /// Why each answered proposal was rejected, where it was.
+    /// Each answered proposal, with the reason if it was rejected.
     pub answered: BTreeMap<u64, Option<String>>,
-    /// How long each answered proposal took, in the order of the answers.
-    pub took: Vec<Duration>,
-    // What the invariants have seen.
-    /// The content of each version of a scope that was ever held.
+    /// Time from each proposal to its answer, in the order of the answers.
+    pub answer_durations: Vec<Duration>,
+    // State of the invariants.
+    /// Content of each version of a scope that any node has ever had.
     contents: BTreeMap<(ScopeId, u64), Digest>,
-    /// The highest revision of a scope that each node held since its start.
+    /// Highest revision of a scope that each node has had since each of its starts.
     highest: BTreeMap<(Id, u32, ScopeId), Revision>,
-    /// What each applied when it was last looked at, and until when without another grant, by its own clock.
+    /// The versions that each node applied at the last check, and the end of its lease by its own clock.
     applied: BTreeMap<(Id, ScopeId), (ActiveVersions, Duration)>,
     pub violations: Vec<String>,
-    /// Bytes that each has sent, where they are counted.
+    /// Bytes that each node has sent, while bytes are counted.
     sent_bytes: Option<BTreeMap<Id, u64>>,
 }
 
@@ -105,13 +106,13 @@
         TestFleet::with_settings(control, zones, planners, seed, disabled, settings)
     }
 
-    /// With the fan-out that is meant for service, and a first version of each scope that is active everywhere.
+    /// Returns a fleet with the default settings, in which a first version of each scope is active on all planners.
     pub fn sized(control: usize, zones: u32, planners: usize, seed: u64) -> TestFleet {
         TestFleet::with_settings(control, zones, planners, seed, DisabledGuard::None, Settings::default())
             .with_first_versions(zones)
     }
 
-    /// With a first version of each scope that is active everywhere.
+    /// Returns a fleet with a small fan-out, in which a first version of each scope is active on all planners.
     pub fn settled(
         control: usize,
         zones: u32,
@@ -161,13 +162,13 @@
             cut: BTreeSet::new(),
             renewals: BTreeMap::new(),
             leader: None,
-            leads_until: Duration::ZERO,
+            leader_lease_end: Duration::ZERO,
             terms: 0,
             proposals: 0,
             propose_at: Duration::ZERO,
             open: BTreeMap::new(),
             answered: BTreeMap::new(),
-            took: vec![],
+            answer_durations: vec![],
             contents: BTreeMap::new(),
             highest: BTreeMap::new(),
             applied: BTreeMap::new(),
@@ -204,7 +205,7 @@
         self.planners().into_iter().filter(|id| self.nodes[id].zone == zone).collect()
     }
 
-    /// Planners that answer for others, the busiest first.
+    /// Returns the planners that serve others as relays, the busiest first.
     pub fn relays(&self) -> Vec<Id> {
         let planners = self.planners().into_iter();
         let mut relays: Vec<(usize, Id)> =
@@ -214,12 +215,12 @@
         relays.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The busiest relay of a zone.
+    /// Returns the busiest relay of a zone.
     pub fn relay_of(&self, zone: u32) -> Option<Id> {
         self.relays().into_iter().find(|id| self.nodes[id].zone == zone)
     }
 
-    /// Planners that answer for nobody and are no relays.
+    /// Returns the planners that are not regular relays and don't serve others either.
     pub fn leaves(&self) -> Vec<Id> {
         let relays = self.relays();
         let is_leaf = |id: &Id| {
@@ -247,16 +248,16 @@
         self.call(id, |_, _| ());
     }
 
-    /// Calls a node that runs, and carries out what it asks for.
+    /// Calls a node that is running, and carries out the writes, messages and timers that it requests.
     fn call<T>(&mut self, id: Id, call: impl FnOnce(&mut Machine, Duration) -> T) -> Option<T> {
         let (now, authority) = (self.now, self.authority(id));
-        // With that guard disabled, a former leader is never told that it is one no more.
-        let told = self.disabled != DisabledGuard::Authority || authority.term.is_some();
+        // With this guard disabled, a former leader is never notified that it has lost its leadership.
+        let is_notified = self.disabled != DisabledGuard::Authority || authority.term.is_some();
         let node = self.nodes.get_mut(&id)?;
         let clock = node.clock(now);
         let machine = node.machine.as_mut()?;
         if let Machine::Control(control) = machine
-            && told
+            && is_notified
         {
             control.set_authority(clock, authority);
         }
@@ -290,7 +291,7 @@
         }
     }
 
-    /// The version that all planners apply alone, of each scope; none where one does not.
+    /// Returns the version of each scope that all planners apply alone; `None` if any planner of any scope doesn't.
     pub fn active_everywhere(&self) -> Option<BTreeMap<ScopeId, u64>> {
         let mut active: BTreeMap<ScopeId, u64> = BTreeMap::new();
         for node in self.nodes.values() {
@@ -305,12 +306,12 @@
         Some(active)
     }
 
-    /// The version of a scope that all planners apply alone.
+    /// Returns the version of a scope that all planners apply alone, if that holds for all scopes.
     pub fn active_version(&self, scope: ScopeId) -> Option<u64> {
         self.active_everywhere()?.get(&scope).copied()
     }
 
-    /// The state of all nodes, for the message of a test that fails.
+    /// Describes the state of all nodes, for assertion messages.
     pub fn describe(&self) -> String {
         let mut text = format!("leader {:?}\n", self.leader);
         for (id, node) in &self.nodes {
--- a/crates/config-distribution/tests/schedules/fleet/network.rs
+++ b/crates/config-distribution/tests/schedules/fleet/network.rs
@@ -1,12 +1,13 @@
-//! Messages, writes and timers on their way.
+//! The simulated network and disks: messages, writes and timers that are scheduled as events.
 
 use super::{DisabledGuard, Id, MS, TestFleet};
 use grebespool_config_distribution::*;
 use rand::Rng;
 use std::time::Duration;
 
+/// Duration of a write to disk.
 const WRITE_TIME: Duration = Duration::from_millis(3);
-/// What is for a suspended process is tried again after so long.
+/// Time after which an event of a suspended process is tried again.
 const SUSPENDED_RETRY: Duration = Duration::from_millis(50);
 
 pub enum Event {
@@ -52,8 +53,8 @@
         }
     }
 
-    /// The message as the disabled guard would have it.
-    fn altered(&self, to: Id, from: Id, message: Message) -> Message {
+    /// Returns a message as altered by the disabled guard.
+    fn alter_for_disabled_guard(&self, to: Id, from: Id, message: Message) -> Message {
         match (self.disabled, message) {
             (
                 DisabledGuard::LeaseFromSending,
@@ -63,15 +64,15 @@
                 Message::Downward(Downward::Granted { session, term, count, lease })
             }
             (DisabledGuard::ChainCheck, Message::Downward(Downward::Links { links })) => {
-                let links = links.into_iter().map(|link| self.fitted(to, link)).collect();
+                let links = links.into_iter().map(|link| self.close_gap(to, link)).collect();
                 Message::Downward(Downward::Links { links })
             }
             (_, message) => message,
         }
     }
 
-    /// A link over a gap, made to fit what the receiver holds.
-    fn fitted(&self, to: Id, link: Link) -> Link {
+    /// Returns a link that fits the receiver's chain, if the given one would leave a gap; otherwise the given one.
+    fn close_gap(&self, to: Id, link: Link) -> Link {
         let chain = self.nodes.get(&to).and_then(|node| node.planner()?.chain(link.scope));
         let over_gap = chain.filter(|chain| link.revision > chain.revision() + 1);
         over_gap.and_then(|chain| chain.next(link.step.clone()).ok()).unwrap_or(link)
@@ -81,16 +82,16 @@
         match event {
             Event::Message { message: Message::Proposed { number, refused }, .. } => {
                 if let Some(open) = self.open.remove(&number) {
-                    self.took.push(self.now - open.since);
+                    self.answer_durations.push(self.now - open.since);
                     self.answered.insert(number, refused);
                 }
             }
             Event::Message { to, from, message } => {
                 if self.nodes.get(&to).is_some_and(|node| node.suspended) {
-                    // It waits in the socket's buffer.
+                    // The message waits in the socket's buffer.
                     return self.schedule(self.now + SUSPENDED_RETRY, Event::Message { to, from, message });
                 }
-                let message = self.altered(to, from, message);
+                let message = self.alter_for_disabled_guard(to, from, message);
                 self.call(to, |machine, now| machine.message_received(now, from, message));
             }
             Event::Written { node, start, write } => self.written(node, start, write),
@@ -126,7 +127,7 @@
         self.is_up(a) && self.is_up(b) && !self.cut.contains(&(a, b)) && !self.cut.contains(&(b, a))
     }
 
-    /// Cuts the links from a node to others (`outgoing`), and from others to it (`incoming`).
+    /// Cuts the connections from a node to all others (`outgoing`), from all others to the node (`incoming`), or both.
     pub fn cut_off(&mut self, id: Id, outgoing: bool, incoming: bool) {
         for other in self.nodes.keys().copied().filter(|other| *other != id) {
             self.cut.extend(outgoing.then_some((id, other)));
@@ -141,13 +142,13 @@
 
     /// Cuts a control machine off from all but the planners of some zones.
     pub fn cut_from_all_but(&mut self, id: Id, zones: &[u32]) {
-        let kept: Vec<Id> = zones.iter().flat_map(|zone| self.planners_of(*zone)).collect();
+        let reachable: Vec<Id> = zones.iter().flat_map(|zone| self.planners_of(*zone)).collect();
         let others: Vec<Id> =
-            self.nodes.keys().copied().filter(|other| *other != id && !kept.contains(other)).collect();
+            self.nodes.keys().copied().filter(|other| *other != id && !reachable.contains(other)).collect();
         others.into_iter().for_each(|other| self.cut_both_ways(id, other));
     }
 
-    /// Cuts the planners of a zone off from everybody outside it.
+    /// Cuts the planners of a zone off from all nodes outside the zone.
     pub fn cut_zone(&mut self, zone: u32) {
         let inside = self.planners_of(zone);
         let outside: Vec<Id> = self.nodes.keys().copied().filter(|id| !inside.contains(id)).collect();
--- a/crates/config-distribution/tests/schedules/fleet/node.rs
+++ b/crates/config-distribution/tests/schedules/fleet/node.rs
@@ -1,4 +1,4 @@
-//! A node with its disk and its clock.
+//! A simulated node with its disk and its clock.
 
 use super::{Id, MS};
 use grebespool_config_distribution::*;
@@ -38,7 +38,7 @@
     }
 }
 
-/// What a node asked for during a call.
+/// The messages, writes and timer that a node requested during a call.
 pub struct Requests {
     pub messages: Vec<(Id, Message)>,
     pub writes: Vec<LogWrite>,
@@ -49,11 +49,12 @@
     pub machine: Option<Machine>,
     /// The log of a control machine.
     pub log: StoredLog,
-    /// The chains of a planner, and as they were some time ago.
+    /// The chains on a planner's disk.
     pub chains: BTreeMap<ScopeId, ScopeChain>,
+    /// An older copy of these chains.
     pub older_chains: Vec<ScopeChain>,
     pub starts: u32,
-    /// The process is stopped: timers do not fire and messages wait.
+    /// True if the process is suspended: its timers don't fire and its messages wait.
     pub suspended: bool,
     pub disk_full: bool,
     pub stalled_writes: Vec<LogWrite>,
@@ -85,10 +86,12 @@
         }
     }
 
+    /// Returns the time that the node's clock shows.
     pub fn clock(&self, now: Duration) -> Duration {
         self.clock_offset + now.saturating_sub(self.clock_start).mul_f64(self.clock_rate)
     }
 
+    /// Returns the simulated time at which the node's clock shows this time.
     fn real_time(&self, clock: Duration) -> Duration {
         self.clock_start + clock.saturating_sub(self.clock_offset).div_f64(self.clock_rate)
     }
@@ -107,7 +110,7 @@
         self.stalled_writes.clear();
     }
 
-    /// Takes what the machine asks for, and stores the chains of a planner.
+    /// Takes the requests of the machine, and stores the changed chains of a planner.
     pub fn take_requests(&mut self) -> Requests {
         match self.machine.as_mut().unwrap() {
             Machine::Control(control) => Requests {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Sets the timer to a time of the node's clock. Returns when it fires, where that has changed.
+    /// Sets the timer to a time of the node's clock. Returns the time at which the timer fires, if that has changed.
     pub fn set_timer(&mut self, now: Duration, clock: Duration) -> Option<Duration> {
         let at = if clock == Duration::MAX { clock } else { self.real_time(clock).max(now + MS(1)) };
         let changed = at != self.timer_at && at != Duration::MAX;
--- a/crates/config-distribution/tests/schedules/fleet/proposals.rs
+++ b/crates/config-distribution/tests/schedules/fleet/proposals.rs
@@ -1,4 +1,4 @@
-//! The proposer: an operator's tool beside the first control machine.
+//! The simulated proposer, such as an operator's tool, which has the id of the first control machine.
 
 use super::network::Event;
 use super::{Id, MS, TestFleet};
@@ -7,7 +7,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A proposal that was not answered, and when it was made.
+/// A proposal without an answer, and the time at which it was made.
 #[derive(Debug)]
 pub struct OpenProposal {
     pub since: Duration,
@@ -23,7 +23,7 @@
         self.proposals
     }
 
-    /// Retransmits what is not answered.
+    /// Retransmits the proposals that are not answered.
     pub(super) fn retransmit_proposals(&mut self) {
         if self.now < self.propose_at {
             return;
--- a/crates/config-distribution/tests/schedules/main.rs
+++ b/crates/config-distribution/tests/schedules/main.rs
@@ -1,6 +1,7 @@
-//! What must hold whatever happens to control machines, relays and planners, and that they continue once faults end.
+//! Tests that control machines, relays and planners keep their invariants under any fault, and make progress again once
+//! the faults end.
 
-#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
+#![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod faults;
 mod fleet;
--- a/crates/config-distribution/tests/schedules/size.rs
+++ b/crates/config-distribution/tests/schedules/size.rs
@@ -1,6 +1,8 @@
-//! Many planners, delays as between regions, and the plan's restarts in proportion: how long a change takes, and what a
-//! planner spends. `cargo test --release -p grebespool-config-distribution size -- --nocapture` prints the figures;
-//! `DISTRIBUTION_PLANNERS=4000` before it has another size.
+//! Tests at size: many planners, delays as between regions, and restarts in proportion to the capacity plan. They
+//! measure the duration of a change and the bytes that a planner sends.
+//!
+//! `cargo test --release -p grebespool-config-distribution size -- --nocapture` prints the figures; with
+//! `DISTRIBUTION_PLANNERS=4000` before the command, the fleet has 4000 planners.
 
 use crate::fleet::*;
 use grebespool_config_distribution::ScopeId;
@@ -8,26 +10,34 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// Names how many planners there are; a zone has about as many as in the plan.
-const SIZE: &str = "DISTRIBUTION_PLANNERS";
-const USUAL: usize = if cfg!(debug_assertions) { 120 } else { 1300 };
+/// Environment variable with the number of planners.
+const PLANNERS_VARIABLE: &str = "DISTRIBUTION_PLANNERS";
+/// Number of planners if the variable is not set.
+const DEFAULT_PLANNERS: usize = if cfg!(debug_assertions) { 120 } else { 1300 };
+/// Planners of a zone; 88 is about the number in the capacity plan.
 const PLANNERS_PER_ZONE: usize = if cfg!(debug_assertions) { 40 } else { 88 };
+/// Number of control machines.
 const CONTROL: usize = 15;
 fn planners() -> usize {
-    std::env::var(SIZE).map_or(USUAL, |size| size.parse().expect("a number of planners"))
+    std::env::var(PLANNERS_VARIABLE)
+        .map_or(DEFAULT_PLANNERS, |size| size.parse().expect("a number of planners"))
 }
 
 fn zones() -> u32 {
     planners().div_ceil(PLANNERS_PER_ZONE) as u32
 }
 
-/// Of the plan's fleet: a restart in 7.9 s and a change in 5.4 s, at 13,000 planners.
-const PLANNED: f64 = 13_000.0;
-const RESTART_EVERY: f64 = 7.9;
-const CHANGE_EVERY: f64 = 5.4;
-/// How often a restart is one that nobody planned: 110 failures for 11,000 restarts.
-const FAILURES: f64 = 0.01;
-const DOWN: Duration = Duration::from_secs(2);
+/// Number of planners in the capacity plan.
+const PLANNED_PLANNERS: f64 = 13_000.0;
+/// Time between two restarts in the capacity plan's fleet, in seconds.
+const RESTART_INTERVAL_S: f64 = 7.9;
+/// Time between two changes in the capacity plan's fleet, in seconds.
+const CHANGE_INTERVAL_S: f64 = 5.4;
+/// Fraction of restarts that are unplanned: 110 failures for 11,000 restarts.
+const FAILURE_FRACTION: f64 = 0.01;
+/// Time for which a restarted planner is down.
+const DOWNTIME: Duration = Duration::from_secs(2);
+/// Time between two checks of which restarts and changes are due.
 const STEP: Duration = Duration::from_millis(100);
 
 #[rstest]
@@ -38,7 +48,7 @@
     let mut fleet = TestFleet::sized(CONTROL, zones(), planners(), 3);
     fleet.max_delay = MS(150);
     fleet.run(S(10));
-    let part = planners() as f64 / PLANNED;
+    let fleet_fraction = planners() as f64 / PLANNED_PLANNERS;
     let began = fleet.now;
     let first = fleet.answered.len() + fleet.open.len();
     let (mut restarted, mut changed) = (0.0, 0.0);
@@ -49,22 +59,22 @@
             fleet.propose(scope, draw_limit(f64::from(k) + 0.25));
         }
     }
-    fleet.count_bytes();
+    fleet.start_counting_bytes();
     while fleet.now < began + S(seconds) {
-        let passed = (fleet.now - began).as_secs_f64();
-        // At least some happen in a small fleet too.
-        while restarted < passed / RESTART_EVERY * (restarts * part).max(0.5) {
+        let elapsed = (fleet.now - began).as_secs_f64();
+        // The lower bound makes restarts happen in a small fleet too.
+        while restarted < elapsed / RESTART_INTERVAL_S * (restarts * fleet_fraction).max(0.5) {
             restarted += 1.0;
             let planners = fleet.planners();
             let id = planners[fleet.rng.random_range(0..planners.len())];
-            if fleet.rng.random_bool(FAILURES) {
+            if fleet.rng.random_bool(FAILURE_FRACTION) {
                 fleet.crash(id)
             } else {
                 fleet.shut_down(id)
             }
-            down.push((fleet.now + DOWN, id));
+            down.push((fleet.now + DOWNTIME, id));
         }
-        while changed < passed / CHANGE_EVERY * changes {
+        while changed < elapsed / CHANGE_INTERVAL_S * changes {
             changed += 1.0;
             let scope = fleet.random_scope();
             fleet.propose(scope, draw_limit(changed));
@@ -78,58 +88,58 @@
     let bytes = fleet.take_sent_bytes(S(seconds));
     fleet.run(S(4));
     assert!(fleet.open.is_empty(), "{:?}", fleet.open);
-    let mut took: Vec<Duration> = fleet.took.iter().skip(first).copied().collect();
-    took.sort();
-    let at = |part: f64| took[(part * (took.len() - 1) as f64).round() as usize];
+    let mut durations: Vec<Duration> = fleet.answer_durations.iter().skip(first).copied().collect();
+    durations.sort();
+    let percentile = |fraction: f64| durations[(fraction * (durations.len() - 1) as f64).round() as usize];
     println!(
         "{} planners, {} zones, {CONTROL} control machines, restarts x {restarts}: {} changes, p50 {:?}, p90 {:?}, \
          p99 {:?}, worst {:?}; bytes a second sent: planner {:.0}, busiest relay {:.0}, leader {:.0}",
         planners(),
         zones(),
-        took.len(),
-        at(0.5),
-        at(0.9),
-        at(0.99),
-        at(1.0),
+        durations.len(),
+        percentile(0.5),
+        percentile(0.9),
+        percentile(0.99),
+        percentile(1.0),
         bytes.planner,
         bytes.busiest_planner,
         bytes.leader
     );
     assert_eq!(fleet.violations, Vec::<String>::new());
-    assert!(at(1.0) < S(3), "{took:?}");
+    assert!(percentile(1.0) < S(3), "{durations:?}");
 }
 
-fn relays_of_ten_zones(fleet: &mut TestFleet) {
+fn crash_a_relay_in_each_of_ten_zones(fleet: &mut TestFleet) {
     let relays: Vec<u64> = (0..zones().min(10)).filter_map(|zone| fleet.relay_of(zone)).collect();
     assert_eq!(relays.len(), zones().min(10) as usize);
     relays.into_iter().for_each(|id| fleet.crash(id));
 }
 
-fn leader(fleet: &mut TestFleet) {
+fn crash_the_leader(fleet: &mut TestFleet) {
     let (id, _) = fleet.leader.unwrap();
     fleet.crash(id);
 }
 
-fn a_minority_of_control(fleet: &mut TestFleet) {
+fn crash_a_minority_of_control(fleet: &mut TestFleet) {
     let control = fleet.control();
     control.into_iter().take(CONTROL / 2).for_each(|id| fleet.crash(id));
 }
 
 #[rstest]
-#[case::a_relay_of_each_of_ten_zones(relays_of_ten_zones)]
-#[case::the_leader(leader)]
-#[case::seven_of_fifteen_control_machines(a_minority_of_control)]
+#[case::a_relay_of_each_of_ten_zones(crash_a_relay_in_each_of_ten_zones)]
+#[case::the_leader(crash_the_leader)]
+#[case::seven_of_fifteen_control_machines(crash_a_minority_of_control)]
 fn activates_changes_in_time_after_a_loss_at_size(#[case] loss: fn(&mut TestFleet)) {
     let mut fleet = TestFleet::sized(CONTROL, zones(), planners(), 5);
     fleet.max_delay = MS(150);
     fleet.run(S(10));
-    let before = fleet.took.len();
+    let before = fleet.answer_durations.len();
     loss(&mut fleet);
     for service in 100..104 {
         fleet.propose(ScopeId(service), draw_limit(42.0));
     }
     fleet.run(S(6));
-    let worst = fleet.took[before..].iter().max().copied();
+    let worst = fleet.answer_durations[before..].iter().max().copied();
     println!("{} planners: in force after {worst:?}", planners());
     assert!(fleet.open.is_empty() && worst < Some(S(3)), "{worst:?}");
     fleet.heal();
