--- a/crates/config-distribution/src/control/publisher.rs
+++ b/crates/config-distribution/src/control/publisher.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Time after the end of its lease after which a relay that has not renewed is unregistered.
+/// Time from the end of a relay's lease until the relay is unregistered, if it doesn't renew.
 const UNREGISTER_AFTER: Duration = Duration::from_secs(5);
 /// Time after which a registration that is not committed is appended to the log again.
 const REGISTER_RETRY: Duration = Duration::from_secs(1);
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns the time at which a pending scope becomes ready at the latest, or a budget allows more bytes.
+    /// Returns the earliest time at which a pending scope is sure to be ready or a budget allows more bytes.
     pub(super) fn next_timer(&self, store: &Store) -> Duration {
         let former = if self.unattached.is_empty() { Duration::ZERO } else { self.former_expiry };
         let waiting = self.pending.iter().filter(|scope| !self.in_log.contains(scope));
--- a/crates/config-distribution/src/distributor/session.rs
+++ b/crates/config-distribution/src/distributor/session.rs
@@ -33,7 +33,7 @@
 pub(super) struct Session {
     pub(super) id: SessionId,
     pub(super) scopes: BTreeMap<ScopeId, HolderScope>,
-    /// Time by which the holder's last lease has expired; zero if no lease was granted.
+    /// Time by which the holder's last lease has expired; zero if the holder has had no lease.
     pub(super) lease_expiry: Duration,
     /// Scopes of which the holder lacks links, the most urgent first.
     pub(super) backlog: BTreeSet<(Priority, ScopeId)>,
--- a/crates/config-distribution/src/planner/mod.rs
+++ b/crates/config-distribution/src/planner/mod.rs
@@ -27,7 +27,7 @@
 const RELAYS_PER_PLANNER: usize = 2;
 /// Time without holders after which a stand-in stops serving as a relay.
 const STAND_IN_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after the end of its lease after which the session of a holder that has not renewed is removed.
+/// Time from the end of a holder's lease until the holder's session is removed, if the holder doesn't renew.
 const SESSION_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The configuration with which a planner starts.
--- a/crates/config-distribution/src/planner/relay.rs
+++ b/crates/config-distribution/src/planner/relay.rs
@@ -1,4 +1,4 @@
-//! The relay's role of a planner: a relay answers for the leases of its planners, and has a session with the leader.
+//! A planner in the role of a relay: a relay answers for the leases of its planners, and has a session with the leader.
 
 use super::Planner;
 use crate::chain::ScopeId;
--- a/crates/config-distribution/src/replica/leader.rs
+++ b/crates/config-distribution/src/replica/leader.rs
@@ -76,7 +76,7 @@
         self.leadership = None;
     }
 
-    /// Retransmits unanswered messages, if it is time.
+    /// Retransmits unanswered messages, if that is due.
     pub fn timer_fired(&mut self, now: Duration) {
         let Some(leadership) = self.leadership.as_mut().filter(|leadership| now >= leadership.retransmit_at)
         else {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns this machine's leadership, if it is in this term.
+    /// Returns the leadership of this machine in this term, if the machine leads in it.
     fn leadership_in(&mut self, term: Term) -> Option<&mut Leadership> {
         self.leadership.as_mut().filter(|leadership| leadership.term == term)
     }
--- a/crates/config-distribution/src/subscriber/uplink.rs
+++ b/crates/config-distribution/src/subscriber/uplink.rs
@@ -89,7 +89,7 @@
         self.renew_at = Duration::ZERO;
     }
 
-    /// Sends a request to attach or to renew, if it is time.
+    /// Sends a request to attach or to renew, if one is due.
     pub(super) fn send_due(
         &mut self,
         now: Duration,
