--- a/crates/scale-bench/benches/scale/args.rs
+++ b/crates/scale-bench/benches/scale/args.rs
@@ -1,4 +1,6 @@
-//! What the benchmark is told.
+//! Command line arguments of the benchmark.
+//!
+//! The doc comments of the types and fields are the text that `--help` prints, and their names are the flags.
 
 use clap::{Parser, ValueEnum};
 use std::path::PathBuf;
@@ -55,11 +57,11 @@
 }
 
 impl Arguments {
-    /// Sizes that nothing can be measured at.
+    /// Checks the sizes and rates.
     ///
     /// # Errors
     ///
-    /// The first argument that names one.
+    /// Returns an error with the first argument that has a size of zero or a rate that is not above zero.
     pub fn check(&self) -> Result<(), String> {
         let counts = [
             ("planners", &self.planners),
@@ -69,12 +71,12 @@
             ("entries", &self.entries),
         ];
         if let Some((name, _)) = counts.iter().find(|(_, sizes)| sizes.contains(&0)) {
-            return Err(format!("--{name}: 0 is no size"));
+            return Err(format!("--{name}: size 0; expected one or more"));
         }
         let rates = [("changes-a-day", &self.changes_a_day), ("restarts-a-day", &self.restarts_a_day)];
-        let wrong = |rate: &f64| !(rate.is_finite() && *rate > 0.0);
-        match rates.iter().find(|(_, rates)| rates.iter().any(wrong)) {
-            Some((name, _)) => Err(format!("--{name}: a rate has to be above zero")),
+        let is_invalid = |rate: &f64| !(rate.is_finite() && *rate > 0.0);
+        match rates.iter().find(|(_, rates)| rates.iter().any(is_invalid)) {
+            Some((name, _)) => Err(format!("--{name}: expected rates above zero")),
             None => Ok(()),
         }
     }
--- a/crates/scale-bench/src/capacity/rows/stops.rs
+++ b/crates/scale-bench/src/capacity/estimate/size_limits.rs
@@ -1,11 +1,12 @@
-//! The sizes at which today's design stops.
+//! The sizes at which costs reach their budgets.
 
-use super::*;
+use super::{Data, EstimateError, MAX_CONFIGURATION_BYTES, SizeLimit};
+use crate::sample::Slope;
 
-/// Where each cost of today's design that has a budget reaches it.
-pub(super) fn of_today(data: &Data) -> Result<Vec<Stop>, MissingRow> {
+/// Returns, for each cost with a budget, the size at which the cost reaches the budget.
+pub(super) fn size_limits(data: &Data) -> Result<Vec<SizeLimit>, EstimateError> {
     let (plan, budget) = (&data.plan.plan, &data.plan.budget);
-    let of = [
+    let costs = [
         ("fleet_idle/planners/allocated_per_planner", "planners", budget.planner_memory_bytes, plan.planners),
         ("fleet_idle/planners/bytes_per_planner", "planners", budget.planner_bytes_per_second, plan.planners),
         ("fleet_idle/planners/processor_per_planner", "planners", budget.planner_processor, plan.planners),
@@ -31,11 +32,11 @@
         ),
         ("station/servers/allocated", "servers", budget.planner_memory_bytes, plan.servers),
         ("station/servers/processor_idle", "servers", budget.planner_processor, plan.servers),
-        ("configuration/servers/bytes_whole", "servers", MOST_CONFIGURATION, plan.servers),
+        ("configuration/servers/bytes_whole", "servers", MAX_CONFIGURATION_BYTES, plan.servers),
         (
             "configuration/routes/bytes_whole",
             "routes and tenants",
-            MOST_CONFIGURATION,
+            MAX_CONFIGURATION_BYTES,
             plan.routes + plan.tenants,
         ),
         (
@@ -46,33 +47,34 @@
         ),
         ("station/zones/allocated", "zones", budget.planner_memory_bytes, plan.zones),
     ];
-    of.into_iter()
+    costs
+        .into_iter()
         .map(|(row, swept, budget, planned)| {
             let slope = data.slope(row)?;
-            let at = reaches(slope, budget, planned);
-            Ok(Stop {
+            let reached_at = size_at_budget(slope, budget, planned);
+            Ok(SizeLimit {
                 row: row.into(),
                 swept: swept.into(),
                 budget,
                 unit: slope.unit.clone(),
-                at,
+                reached_at,
                 planned,
-                measured: slope.largest,
+                largest_measured: slope.largest,
             })
         })
         .collect()
 }
 
-/// The size at which a curve reaches a budget, if that is before the planned size.
-fn reaches(slope: &Slope, budget: f64, planned: f64) -> Option<f64> {
-    const HALVINGS: usize = 60;
-    if slope.at(planned) <= budget {
+/// Returns the largest size within the budget by bisection, or `None` if the planned size is within the budget.
+fn size_at_budget(slope: &Slope, budget: f64, planned: f64) -> Option<f64> {
+    const BISECTION_STEPS: usize = 60;
+    if slope.cost_at(planned) <= budget {
         return None;
     }
     let (mut within, mut beyond) = (0.0, planned);
-    for _ in 0..HALVINGS {
-        let half = (within + beyond) / 2.0;
-        if slope.at(half) <= budget { within = half } else { beyond = half }
+    for _ in 0..BISECTION_STEPS {
+        let middle = (within + beyond) / 2.0;
+        if slope.cost_at(middle) <= budget { within = middle } else { beyond = middle }
     }
     Some(within)
 }
--- a/crates/scale-bench/src/capacity/mod.rs
+++ b/crates/scale-bench/src/capacity/mod.rs
@@ -1,11 +1,11 @@
-//! What a planned size needs of each role, worked out from measured slopes and a small file of the plan's numbers, and
-//! the page that tells it.
+//! Estimates of what each role needs at a planned size, and the tables of `docs/CAPACITY.md` that show them.
 //!
-//! The page's tables stand between markers and are made anew from the data; [`page::check`] names every line that differs.
+//! An estimate is computed from measured slopes and a plan file. [`page::update`] replaces the tables between their markers
+//! in the page, and [`page::check`] returns every line that differs from the data.
 
+mod estimate;
 pub mod page;
 mod plan;
-mod rows;
 
-pub use plan::{Assumption, BadPlan, Budget, Plan, PlanFile};
-pub use rows::{MissingRow, Rows, Stop, Use, work_out};
+pub use estimate::{CapacityEstimate, CostPeriod, EstimateError, ResourceUse, SizeLimit, estimate_capacity};
+pub use plan::{Assumption, Budget, Plan, PlanError, PlanFile};
--- a/crates/scale-bench/src/capacity/page.rs
+++ b/crates/scale-bench/src/capacity/page.rs
@@ -1,32 +1,34 @@
-//! The tables of `docs/CAPACITY.md`, between markers, made anew from the data.
+//! The tables of `docs/CAPACITY.md`, which stand between markers and are generated from the data.
+//!
+//! The names of the tables, their heads and their cells are text of the page: [`check`] compares them letter for letter.
 
+use super::estimate::{CapacityEstimate, CostPeriod, ResourceUse, SizeLimit};
 use super::plan::PlanFile;
-use super::rows::{Rows, Stop, Use, When};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a page is not what the data say.
+/// A difference between the page and the data.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Differs {
-    /// A table's markers are not there, or in the wrong order.
+pub enum PageMismatch {
+    /// The markers of a table are missing or out of order.
     #[error("table {0:?}: its markers are missing or out of order")]
     NoMarkers(String),
-    /// A line is another.
-    #[error("table {table:?}, line {line}: the page has {found:?}, the data give {wanted:?}")]
+    /// A line of a table differs from the data.
+    #[error("table {table:?}, line {line}: found {found:?} in the page, expected {expected:?} from the data")]
     Line {
-        /// The table.
+        /// The name of the table.
         table: String,
-        /// The line within the table, from one.
+        /// The number of the line within the table, from one.
         line: usize,
-        /// What the page has.
+        /// The line of the page.
         found: String,
-        /// What the data give.
-        wanted: String,
+        /// The line that the data result in.
+        expected: String,
     },
 }
 
-/// A figure with three digits, as the page writes it.
-pub fn figure(value: f64) -> String {
+/// Formats a number with three significant digits, as in the tables of the page.
+pub fn three_digits(value: f64) -> String {
     const DIGITS: i32 = 3;
     if value == 0.0 {
         return "0".into();
@@ -38,11 +40,11 @@
     let unit = 10f64.powi(places);
     let rounded = (value * unit).round() / unit;
     let text = format!("{rounded:.*}", places.max(0) as usize);
-    grouped(&text)
+    group_thousands(&text)
 }
 
-/// Thousands apart.
-fn grouped(text: &str) -> String {
+/// Separates the thousands of a number by commas.
+fn group_thousands(text: &str) -> String {
     let (whole, rest) = text.split_once('.').map_or((text, None), |(whole, rest)| (whole, Some(rest)));
     let digits = whole.trim_start_matches('-');
     let mut grouped = String::new();
@@ -56,16 +58,16 @@
     rest.map_or(format!("{sign}{grouped}"), |rest| format!("{sign}{grouped}.{rest}"))
 }
 
-/// All tables by name.
-pub fn tables(plan: &PlanFile, rows: &Rows) -> BTreeMap<&'static str, Vec<String>> {
-    let of = |when: When| rows.uses.iter().filter(move |u| u.when == when);
+/// Returns the lines of all tables by the name of the table.
+pub fn tables(plan: &PlanFile, estimate: &CapacityEstimate) -> BTreeMap<&'static str, Vec<String>> {
+    let in_period = |period: CostPeriod| estimate.uses.iter().filter(move |u| u.period == period);
     BTreeMap::from([
         ("assumptions", assumptions(plan)),
-        ("ordinary", uses(of(When::Ordinary))),
-        ("worst minute", uses(of(When::WorstMinute))),
-        ("day", uses(of(When::Day))),
-        ("over budget", over_budget(&rows.uses)),
-        ("stops", stops(&rows.stops)),
+        ("ordinary", uses(in_period(CostPeriod::Ordinary))),
+        ("worst minute", uses(in_period(CostPeriod::WorstMinute))),
+        ("day", uses(in_period(CostPeriod::Day))),
+        ("over budget", over_budget(&estimate.uses)),
+        ("stops", size_limits(&estimate.size_limits)),
     ])
 }
 
@@ -81,8 +83,8 @@
     let lines = plan.assumptions.iter().map(|a| {
         vec![
             format!("`{}`", a.name),
-            format!("{} {}", figure(a.value), a.unit),
-            format!("{} to {}", figure(a.low), figure(a.high)),
+            format!("{} {}", three_digits(a.value), a.unit),
+            format!("{} to {}", three_digits(a.low), three_digits(a.high)),
             a.meaning.clone(),
             a.if_wrong.clone(),
         ]
@@ -90,22 +92,22 @@
     table(&head, lines)
 }
 
-fn factor(of: &Use) -> String {
-    match of.factor() {
-        Some(factor) if factor >= 1.0 => format!("**{} over**", figure(factor)),
-        Some(factor) => format!("{} of it", figure(factor)),
+fn factor(resource_use: &ResourceUse) -> String {
+    match resource_use.budget_factor() {
+        Some(factor) if factor >= 1.0 => format!("**{} over**", three_digits(factor)),
+        Some(factor) => format!("{} of it", three_digits(factor)),
         None => "-".into(),
     }
 }
 
-fn uses<'a>(of: impl Iterator<Item = &'a Use>) -> Vec<String> {
+fn uses<'a>(uses: impl Iterator<Item = &'a ResourceUse>) -> Vec<String> {
     let head = ["role", "what", "comes to", "budget", "factor", "formula", "source", "module"];
-    let lines = of.map(|u| {
+    let lines = uses.map(|u| {
         vec![
             u.role.into(),
             u.what.into(),
-            format!("{} {}", figure(u.value), u.unit),
-            u.budget.map_or("-".into(), figure),
+            format!("{} {}", three_digits(u.value), u.unit),
+            u.budget.map_or("-".into(), three_digits),
             factor(u),
             u.formula.clone(),
             u.source.clone(),
@@ -115,27 +117,28 @@
     table(&head, lines)
 }
 
-fn over_budget(uses: &[Use]) -> Vec<String> {
-    let mut over: Vec<(&Use, f64)> = uses.iter().filter_map(|u| Some((u, u.factor()?))).collect();
+fn over_budget(uses: &[ResourceUse]) -> Vec<String> {
+    let mut over: Vec<(&ResourceUse, f64)> =
+        uses.iter().filter_map(|u| Some((u, u.budget_factor()?))).collect();
     over.retain(|(_, factor)| *factor > 1.0);
     over.sort_by(|a, b| b.1.total_cmp(&a.1));
     let head = ["place", "factor", "role", "what", "mechanism"];
     let lines = over.iter().enumerate().map(|(place, (u, factor))| {
         let place = (place + 1).to_string();
-        vec![place, figure(*factor), u.role.into(), u.what.into(), u.mechanism.into()]
+        vec![place, three_digits(*factor), u.role.into(), u.what.into(), u.mechanism.into()]
     });
     table(&head, lines)
 }
 
-fn stops(stops: &[Stop]) -> Vec<String> {
+fn size_limits(limits: &[SizeLimit]) -> Vec<String> {
     let head = ["row", "budget", "reached at", "planned", "measured up to"];
-    let lines = stops.iter().map(|s| {
+    let lines = limits.iter().map(|l| {
         vec![
-            s.row.clone(),
-            format!("{} {}", figure(s.budget), s.unit),
-            s.at.map_or("not reached".into(), |at| format!("**{} {}**", figure(at), s.swept)),
-            format!("{} {}", figure(s.planned), s.swept),
-            figure(s.measured),
+            l.row.clone(),
+            format!("{} {}", three_digits(l.budget), l.unit),
+            l.reached_at.map_or("not reached".into(), |at| format!("**{} {}**", three_digits(at), l.swept)),
+            format!("{} {}", three_digits(l.planned), l.swept),
+            three_digits(l.largest_measured),
         ]
     });
     table(&head, lines)
@@ -145,45 +148,46 @@
     (format!("<!-- table: {name} -->"), format!("<!-- end: {name} -->"))
 }
 
-/// The lines between a table's markers, and where they begin and end in the page.
-fn between<'a>(page: &'a str, name: &str) -> Option<(&'a str, usize, usize)> {
+/// Returns the text between the markers of a table, and its start and end offsets in the page.
+fn between_markers<'a>(page: &'a str, name: &str) -> Option<(&'a str, usize, usize)> {
     let (begin, end) = markers(name);
     let from = page.find(&begin)? + begin.len() + 1;
     let to = from + page.get(from..)?.find(&end)?;
     Some((&page[from..to], from, to))
 }
 
-/// The page with all tables made anew.
+/// Returns the page with all tables replaced by those of the data.
 ///
 /// # Errors
 ///
-/// A table's markers are not in the page.
-pub fn renew(page: &str, tables: &BTreeMap<&'static str, Vec<String>>) -> Result<String, Differs> {
+/// Returns an error if the markers of a table are missing or out of order.
+pub fn update(page: &str, tables: &BTreeMap<&'static str, Vec<String>>) -> Result<String, PageMismatch> {
     let mut page = page.to_string();
     for (name, lines) in tables {
-        let (_, from, to) = between(&page, name).ok_or_else(|| Differs::NoMarkers(name.to_string()))?;
+        let (_, from, to) =
+            between_markers(&page, name).ok_or_else(|| PageMismatch::NoMarkers(name.to_string()))?;
         page.replace_range(from..to, &format!("{}\n", lines.join("\n")));
     }
     Ok(page)
 }
 
-/// Where the page differs from the data.
-pub fn check(page: &str, tables: &BTreeMap<&'static str, Vec<String>>) -> Vec<Differs> {
-    let mut differs = vec![];
-    for (name, wanted) in tables {
-        let Some((found, _, _)) = between(page, name) else {
-            differs.push(Differs::NoMarkers(name.to_string()));
+/// Returns all differences between the page and the tables of the data.
+pub fn check(page: &str, tables: &BTreeMap<&'static str, Vec<String>>) -> Vec<PageMismatch> {
+    let mut mismatches = vec![];
+    for (name, expected) in tables {
+        let Some((found, _, _)) = between_markers(page, name) else {
+            mismatches.push(PageMismatch::NoMarkers(name.to_string()));
             continue;
         };
         let found: Vec<&str> = found.lines().collect();
-        for line in 0..found.len().max(wanted.len()) {
-            let (have, want) =
-                (found.get(line).copied().unwrap_or(""), wanted.get(line).map_or("", String::as_str));
-            if have != want {
-                let (table, found, wanted) = (name.to_string(), have.to_string(), want.to_string());
-                differs.push(Differs::Line { table, line: line + 1, found, wanted });
+        for line in 0..found.len().max(expected.len()) {
+            let (found, expected) =
+                (found.get(line).copied().unwrap_or(""), expected.get(line).map_or("", String::as_str));
+            if found != expected {
+                let (table, found, expected) = (name.to_string(), found.to_string(), expected.to_string());
+                mismatches.push(PageMismatch::Line { table, line: line + 1, found, expected });
             }
         }
     }
-    differs
+    mismatches
 }
--- a/crates/scale-bench/src/capacity/plan.rs
+++ b/crates/scale-bench/src/capacity/plan.rs
@@ -1,131 +1,131 @@
-//! The plan's numbers, its budgets, and named assumptions for what it does not say.
+//! The plan file `plan.toml`: planned sizes, budgets, and named assumptions for values that the plan doesn't state.
 
 use serde::Deserialize;
 use std::path::Path;
 use thiserror::Error;
 
-/// The sizes that are planned for.
+/// The planned sizes and rates.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// Planners.
+    /// Number of planners.
     pub planners: f64,
-    /// Servers.
+    /// Number of servers.
     pub servers: f64,
-    /// Services.
+    /// Number of services.
     pub services: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Zones of all regions.
+    /// Number of zones of all regions.
     pub zones: f64,
-    /// Routes of all services.
+    /// Number of routes of all services.
     pub routes: f64,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: f64,
-    /// Requests a second at the peak.
+    /// Peak rate of requests, per second.
     pub requests_per_second: f64,
-    /// Changes of configuration a day.
+    /// Rate of configuration changes, per day.
     pub changes_a_day: f64,
-    /// Within how many seconds a change has to be in force everywhere.
+    /// Limit of the time until a change is active at every planner, in seconds.
     pub in_force_within_s: f64,
-    /// Machines that fail on an ordinary day.
+    /// Rate of machine failures, per ordinary day.
     pub failures_a_day: f64,
-    /// Planners restarted or replaced a day.
+    /// Rate of planner restarts and replacements, per day.
     pub restarts_a_day: f64,
-    /// Machines set aside for control.
+    /// Number of machines that are reserved for control.
     pub control_machines: f64,
 }
 
-/// What may be spent on control.
+/// The resources that control may use.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Budget {
-    /// Of one planner, in cores.
+    /// Processor time of one planner, in cores.
     pub planner_processor: f64,
-    /// Of one planner.
+    /// Memory of one planner, in bytes.
     pub planner_memory_bytes: f64,
-    /// Of one planner.
+    /// Traffic of one planner, in bytes per second.
     pub planner_bytes_per_second: f64,
-    /// Of one control machine, in cores.
+    /// Processor time of one control machine, in cores.
     pub control_processor: f64,
-    /// Sent by one control machine.
+    /// Traffic that one control machine sends, in bytes per second.
     pub control_bytes_per_second: f64,
 }
 
-/// Something that the plan does not say.
+/// A value that the plan doesn't state and that is assumed.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Assumption {
-    /// Its name in formulas.
+    /// The name of the assumption in formulas.
     pub name: String,
-    /// What is taken.
+    /// The assumed value.
     pub value: f64,
-    /// The least that it may be.
+    /// The smallest plausible value.
     pub low: f64,
-    /// The most that it may be.
+    /// The largest plausible value.
     pub high: f64,
-    /// Its unit.
+    /// The unit of the value.
     pub unit: String,
-    /// What it stands for.
+    /// The meaning of the value.
     pub meaning: String,
-    /// What changes if it is wrong.
+    /// The consequence of a wrong value.
     pub if_wrong: String,
 }
 
-/// The whole file.
+/// The content of `plan.toml`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlanFile {
-    /// The sizes.
+    /// The planned sizes and rates.
     pub plan: Plan,
-    /// The budgets.
+    /// The resources that control may use.
     pub budget: Budget,
-    /// What the plan does not say.
+    /// The values that the plan doesn't state.
     #[serde(rename = "assumption")]
     pub assumptions: Vec<Assumption>,
 }
 
-/// Why a plan cannot be used.
+/// The reason why a plan cannot be used.
 #[derive(Debug, Error)]
-pub enum BadPlan {
-    /// It cannot be read, or a field is missing, unknown or of another type.
+pub enum PlanError {
+    /// The file cannot be read, or a field is missing, unknown or of a wrong type.
     #[error("{path}: {cause}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// What is wrong with it.
+        /// The error of the file system or of the TOML parser.
         cause: String,
     },
-    /// A number that cannot be.
+    /// A number is out of its range.
     #[error("{field}: {value} {cause}")]
     Number {
-        /// The field.
+        /// The name of the field.
         field: String,
-        /// Its value.
+        /// The value of the field.
         value: f64,
-        /// Why it cannot be.
+        /// The rule that the value violates.
         cause: &'static str,
     },
-    /// A formula names an assumption that the file has not.
-    #[error("assumption {0:?}: it is not in the file")]
-    Unknown(String),
+    /// A formula uses an assumption that is not in the file.
+    #[error("assumption {0:?} is not in the plan file")]
+    UnknownAssumption(String),
 }
 
 impl PlanFile {
-    /// Reads and checks a plan.
+    /// Reads and checks a plan file.
     ///
     /// # Errors
     ///
-    /// It cannot be read, or a number in it cannot be; the field is named.
-    pub fn open(path: &Path) -> Result<PlanFile, BadPlan> {
-        let bad = |cause: String| BadPlan::File { path: path.display().to_string(), cause };
+    /// Returns an error if the file cannot be read or parsed, or with the name of the field if a number is out of range.
+    pub fn open(path: &Path) -> Result<PlanFile, PlanError> {
+        let bad = |cause: String| PlanError::File { path: path.display().to_string(), cause };
         let text = std::fs::read_to_string(path).map_err(|why| bad(why.to_string()))?;
         let file: PlanFile = toml::from_str(&text).map_err(|why| bad(why.to_string()))?;
         file.check()?;
         Ok(file)
     }
 
-    fn check(&self) -> Result<(), BadPlan> {
+    fn check(&self) -> Result<(), PlanError> {
         let (plan, budget) = (&self.plan, &self.budget);
         let numbers = [
             ("plan.planners", plan.planners),
@@ -149,30 +149,34 @@
         ];
         for (field, value) in numbers {
             if !(value.is_finite() && value > 0.0) {
-                return Err(BadPlan::Number { field: field.into(), value, cause: "has to be above zero" });
+                return Err(PlanError::Number { field: field.into(), value, cause: "has to be above zero" });
             }
         }
         if plan.regions > plan.zones {
-            let cause = "is more than there are zones: a region has one at least";
-            return Err(BadPlan::Number { field: "plan.regions".into(), value: plan.regions, cause });
+            let cause = "is more than there are zones; expected at least one zone for each region";
+            return Err(PlanError::Number { field: "plan.regions".into(), value: plan.regions, cause });
         }
         for assumption in &self.assumptions {
             let field = format!("assumption.{}", assumption.name);
             let Assumption { value, low, high, .. } = *assumption;
             if !(low > 0.0 && low <= value && value <= high && high.is_finite()) {
-                return Err(BadPlan::Number { field, value, cause: "is not within its own range" });
+                return Err(PlanError::Number {
+                    field,
+                    value,
+                    cause: "is not within the range from its low to its high value, both above zero",
+                });
             }
         }
         Ok(())
     }
 
-    /// The value of an assumption.
+    /// Returns the value of an assumption.
     ///
     /// # Errors
     ///
-    /// The file has none of that name.
-    pub fn assumed(&self, name: &str) -> Result<f64, BadPlan> {
+    /// Returns an error if the file has no assumption of that name.
+    pub fn assumption(&self, name: &str) -> Result<f64, PlanError> {
         let found = self.assumptions.iter().find(|a| a.name == name).map(|a| a.value);
-        found.ok_or_else(|| BadPlan::Unknown(name.into()))
+        found.ok_or_else(|| PlanError::UnknownAssumption(name.into()))
     }
 }
--- a/crates/scale-bench/src/chart.rs
+++ b/crates/scale-bench/src/chart.rs
@@ -1,4 +1,4 @@
-//! Charts of measured costs over sizes, both axes logarithmic, with the budget of each cost as a line.
+//! Charts of measured costs over sizes, with logarithmic axes and the budget of each cost as a line.
 
 use crate::sample::Sample;
 use plotters::prelude::*;
@@ -6,10 +6,11 @@
 use std::error::Error;
 use std::path::Path;
 
-/// One curve of a chart: its name and its points, in the order of the sizes.
+/// The name of a curve and its points (size, cost), sorted by size.
 pub type Curve = (String, Vec<(f64, f64)>);
 
-/// The curves of these samples, by the name that `name` gives; samples without one are left out.
+/// Groups samples into curves by the name that `name` returns. Leaves out samples without a name, and those whose size or
+/// cost is not above zero, which a logarithmic axis cannot show.
 pub fn curves(samples: &[Sample], name: impl Fn(&Sample) -> Option<String>) -> Vec<Curve> {
     let mut curves: BTreeMap<String, Vec<(f64, f64)>> = BTreeMap::new();
     for sample in samples.iter().filter(|s| s.size > 0.0 && s.value > 0.0) {
@@ -21,31 +22,32 @@
     curves.into_iter().collect()
 }
 
-/// What a chart shows.
+/// The content of one chart.
 pub struct Chart<'a> {
-    /// Its heading.
+    /// The heading of the chart.
     pub title: &'a str,
-    /// What is swept.
+    /// The label of the horizontal axis: the swept size.
     pub size: &'a str,
-    /// What is measured, with its unit.
+    /// The label of the vertical axis: the measured cost with its unit.
     pub cost: &'a str,
     /// The measured curves.
     pub curves: &'a [Curve],
-    /// What the cost may come to, and the size that is planned for.
+    /// The budget of the cost, and the planned size.
     pub budget: Option<(f64, f64)>,
 }
 
-const PICTURE: (u32, u32) = (900, 520);
-/// Room on each side of the measured values, as a factor.
+/// Width and height of one chart, in pixels.
+const CHART_SIZE: (u32, u32) = (900, 520);
+/// The factor by which the axes extend beyond the smallest and the largest value.
 const MARGIN: f64 = 1.6;
 
-/// Draws charts below one another into one SVG file.
+/// Draws charts from top to bottom into one SVG file.
 ///
 /// # Errors
 ///
-/// The file cannot be written.
+/// Returns an error if a chart cannot be drawn or the file cannot be written.
 pub fn draw(path: &Path, charts: &[Chart]) -> Result<(), Box<dyn Error>> {
-    let size = (PICTURE.0, PICTURE.1 * charts.len().max(1) as u32);
+    let size = (CHART_SIZE.0, CHART_SIZE.1 * charts.len().max(1) as u32);
     let root = SVGBackend::new(path, size).into_drawing_area();
     root.fill(&WHITE)?;
     for (area, chart) in root.split_evenly((charts.len().max(1), 1)).iter().zip(charts) {
@@ -62,10 +64,10 @@
     let budget = chart.budget.map(|(cost, size)| (size, cost));
     let points: Vec<(f64, f64)> =
         chart.curves.iter().flat_map(|c| c.1.iter().copied()).chain(budget).collect();
-    let range = |of: fn(&(f64, f64)) -> f64| {
-        let least = points.iter().map(of).fold(f64::INFINITY, f64::min);
-        let most = points.iter().map(of).fold(0.0, f64::max);
-        least / MARGIN..most * MARGIN
+    let range = |axis: fn(&(f64, f64)) -> f64| {
+        let min = points.iter().map(axis).fold(f64::INFINITY, f64::min);
+        let max = points.iter().map(axis).fold(0.0, f64::max);
+        min / MARGIN..max * MARGIN
     };
     let mut context = ChartBuilder::on(area)
         .caption(chart.title, ("sans-serif", 20))
@@ -82,8 +84,8 @@
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
     }
     if let Some((cost, size)) = chart.budget {
-        let all = range(|p| p.0);
-        let line = [(all.start, cost), (all.end, cost)];
+        let sizes = range(|p| p.0);
+        let line = [(sizes.start, cost), (sizes.end, cost)];
         context.draw_series(LineSeries::new(line, BLACK.mix(0.6)))?.label("budget at the plan's size");
         context.draw_series([Cross::new((size, cost), 6, BLACK)])?;
     }
--- a/crates/scale-bench/src/hollow/fleet.rs
+++ b/crates/scale-bench/src/hollow/fleet.rs
@@ -1,7 +1,7 @@
-//! Many hollow planners under one simulated clock, with disks, links and faults.
+//! A fleet of hollow planners under one simulated clock, with simulated disks, links and faults.
 
 use super::links::{Links, Topology};
-use super::planner::{Component, Disk, Outbox, Planner, Timing, Written};
+use super::planner::{Component, Disk, DiskWrite, Outbox, Planner, Timing};
 use super::traffic::{Packets, Traffic, TrafficClass};
 use crate::resources::timed;
 use grebespool_cluster::transport::Packet;
@@ -12,98 +12,112 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How long a disk takes for one write, synced.
-const SYNC: Duration = Duration::from_millis(2);
-/// How long a planner that was restarted is down.
-const DOWN: Duration = Duration::from_secs(2);
-/// The shortest step of the simulated clock.
-const TICK: Duration = Duration::from_micros(50);
+/// Time of one synced write to a disk.
+const SYNC_TIME: Duration = Duration::from_millis(2);
+/// Time from the stop of a planner to its start in a restart.
+const RESTART_TIME: Duration = Duration::from_secs(2);
+/// The shortest time until the timer of a planner fires.
+const MIN_TIMER_DELAY: Duration = Duration::from_micros(50);
 
-/// What a fleet is measured under.
+/// The settings of a fleet.
 #[derive(Debug, Clone)]
 pub struct FleetSettings {
-    /// How many planners there are; all of them are members.
+    /// Number of planners; all of them are voters.
     pub planners: usize,
-    /// Where they stand: one zone after another in turn.
+    /// The zones over which the planners are spread in turn.
     pub topology: Topology,
-    /// How long packets take.
+    /// The delays and the loss of packets.
     pub links: Links,
-    /// Their leases and heartbeats.
+    /// The lease and heartbeat settings of all planners.
     pub timing: Timing,
-    /// Seeds everything that is drawn.
+    /// The seed of all random draws.
     pub seed: u64,
 }
 
-/// What happens while a fleet is measured.
+/// The changes and faults during a measurement.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
-    /// Between two changes of the configuration, each proposed by some planner; none where unset.
-    pub change_every: Option<Duration>,
-    /// Between two restarts, each of some planner; none where unset.
-    pub restart_every: Option<Duration>,
-    /// The leader is killed at this time and started again as after a restart.
+    /// Time between two configuration changes, each proposed by a random planner; no changes if `None`.
+    pub change_interval: Option<Duration>,
+    /// Time between two restarts, each of a random planner; no restarts if `None`.
+    pub restart_interval: Option<Duration>,
+    /// Time at which the leader is restarted, from the start of the measurement.
     pub kill_leader_at: Option<Duration>,
-    /// The planners of the first region are cut off from all others from the first time to the second.
+    /// Times at which the planners of the first region are cut off from all others and connected again, from the start of
+    /// the measurement.
     pub cut_region: Option<(Duration, Duration)>,
 }
 
-/// What a fleet cost over the time it was measured.
+/// The costs of a fleet during a measurement.
 #[derive(Debug, Clone, Default)]
 pub struct FleetCosts {
-    /// The measured time, by the simulated clock.
+    /// Length of the measurement by the simulated clock.
     pub measured: Duration,
-    /// Processor time of all planners together, by state machine.
+    /// Processor time of all planners by state machine.
     pub processor: BTreeMap<Component, Duration>,
-    /// Processor time of encoding and decoding.
+    /// Processor time of encoding and decoding packets.
     pub codec: Duration,
-    /// The most processor time of one planner.
-    pub busiest: Duration,
-    /// What all planners sent, by type.
+    /// The largest processor time of one planner.
+    pub max_processor: Duration,
+    /// Packets that all planners sent, by type.
     pub sent: BTreeMap<TrafficClass, Packets>,
-    /// The most bytes that one planner sent.
-    pub most_sent: u64,
-    /// Synced writes of all planners, by state machine.
+    /// The largest number of bytes that one planner sent.
+    pub max_bytes_sent: u64,
+    /// Number of synced writes of all planners by state machine.
     pub syncs: BTreeMap<Component, u64>,
-    /// From a proposal until its proposer was told that it is in force, sorted.
-    pub in_force: Vec<Duration>,
-    /// Proposals that were not answered while the fleet was measured.
-    pub unanswered: usize,
-    /// Proposals that nobody took, for want of a majority say.
-    pub refused: usize,
-    /// Restarts.
+    /// Times from each proposal until its proposer learns that the new version is active, sorted.
+    pub activation_times: Vec<Duration>,
+    /// Number of proposals that were not decided by the end of the measurement.
+    pub undecided: usize,
+    /// Number of proposals that were not accepted or were rejected, for example without a majority.
+    pub rejected: usize,
+    /// Number of restarts.
     pub restarts: usize,
 }
 
 impl FleetCosts {
-    /// The time within which this part of the changes was in force, 0 to 1.
-    pub fn in_force_within(&self, part: f64) -> Option<Duration> {
-        let last = self.in_force.len().checked_sub(1)?;
-        self.in_force.get((part * last as f64).round() as usize).copied()
+    /// Returns the time within which a share (0 to 1) of the changes became active, or `None` if no change did.
+    pub fn activation_time_quantile(&self, share: f64) -> Option<Duration> {
+        let last = self.activation_times.len().checked_sub(1)?;
+        self.activation_times.get((share * last as f64).round() as usize).copied()
     }
 }
 
+/// An event of the simulation.
 enum Event {
-    Packet { to: MemberId, from: MemberId, bytes: Vec<u8> },
-    Synced { planner: MemberId, start: u32, written: Box<Written> },
-    Wake(MemberId),
-    Boot(MemberId),
+    Packet {
+        to: MemberId,
+        from: MemberId,
+        bytes: Vec<u8>,
+    },
+    /// A write is durable. `start` is the start count of the planner that asked for the write.
+    Synced {
+        planner: MemberId,
+        start: u32,
+        written: Box<DiskWrite>,
+    },
+    Timer(MemberId),
+    Start(MemberId),
 }
 
+/// A planner with its simulated disk, and its counters.
 struct Node {
+    /// The running planner; `None` during a restart.
     planner: Option<Planner>,
     disk: Disk,
     zone: usize,
-    /// What is being written, by file, and what waits behind it.
-    writing: BTreeMap<Component, Option<Written>>,
+    /// The files that are being written; the value is the write that waits for the current one of the same file.
+    waiting_writes: BTreeMap<Component, Option<DiskWrite>>,
     traffic: Traffic,
     processor: BTreeMap<Component, Duration>,
     codec: Duration,
-    wake_at: Duration,
+    /// The time at which the timer is due; timer events before this time are ignored.
+    timer_at: Duration,
 }
 
 impl Node {
-    /// What its planner used so far goes into the account of the node, before the planner is gone.
-    fn settle(&mut self) {
+    /// Moves the processor time that the planner has counted to the node, which outlives the planner.
+    fn collect_processor_time(&mut self) {
         if let Some(planner) = &mut self.planner {
             for (component, took) in std::mem::take(&mut planner.processor) {
                 *self.processor.entry(component).or_default() += took;
@@ -112,141 +126,148 @@
     }
 }
 
-/// Hollow planners, and what passes between them.
+/// A fleet of hollow planners that exchange packets under one simulated clock.
 pub struct Fleet {
     settings: FleetSettings,
     now: Duration,
     nodes: BTreeMap<MemberId, Node>,
     events: BTreeMap<(Duration, u64), Event>,
-    order: u64,
+    /// Number of events scheduled; orders events of the same time.
+    event_count: u64,
     rng: Pcg64Mcg,
-    cut: bool,
-    proposed: BTreeMap<(MemberId, ProposalId), Duration>,
+    /// True if the first region is cut off from all others.
+    region_cut: bool,
+    /// The time of each undecided proposal by its proposer.
+    proposed_at: BTreeMap<(MemberId, ProposalId), Duration>,
     costs: FleetCosts,
 }
 
-fn seats(planners: usize) -> BTreeMap<MemberId, Voter> {
-    let seat = |id| Voter { name: format!("planner-{id}"), address: format!("127.0.0.1:{}", 10_000 + id) };
-    (1..=planners as MemberId).map(|id| (id, seat(id))).collect()
+fn voters(planners: usize) -> BTreeMap<MemberId, Voter> {
+    let voter = |id| Voter { name: format!("planner-{id}"), address: format!("127.0.0.1:{}", 10_000 + id) };
+    (1..=planners as MemberId).map(|id| (id, voter(id))).collect()
 }
 
 impl Fleet {
-    /// Starts all planners at once, from empty disks.
+    /// Starts all planners at the same time with empty disks.
     pub fn start(settings: FleetSettings) -> Fleet {
-        let seats = seats(settings.planners);
+        let voters = voters(settings.planners);
         let zones = settings.topology.zones();
         let node = |id: MemberId| Node {
             planner: None,
-            disk: Disk::new(id, &seats),
+            disk: Disk::new(id, &voters),
             zone: id as usize % zones,
-            writing: BTreeMap::new(),
+            waiting_writes: BTreeMap::new(),
             traffic: Traffic::default(),
             processor: BTreeMap::new(),
             codec: Duration::ZERO,
-            wake_at: Duration::MAX,
+            timer_at: Duration::MAX,
         };
-        let nodes = seats.keys().map(|id| (*id, node(*id))).collect();
+        let nodes = voters.keys().map(|id| (*id, node(*id))).collect();
         let mut fleet = Fleet {
             rng: Pcg64Mcg::seed_from_u64(settings.seed),
             settings,
             now: Duration::from_secs(10),
             nodes,
             events: BTreeMap::new(),
-            order: 0,
-            cut: false,
-            proposed: BTreeMap::new(),
+            event_count: 0,
+            region_cut: false,
+            proposed_at: BTreeMap::new(),
             costs: FleetCosts::default(),
         };
-        seats.keys().for_each(|id| fleet.boot(*id));
+        voters.keys().for_each(|id| fleet.start_planner(*id));
         fleet
     }
 
-    /// How many planners lead.
-    pub fn leaders(&self) -> usize {
-        self.nodes.values().filter(|n| n.planner.as_ref().is_some_and(Planner::leads)).count()
+    /// Returns the number of planners that lead.
+    pub fn leader_count(&self) -> usize {
+        self.nodes.values().filter(|n| n.planner.as_ref().is_some_and(Planner::is_leader)).count()
     }
 
-    /// How many planners act by a configuration, alone, of this number or a later one.
-    pub fn acting_by(&self, number: u64) -> usize {
-        let acts = |n: &Node| n.planner.as_ref().map(|p| p.acts(self.now));
-        let new =
-            |acts: Option<ActiveVersions>| matches!(acts, Some(ActiveVersions::Single(n)) if n >= number);
-        self.nodes.values().filter(|n| new(acts(n))).count()
+    /// Returns the number of planners whose only active version has this number or a later one.
+    pub fn planners_active_on(&self, number: u64) -> usize {
+        let active = |n: &Node| n.planner.as_ref().map(|p| p.active_versions(self.now));
+        let is_new =
+            |active: Option<ActiveVersions>| matches!(active, Some(ActiveVersions::Single(n)) if n >= number);
+        self.nodes.values().filter(|n| is_new(active(n))).count()
     }
 
-    /// How many planners act by some configuration.
-    pub fn leased(&self) -> usize {
-        let acts = |n: &Node| n.planner.as_ref().map(|p| p.acts(self.now));
-        self.nodes.values().filter(|n| acts(n).is_some_and(|a| a != ActiveVersions::Unleased)).count()
+    /// Returns the number of planners that hold a lease of a configuration version.
+    pub fn planners_with_lease(&self) -> usize {
+        let active = |n: &Node| n.planner.as_ref().map(|p| p.active_versions(self.now));
+        self.nodes.values().filter(|n| active(n).is_some_and(|a| a != ActiveVersions::Unleased)).count()
     }
 
-    /// Proposes changes by a planner that runs.
+    /// Proposes configuration changes at a planner. Counts the proposal as rejected if the planner is down or doesn't accept it.
     pub fn propose(&mut self, id: MemberId, changes: Vec<Change>) {
         let now = self.now;
-        let ticket = self.call(id, |planner| planner.propose(now, changes)).flatten();
-        match ticket {
-            Some(ticket) => drop(self.proposed.insert((id, ticket), now)),
-            None => self.costs.refused += 1,
+        let proposal = self.call_planner(id, |planner| planner.propose(now, changes)).flatten();
+        match proposal {
+            Some(proposal) => drop(self.proposed_at.insert((id, proposal), now)),
+            None => self.costs.rejected += 1,
         }
     }
 
-    /// Lets time pass without faults.
+    /// Runs the simulation for `span` without changes and faults.
     pub fn run(&mut self, span: Duration) {
         self.run_until(self.now + span);
     }
 
-    /// Lets time pass with faults, and counts what it cost. What was counted before is forgotten.
+    /// Runs the simulation for `span` with changes and faults. Returns the costs of this time alone.
     pub fn measure(&mut self, span: Duration, faults: &Faults) -> FleetCosts {
-        self.forget();
+        self.reset_costs();
         let (began, end) = (self.now, self.now + span);
-        let mut change_at = faults.change_every.map(|every| began + every);
-        let mut restart_at = faults.restart_every.map(|every| began + every);
+        let mut change_at = faults.change_interval.map(|interval| began + interval);
+        let mut restart_at = faults.restart_interval.map(|interval| began + interval);
         let mut kill_at = faults.kill_leader_at.map(|at| began + at);
-        let mut cut =
+        // The times of the end and the start of the cut; the next one is the last.
+        let mut cut_times =
             faults.cut_region.map(|(from, to)| [began + to, began + from].to_vec()).unwrap_or_default();
         while self.now < end {
-            let next = [change_at, restart_at, kill_at, cut.last().copied()].into_iter().flatten().min();
+            let next =
+                [change_at, restart_at, kill_at, cut_times.last().copied()].into_iter().flatten().min();
             self.run_until(next.unwrap_or(end).min(end));
             if let Some(at) = change_at.filter(|at| *at <= self.now) {
-                self.propose_some();
-                change_at = faults.change_every.map(|every| at + every);
+                self.propose_random_change();
+                change_at = faults.change_interval.map(|interval| at + interval);
             }
             if let Some(at) = restart_at.filter(|at| *at <= self.now) {
-                let id = self.some_planner();
+                let id = self.random_running_planner();
                 self.restart(id);
-                restart_at = faults.restart_every.map(|every| at + every);
+                restart_at = faults.restart_interval.map(|interval| at + interval);
             }
             if kill_at.is_some_and(|at| at <= self.now) {
                 kill_at = None;
                 self.kill_leader();
             }
-            if cut.last().is_some_and(|at| *at <= self.now) {
-                cut.pop();
-                self.cut = !cut.is_empty();
+            if cut_times.last().is_some_and(|at| *at <= self.now) {
+                cut_times.pop();
+                self.region_cut = !cut_times.is_empty();
             }
         }
-        self.account(began)
+        self.collect_costs(began)
     }
 
-    fn forget(&mut self) {
+    /// Sets all counters to zero.
+    fn reset_costs(&mut self) {
         self.costs = FleetCosts::default();
-        self.proposed.clear();
+        self.proposed_at.clear();
         for node in self.nodes.values_mut() {
-            node.settle();
+            node.collect_processor_time();
             node.processor.clear();
             (node.traffic, node.codec) = (Traffic::default(), Duration::ZERO);
         }
     }
 
-    fn account(&mut self, began: Duration) -> FleetCosts {
+    /// Returns the costs since `began`, when the counters were reset.
+    fn collect_costs(&mut self, began: Duration) -> FleetCosts {
         let mut costs = std::mem::take(&mut self.costs);
         costs.measured = self.now - began;
-        costs.unanswered = self.proposed.len();
-        costs.in_force.sort();
+        costs.undecided = self.proposed_at.len();
+        costs.activation_times.sort();
         for node in self.nodes.values_mut() {
-            node.settle();
-            let own: Duration = node.processor.values().sum::<Duration>() + node.codec;
-            costs.busiest = costs.busiest.max(own);
+            node.collect_processor_time();
+            let node_processor: Duration = node.processor.values().sum::<Duration>() + node.codec;
+            costs.max_processor = costs.max_processor.max(node_processor);
             costs.codec += node.codec;
             for (component, took) in &node.processor {
                 *costs.processor.entry(*component).or_default() += *took;
@@ -255,19 +276,21 @@
                 let sum = costs.sent.entry(*class).or_default();
                 (sum.count, sum.bytes) = (sum.count + packets.count, sum.bytes + packets.bytes);
             }
-            costs.most_sent = costs.most_sent.max(Traffic::total(&node.traffic.sent).bytes);
+            costs.max_bytes_sent = costs.max_bytes_sent.max(Traffic::total(&node.traffic.sent).bytes);
         }
         costs
     }
 
-    fn some_planner(&mut self) -> MemberId {
+    /// Draws a planner that runs.
+    fn random_running_planner(&mut self) -> MemberId {
         let running: Vec<MemberId> =
             self.nodes.iter().filter(|(_, n)| n.planner.is_some()).map(|(id, _)| *id).collect();
         running[self.rng.random_range(0..running.len())]
     }
 
-    fn propose_some(&mut self) {
-        let id = self.some_planner();
+    /// Proposes a random change at a random planner.
+    fn propose_random_change(&mut self) {
+        let id = self.random_running_planner();
         let change = if self.rng.random_bool(0.5) {
             Change::Limit("power.reserve".into(), Some(Limit::AtLeast(self.rng.random_range(0.0..0.5))))
         } else {
@@ -280,43 +303,46 @@
         self.propose(id, vec![change]);
     }
 
+    /// Stops a planner, drops its writes that are not durable, and schedules its start.
     fn restart(&mut self, id: MemberId) {
         self.costs.restarts += 1;
         if let Some(node) = self.nodes.get_mut(&id) {
-            node.settle();
-            (node.planner, node.wake_at) = (None, Duration::MAX);
-            node.writing.clear();
+            node.collect_processor_time();
+            (node.planner, node.timer_at) = (None, Duration::MAX);
+            node.waiting_writes.clear();
         }
-        // Its proposals are forgotten with it.
-        self.proposed.retain(|(proposer, _), _| *proposer != id);
-        self.schedule(self.now + DOWN, Event::Boot(id));
+        // A restarted planner doesn't know its earlier proposals, which are never decided there.
+        self.proposed_at.retain(|(proposer, _), _| *proposer != id);
+        self.schedule(self.now + RESTART_TIME, Event::Start(id));
     }
 
+    /// Restarts the first planner that leads.
     fn kill_leader(&mut self) {
-        let leads = |n: &Node| n.planner.as_ref().is_some_and(Planner::leads);
-        if let Some(id) = self.nodes.iter().find(|(_, n)| leads(n)).map(|(id, _)| *id) {
+        let is_leader = |n: &Node| n.planner.as_ref().is_some_and(Planner::is_leader);
+        if let Some(id) = self.nodes.iter().find(|(_, n)| is_leader(n)).map(|(id, _)| *id) {
             self.restart(id);
         }
     }
 
     fn schedule(&mut self, at: Duration, event: Event) {
-        self.order += 1;
-        self.events.insert((at, self.order), event);
+        self.event_count += 1;
+        self.events.insert((at, self.event_count), event);
     }
 
+    /// Handles all events up to `end` and sets the clock to it.
     fn run_until(&mut self, end: Duration) {
         while let Some((at, _)) =
             self.events.first_key_value().map(|(key, _)| *key).filter(|key| key.0 <= end)
         {
             self.now = self.now.max(at);
             if let Some((_, event)) = self.events.pop_first() {
-                self.happen(event);
+                self.handle_event(event);
             }
         }
         self.now = self.now.max(end);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let now = self.now;
         match event {
             Event::Packet { to, from, bytes } => {
@@ -325,79 +351,82 @@
                 node.codec += took;
                 if let Ok(packet) = packet {
                     node.traffic.received.entry(TrafficClass::of(&packet)).or_default().add(bytes.len());
-                    self.call(to, |planner| planner.heard(now, from, packet));
+                    self.call_planner(to, |planner| planner.packet_received(now, from, packet));
                 }
             }
-            Event::Synced { planner, start, written } => self.synced(planner, start, *written),
-            Event::Wake(id) => {
-                if self.nodes.get(&id).is_some_and(|n| n.wake_at <= now) {
-                    self.call(id, |planner| planner.woken(now));
+            Event::Synced { planner, start, written } => self.write_synced(planner, start, *written),
+            Event::Timer(id) => {
+                if self.nodes.get(&id).is_some_and(|n| n.timer_at <= now) {
+                    self.call_planner(id, |planner| planner.timer_fired(now));
                 }
             }
-            Event::Boot(id) => self.boot(id),
+            Event::Start(id) => self.start_planner(id),
         }
     }
 
-    fn boot(&mut self, id: MemberId) {
+    fn start_planner(&mut self, id: MemberId) {
         let (now, seed) = (self.now, self.rng.random());
         let Some(node) = self.nodes.get_mut(&id) else { return };
         node.disk.starts += 1;
         node.planner = Some(Planner::start(&node.disk, &self.settings.timing, seed, now));
-        self.call(id, |_| ());
+        self.call_planner(id, |_| ());
     }
 
-    fn synced(&mut self, id: MemberId, start: u32, written: Written) {
+    /// Applies a durable write to the disk and starts the waiting write of the same file. Ignores writes of an earlier start.
+    fn write_synced(&mut self, id: MemberId, start: u32, written: DiskWrite) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&id).filter(|n| n.disk.starts == start && n.planner.is_some())
         else {
             return;
         };
         *self.costs.syncs.entry(written.component()).or_default() += 1;
-        node.disk.take(written.clone());
-        let next = node.writing.insert(written.component(), None).flatten();
+        node.disk.apply(written.clone());
+        let next = node.waiting_writes.insert(written.component(), None).flatten();
         match next {
             Some(next) => {
-                self.schedule(now + SYNC, Event::Synced { planner: id, start, written: Box::new(next) })
+                self.schedule(now + SYNC_TIME, Event::Synced { planner: id, start, written: Box::new(next) })
             }
-            None => drop(node.writing.remove(&written.component())),
+            None => drop(node.waiting_writes.remove(&written.component())),
         }
-        self.call(id, |planner| planner.written(now, &written));
+        self.call_planner(id, |planner| planner.write_completed(now, &written));
     }
 
-    /// Calls a planner that runs, and carries out what it asked for.
-    fn call<T>(&mut self, id: MemberId, what: impl FnOnce(&mut Planner) -> T) -> Option<T> {
+    /// Calls a running planner, performs its sends and writes, and schedules its timer.
+    fn call_planner<T>(&mut self, id: MemberId, call: impl FnOnce(&mut Planner) -> T) -> Option<T> {
         let planner = self.nodes.get_mut(&id)?.planner.as_mut()?;
-        let done = what(planner);
-        let (outbox, due) = (planner.take_outbox(), planner.due());
-        self.carry_out(id, outbox);
-        let at = due.max(self.now + TICK);
+        let result = call(planner);
+        let (outbox, due) = (planner.take_outbox(), planner.next_deadline());
+        self.process_outbox(id, outbox);
+        let at = due.max(self.now + MIN_TIMER_DELAY);
         if let Some(node) = self.nodes.get_mut(&id)
-            && node.wake_at != at
+            && node.timer_at != at
             && due != Duration::MAX
         {
-            node.wake_at = at;
-            self.schedule(at, Event::Wake(id));
+            node.timer_at = at;
+            self.schedule(at, Event::Timer(id));
         }
-        Some(done)
+        Some(result)
     }
 
-    fn carry_out(&mut self, id: MemberId, outbox: Outbox) {
+    /// Performs the sends and writes of a planner and counts its decided proposals.
+    fn process_outbox(&mut self, id: MemberId, outbox: Outbox) {
         for (to, packet) in outbox.packets {
             self.send(id, to, &packet);
         }
         for written in outbox.writes {
             self.write(id, written);
         }
-        for (proposal, outcome) in outbox.answered {
-            if let Some(at) = self.proposed.remove(&(id, proposal)) {
+        for (proposal, outcome) in outbox.decided {
+            if let Some(at) = self.proposed_at.remove(&(id, proposal)) {
                 match outcome {
-                    ProposalOutcome::Activated(_) => self.costs.in_force.push(self.now - at),
-                    ProposalOutcome::Rejected(_) => self.costs.refused += 1,
+                    ProposalOutcome::Activated(_) => self.costs.activation_times.push(self.now - at),
+                    ProposalOutcome::Rejected(_) => self.costs.rejected += 1,
                 }
             }
         }
     }
 
+    /// Encodes, counts and schedules a packet. A cut between the regions drops the packet after it is counted.
     fn send(&mut self, from: MemberId, to: MemberId, packet: &Packet) {
         let (bytes, took) = timed(|| postcard::to_stdvec(packet).unwrap_or_default());
         let Some(zone) = self.nodes.get(&to).map(|n| n.zone) else { return };
@@ -405,35 +434,40 @@
         node.codec += took;
         node.traffic.sent.entry(TrafficClass::of(packet)).or_default().add(bytes.len());
         let topology = &self.settings.topology;
-        let apart = (topology.region(node.zone) == 0) != (topology.region(zone) == 0);
-        if self.cut && apart {
+        let crosses_cut = (topology.region(node.zone) == 0) != (topology.region(zone) == 0);
+        if self.region_cut && crosses_cut {
             return;
         }
         let delay = self.settings.links.delay(topology, &mut self.rng, node.zone, zone);
         self.schedule(self.now + delay, Event::Packet { to, from, bytes });
     }
 
-    fn write(&mut self, id: MemberId, written: Written) {
-        let at = self.now + SYNC;
+    /// Starts a write to disk. A write of a file that is being written waits; it replaces a waiting one, or is merged into it.
+    fn write(&mut self, id: MemberId, written: DiskWrite) {
+        let at = self.now + SYNC_TIME;
         let Some(node) = self.nodes.get_mut(&id) else { return };
         let component = written.component();
-        if let Some(waiting) = node.writing.get_mut(&component) {
+        if let Some(waiting) = node.waiting_writes.get_mut(&component) {
             match (waiting.as_mut(), written) {
-                (Some(Written::Cells(cells, stamp)), Written::Cells(more, newer)) => {
-                    cells.extend(more);
-                    *stamp = newer;
+                (
+                    Some(DiskWrite::RegisterEntries(entries, revision)),
+                    DiskWrite::RegisterEntries(newer_entries, newer_revision),
+                ) => {
+                    entries.extend(newer_entries);
+                    *revision = newer_revision;
                 }
                 (_, written) => *waiting = Some(written),
             }
             return;
         }
-        node.writing.insert(component, None);
+        node.waiting_writes.insert(component, None);
         let start = node.disk.starts;
         self.schedule(at, Event::Synced { planner: id, start, written: Box::new(written) });
     }
 
-    /// Planners that hold different contents under one number: none, whatever happened.
-    pub fn contradictions(&self) -> usize {
+    /// Returns the number of configuration versions whose committed content differs between planners; any but zero is a fault
+    /// of the consensus.
+    pub fn conflicting_versions(&self) -> usize {
         let mut contents: BTreeMap<u64, BTreeSet<[u8; 32]>> = BTreeMap::new();
         for planner in self.nodes.values().filter_map(|n| n.planner.as_ref()) {
             let version = planner.configuration().committed.id();
--- a/crates/scale-bench/src/hollow/links.rs
+++ b/crates/scale-bench/src/hollow/links.rs
@@ -1,4 +1,4 @@
-//! Where planners stand, and how long a packet between two of them takes.
+//! The zones and regions of planners, and the delays of packets between them.
 
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -9,64 +9,64 @@
 /// A region and its zones.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Region {
-    /// Its name.
+    /// The name of the region.
     pub name: String,
-    /// Its zones, by name.
+    /// The names of the zones.
     pub zones: Vec<String>,
 }
 
-/// Why regions and zones cannot be used.
+/// The reason why regions and zones cannot be used.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum TopologyError {
-    /// There is nowhere to place a planner.
-    #[error("region {0:?}: it has no zones")]
+    /// A region has no zones.
+    #[error("region {0:?} has no zones; expected at least one")]
     NoZones(String),
-    /// There are no regions.
-    #[error("regions: there are none")]
+    /// The list of regions is empty.
+    #[error("the list of regions is empty")]
     NoRegions,
-    /// A zone's planners would stand in two places.
-    #[error("zone {zone:?}: it is in region {first:?} and in region {second:?}")]
+    /// A zone is in two regions.
+    #[error("zone {zone:?} is in region {first:?} and in region {second:?}; expected one region")]
     ZoneInTwoRegions {
-        /// The zone.
+        /// The name of the zone.
         zone: String,
-        /// The first region that names it.
+        /// The first region that names the zone.
         first: String,
-        /// The second region that names it.
+        /// The second region that names the zone.
         second: String,
     },
-    /// A planner names a zone that no region has.
-    #[error("zone {0:?}: no region has it")]
+    /// A zone is in no region.
+    #[error("zone {0:?} is not in any region")]
     UnknownZone(String),
 }
 
-/// Regions with their zones, checked.
+/// Regions with their zones; each region has a zone, and each zone is in one region only.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Topology {
     regions: Vec<Region>,
-    /// The region of each zone, in the order of the regions.
+    /// The index of the region of each zone, in the order of the regions.
     region_of: Vec<usize>,
 }
 
 impl Topology {
-    /// Checks regions and numbers their zones.
+    /// Checks regions and numbers their zones from zero, region by region.
     ///
     /// # Errors
     ///
-    /// There is no region, one has no zone, or a zone is in two.
+    /// Returns an error if there are no regions, a region has no zones, or a zone is in two regions.
     pub fn new(regions: Vec<Region>) -> Result<Topology, TopologyError> {
         if regions.is_empty() {
             return Err(TopologyError::NoRegions);
         }
-        let mut first: BTreeMap<&str, &str> = BTreeMap::new();
+        let mut first_region: BTreeMap<&str, &str> = BTreeMap::new();
         for region in &regions {
             if region.zones.is_empty() {
                 return Err(TopologyError::NoZones(region.name.clone()));
             }
             for zone in &region.zones {
-                if let Some(other) = first.insert(zone, &region.name) {
+                if let Some(first) = first_region.insert(zone, &region.name) {
                     return Err(TopologyError::ZoneInTwoRegions {
                         zone: zone.clone(),
-                        first: other.into(),
+                        first: first.into(),
                         second: region.name.clone(),
                     });
                 }
@@ -77,11 +77,11 @@
         Ok(Topology { regions, region_of })
     }
 
-    /// So many regions with so many zones in all, spread as evenly as they go.
+    /// Creates regions and spreads the given number of zones over them in turn.
     ///
     /// # Errors
     ///
-    /// A region would have no zone.
+    /// Returns an error if there are no regions, or fewer zones than regions.
     pub fn even(regions: usize, zones: usize) -> Result<Topology, TopologyError> {
         let named = (0..regions).map(|r| Region {
             name: format!("region-{r}"),
@@ -90,26 +90,26 @@
         Topology::new(named.collect())
     }
 
-    /// How many regions there are.
+    /// Returns the number of regions.
     pub fn regions(&self) -> usize {
         self.regions.len()
     }
 
-    /// How many zones there are.
+    /// Returns the number of zones.
     pub fn zones(&self) -> usize {
         self.region_of.len()
     }
 
-    /// The region of a zone.
+    /// Returns the index of the region of a zone.
     pub fn region(&self, zone: usize) -> usize {
         self.region_of[zone % self.region_of.len()]
     }
 
-    /// The number of a zone by its name.
+    /// Returns the number of a zone by its name.
     ///
     /// # Errors
     ///
-    /// No region has it.
+    /// Returns an error if no region has a zone of that name.
     pub fn zone(&self, name: &str) -> Result<usize, TopologyError> {
         let names = self.regions.iter().flat_map(|r| &r.zones);
         let found = names.into_iter().position(|zone| zone == name);
@@ -117,54 +117,60 @@
     }
 }
 
-/// One-way delays of packets, and their loss. A lost packet is sent again by the stream, so it only comes later.
+/// One-way delays and loss of packets. Streams retransmit a lost packet, so that the packet only arrives later.
 #[derive(Debug, Clone)]
 pub struct Links {
-    /// Within a zone.
-    pub zone: Duration,
-    /// Between zones of a region.
-    pub region: Duration,
-    /// Between the two nearest and the two farthest regions.
-    pub between: (Duration, Duration),
-    /// The part of packets that is lost, 0 to 1.
+    /// Delay within a zone.
+    pub within_zone: Duration,
+    /// Delay between two zones of a region.
+    pub within_region: Duration,
+    /// Delay between the two nearest regions and between the two farthest regions.
+    pub between_regions: (Duration, Duration),
+    /// Share of packets that are lost, 0 to 1.
     pub loss: f64,
 }
 
 impl Links {
-    /// Of one machine: no loss, a fraction of a millisecond to ten.
+    /// Returns the links of one machine: 5 ms between any two planners, no loss.
     pub fn local() -> Links {
         let ms = Duration::from_millis;
-        Links { zone: ms(5), region: ms(5), between: (ms(5), ms(5)), loss: 0.0 }
+        Links { within_zone: ms(5), within_region: ms(5), between_regions: (ms(5), ms(5)), loss: 0.0 }
     }
 
-    /// Between regions 30 to 150 ms, and one packet in a hundred lost.
+    /// Returns the links of distant regions: 30 to 150 ms between regions, and one packet in a hundred lost.
     pub fn regions() -> Links {
         let ms = Duration::from_millis;
-        Links { zone: Duration::from_micros(500), region: ms(2), between: (ms(30), ms(150)), loss: 0.01 }
+        Links {
+            within_zone: Duration::from_micros(500),
+            within_region: ms(2),
+            between_regions: (ms(30), ms(150)),
+            loss: 0.01,
+        }
     }
 
-    /// The delay of the next packet from one zone to another.
+    /// Draws the delay of the next packet from one zone to another.
     pub fn delay(&self, topology: &Topology, rng: &mut Pcg64Mcg, from: usize, to: usize) -> Duration {
         let (a, b) = (topology.region(from), topology.region(to));
         let usual = match () {
-            () if from == to => self.zone,
-            () if a == b => self.region,
-            () => self.between(a, b),
+            () if from == to => self.within_zone,
+            () if a == b => self.within_region,
+            () => self.delay_between_regions(a, b),
         };
         let delay = usual.mul_f64(rng.random_range(0.8..1.2));
         if self.loss > 0.0 && rng.random_bool(self.loss) {
-            // The sender waits for two ways and a little before it sends again.
-            const LEAST_RETRANSMISSION: Duration = Duration::from_millis(200);
-            return delay + LEAST_RETRANSMISSION.max(usual * 3);
+            // The sender waits for a round trip and a margin before it retransmits.
+            const MIN_RETRANSMISSION_TIME: Duration = Duration::from_millis(200);
+            return delay + MIN_RETRANSMISSION_TIME.max(usual * 3);
         }
         delay
     }
 
-    /// Fixed for each pair of regions, and spread over the range.
-    fn between(&self, a: usize, b: usize) -> Duration {
-        const SPREAD: u64 = 1009;
+    /// Returns the delay between two regions: fixed for each pair, and spread over the range of all pairs.
+    fn delay_between_regions(&self, a: usize, b: usize) -> Duration {
+        const STEPS: u64 = 1009;
         let (low, high) = (a.min(b) as u64, a.max(b) as u64);
-        let place = (low * 31 + high * 17) * 269 % SPREAD;
-        self.between.0 + (self.between.1 - self.between.0).mul_f64(place as f64 / SPREAD as f64)
+        let step = (low * 31 + high * 17) * 269 % STEPS;
+        self.between_regions.0
+            + (self.between_regions.1 - self.between_regions.0).mul_f64(step as f64 / STEPS as f64)
     }
 }
--- a/crates/scale-bench/src/hollow/mod.rs
+++ b/crates/scale-bench/src/hollow/mod.rs
@@ -1,8 +1,8 @@
-//! Hollow planners: leader election, singleton tasks and configuration consensus of today's program, joined as the program
-//! joins them, without sockets, disks and proxies.
+//! Hollow planners: leader election, singleton tasks and configuration consensus of the program, connected as the program
+//! connects them, without sockets, disks and proxies.
 //!
-//! [`Fleet`] runs many of them under one simulated clock. What they say is encoded and decoded by the program's own
-//! codec on the way, so bytes and processor time are those of the program, apart from the socket calls.
+//! [`Fleet`] runs many hollow planners under one simulated clock. The program's codec encodes and decodes their messages, so
+//! that bytes and processor time are those of the program without its socket calls.
 
 mod fleet;
 mod links;
@@ -11,5 +11,5 @@
 
 pub use fleet::{Faults, Fleet, FleetCosts, FleetSettings};
 pub use links::{Links, Region, Topology, TopologyError};
-pub use planner::{Component, Host, Outbox, Planner, Timing, Written};
+pub use planner::{Component, DiskWrite, Host, Outbox, Planner, Timing};
 pub use traffic::{Packets, Traffic, TrafficClass};
--- a/crates/scale-bench/src/hollow/planner.rs
+++ b/crates/scale-bench/src/hollow/planner.rs
@@ -1,4 +1,4 @@
-//! One hollow planner: three state machines, joined as `grebespool-cluster` joins them on sockets.
+//! A hollow planner: three state machines, connected as `grebespool-cluster` connects them on sockets.
 
 use crate::resources::timed;
 use grebespool_cluster::transport::Packet;
@@ -12,22 +12,23 @@
 use std::time::Duration;
 
 /// The only singleton task of a hollow planner: it owns the journal of configuration versions.
-const CONFIGURATION: TaskId = 0;
+const JOURNAL_TASK: TaskId = 0;
+/// The task set of all hollow planners; its digest only has to be equal at all of them.
 const TASK_SET: TaskSet = TaskSet { digest: 7, count: 1 };
 
 /// The three state machines of a planner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Component {
-    /// Who leads.
+    /// The leader election.
     Election,
-    /// Which planner does which task.
+    /// The leases and the journal of singleton tasks.
     Tasks,
-    /// What configuration is in force.
+    /// The consensus on the active configuration version.
     Consensus,
 }
 
 impl Component {
-    /// As it is written in tables.
+    /// Returns the name of the state machine in `samples.csv`.
     pub fn name(self) -> &'static str {
         match self {
             Component::Election => "election",
@@ -37,63 +38,64 @@
     }
 }
 
-/// Something that a disk has written, to be told to the planner that asked for it.
+/// A write to a disk, which is reported to the planner once it is durable.
 #[derive(Debug, Clone)]
-pub enum Written {
-    /// The state of the election.
+pub enum DiskWrite {
+    /// The state of the leader election.
     Election(election::HardState),
-    /// Cells of the journal, and the stamp of the last.
-    Cells(BTreeMap<TaskId, RegisterEntry>, u64),
-    /// The configuration that is held, and its stamp.
+    /// Changed register entries of the journal, and the revision of the last one.
+    RegisterEntries(BTreeMap<TaskId, RegisterEntry>, u64),
+    /// The state of the configuration consensus, and its stamp.
     Configuration(Box<consensus::StoredState>, u64),
 }
 
-impl Written {
-    /// Whose file it is.
+impl DiskWrite {
+    /// Returns the state machine whose file is written.
     pub fn component(&self) -> Component {
         match self {
-            Written::Election(_) => Component::Election,
-            Written::Cells(..) => Component::Tasks,
-            Written::Configuration(..) => Component::Consensus,
+            DiskWrite::Election(_) => Component::Election,
+            DiskWrite::RegisterEntries(..) => Component::Tasks,
+            DiskWrite::Configuration(..) => Component::Consensus,
         }
     }
 }
 
-/// What a planner asked for while it was called.
+/// The sends, writes and decisions of a planner since [`Planner::take_outbox`] was called last.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// Packets, and for whom.
+    /// Packets to send with their receivers.
     pub packets: Vec<(MemberId, Packet)>,
-    /// What is to be written; the newest of a file replaces one that has not begun.
-    pub writes: Vec<Written>,
-    /// Proposals that were answered.
-    pub answered: Vec<(consensus::ProposalId, consensus::ProposalOutcome)>,
+    /// Writes to disk; a newer write of a file replaces one that has not started.
+    pub writes: Vec<DiskWrite>,
+    /// Decided proposals with their outcomes.
+    pub decided: Vec<(consensus::ProposalId, consensus::ProposalOutcome)>,
 }
 
+/// The requests of one state machine to its host during one call.
 #[derive(Debug, Default)]
-struct Asked {
+struct HostRequests {
     outbox: Outbox,
-    cells: BTreeMap<TaskId, RegisterEntry>,
-    cells_stamp: u64,
-    /// Journal steps that became durable, and whether each is the first of an ownership.
-    durable: Vec<(FencingToken, Option<StepRecord>, bool)>,
-    lost: bool,
-    fix: Option<(FencingToken, Vec<u8>)>,
-    end: bool,
-    may_write: bool,
-    copied: bool,
+    entries: BTreeMap<TaskId, RegisterEntry>,
+    entries_revision: u64,
+    /// Durable journal steps; the flag is true for the last step of an earlier owner, with which an ownership starts.
+    durable_steps: Vec<(FencingToken, Option<StepRecord>, bool)>,
+    lease_lost: bool,
+    journal_write: Option<(FencingToken, Vec<u8>)>,
+    finish_journal_step: bool,
+    may_write_journal: bool,
+    copy_completed: bool,
 }
 
-/// Keeps what the state machines ask of their host.
+/// The host of the state machines; records their requests until the planner takes them.
 #[derive(Debug, Default)]
-pub struct Host(Asked);
+pub struct Host(HostRequests);
 
 impl election::Host for Host {
-    fn persist(&mut self, kept: &election::HardState) {
-        self.0.outbox.writes.push(Written::Election(kept.clone()));
+    fn persist(&mut self, state: &election::HardState) {
+        self.0.outbox.writes.push(DiskWrite::Election(state.clone()));
     }
-    fn send(&mut self, to: MemberId, word: election::Message) {
-        self.0.outbox.packets.push((to, Packet::Election(word)));
+    fn send(&mut self, to: MemberId, message: election::Message) {
+        self.0.outbox.packets.push((to, Packet::Election(message)));
     }
     fn become_leader(&mut self, _: u64) {}
     fn step_down(&mut self, _: u64, _: election::StepDownReason) {}
@@ -101,28 +103,28 @@
 }
 
 impl tasks::Host for Host {
-    fn send(&mut self, to: MemberId, word: tasks::Message) {
-        self.0.outbox.packets.push((to, Packet::Task(word)));
+    fn send(&mut self, to: MemberId, message: tasks::Message) {
+        self.0.outbox.packets.push((to, Packet::Task(message)));
     }
-    fn persist(&mut self, duty: TaskId, cell: &RegisterEntry, stamp: u64) {
-        self.0.cells.insert(duty, cell.clone());
-        self.0.cells_stamp = stamp;
+    fn persist(&mut self, task: TaskId, entry: &RegisterEntry, revision: u64) {
+        self.0.entries.insert(task, entry.clone());
+        self.0.entries_revision = revision;
     }
     fn copy_completed(&mut self) {
-        self.0.copied = true;
+        self.0.copy_completed = true;
     }
     fn lease_acquired(&mut self, _: TaskId, _: FencingToken) {}
     fn lease_lost(&mut self, _: TaskId, _: FencingToken, _: LeaseLossReason) {
-        self.0.may_write = false;
-        self.0.lost = true;
+        self.0.may_write_journal = false;
+        self.0.lease_lost = true;
     }
     fn ready(&mut self, _: TaskId, token: FencingToken, last: Option<&StepRecord>) {
-        self.0.may_write = true;
-        self.0.durable.push((token, last.cloned(), true));
+        self.0.may_write_journal = true;
+        self.0.durable_steps.push((token, last.cloned(), true));
     }
     fn step_durable(&mut self, _: TaskId, token: FencingToken, record: &StepRecord) {
-        self.0.may_write = true;
-        self.0.durable.push((token, Some(record.clone()), false));
+        self.0.may_write_journal = true;
+        self.0.durable_steps.push((token, Some(record.clone()), false));
     }
     fn counts_received(&mut self, _: MemberId, _: Vec<(u64, Rows)>) {}
     fn log(&mut self, _: tasks::TaskEvent) {}
@@ -133,29 +135,29 @@
         self.0.outbox.packets.push((to, Packet::Configuration(message)));
     }
     fn persist(&mut self, state: &consensus::StoredState, stamp: u64) {
-        self.0.outbox.writes.push(Written::Configuration(Box::new(state.clone()), stamp));
+        self.0.outbox.writes.push(DiskWrite::Configuration(Box::new(state.clone()), stamp));
     }
     fn write_journal(&mut self, token: FencingToken, content: Vec<u8>) {
-        self.0.fix = Some((token, content));
+        self.0.journal_write = Some((token, content));
     }
     fn finish_journal_step(&mut self, _: FencingToken) {
-        self.0.end = true;
+        self.0.finish_journal_step = true;
     }
     fn active_versions_changed(&mut self, _: consensus::ActiveVersions) {}
     fn proposal_decided(&mut self, id: consensus::ProposalId, outcome: consensus::ProposalOutcome) {
-        self.0.outbox.answered.push((id, outcome));
+        self.0.outbox.decided.push((id, outcome));
     }
     fn log(&mut self, _: &consensus::Event) {}
 }
 
-/// The lease and heartbeat settings of all members, by default those that the program states as defaults.
+/// The lease and heartbeat settings of all members; the default values are those of the program.
 #[derive(Debug, Clone)]
 pub struct Timing {
-    /// Of the leader election.
+    /// Settings of the leader election.
     pub election: election::LeaseParameters,
-    /// Of singleton tasks.
+    /// Settings of singleton tasks.
     pub tasks: tasks::TaskLeaseParameters,
-    /// Of configuration versions.
+    /// Settings of the configuration consensus.
     pub consensus: consensus::ConsensusSettings,
 }
 
@@ -188,55 +190,63 @@
     }
 }
 
-/// What a planner's disk holds.
+/// The durable state of a planner, which survives its restarts.
 #[derive(Debug, Clone)]
 pub struct Disk {
     pub(crate) election: election::HardState,
-    pub(crate) cells: BTreeMap<TaskId, RegisterEntry>,
+    pub(crate) entries: BTreeMap<TaskId, RegisterEntry>,
     pub(crate) configuration: consensus::StoredState,
+    /// Number of starts of the planner.
     pub(crate) starts: u32,
 }
 
 impl Disk {
-    /// Of a planner that has never run.
-    pub fn new(id: MemberId, seats: &BTreeMap<MemberId, Voter>) -> Disk {
-        let roster =
-            election::Membership { version: election::MembershipVersion::default(), voters: seats.clone() };
+    /// Creates the disk of a planner that has never run.
+    pub fn new(id: MemberId, voters: &BTreeMap<MemberId, Voter>) -> Disk {
+        let membership =
+            election::Membership { version: election::MembershipVersion::default(), voters: voters.clone() };
         let election =
-            election::HardState { id, fleet: 1, term: 0, voted_for: None, membership: roster, revision: 0 };
-        Disk { election, cells: BTreeMap::new(), configuration: consensus::StoredState::default(), starts: 0 }
+            election::HardState { id, fleet: 1, term: 0, voted_for: None, membership, revision: 0 };
+        Disk {
+            election,
+            entries: BTreeMap::new(),
+            configuration: consensus::StoredState::default(),
+            starts: 0,
+        }
     }
 
-    pub(crate) fn take(&mut self, written: Written) {
+    /// Applies a durable write.
+    pub(crate) fn apply(&mut self, written: DiskWrite) {
         match written {
-            Written::Election(kept) => self.election = kept,
-            Written::Cells(cells, _) => self.cells.extend(cells),
-            Written::Configuration(kept, _) => self.configuration = *kept,
+            DiskWrite::Election(state) => self.election = state,
+            DiskWrite::RegisterEntries(entries, _) => self.entries.extend(entries),
+            DiskWrite::Configuration(state, _) => self.configuration = *state,
         }
     }
 }
 
-/// One call of a state machine; boxed, since calls of one lead to calls of another.
+/// One call of a state machine; boxed, because calls of the state machines call one another recursively.
 type Call<'a, T> = Box<dyn FnOnce(&mut T) + 'a>;
 
-/// A hollow planner.
+/// A hollow planner: the state machines of a planner without sockets, disks and proxies.
 pub struct Planner {
     election: election::Member<Host>,
     tasks: TaskManager<Host>,
     consensus: consensus::ConsensusNode<Host>,
-    may_write: bool,
+    /// True if this planner owns the journal and the last step of the journal is durable.
+    may_write_journal: bool,
     outbox: Outbox,
-    /// Processor time of each state machine since the start.
+    /// Processor time of each state machine since the start of the planner.
     pub processor: BTreeMap<Component, Duration>,
 }
 
 impl Planner {
-    /// Starts from what the disk has, with the clock at `now`.
+    /// Starts a planner with the state of the disk.
     pub fn start(disk: &Disk, timing: &Timing, seed: u64, now: Duration) -> Planner {
         let id = disk.election.id;
         let election =
             election::Member::new(Host::default(), disk.election.clone(), timing.election, seed, now);
-        let cells = disk.cells.clone();
+        let entries = disk.entries.clone();
         let tasks = TaskManager::new(
             Host::default(),
             TaskManagerConfig {
@@ -245,7 +255,7 @@
                 task_set: TASK_SET,
                 restarts: disk.starts,
             },
-            StoredTasks { entries: cells, is_copied: true, tally: Tally::default() },
+            StoredTasks { entries, is_copied: true, tally: Tally::default() },
         );
         let configuration = disk.configuration.clone();
         let consensus = consensus::ConsensusNode::new(
@@ -259,26 +269,26 @@
             election,
             tasks,
             consensus,
-            may_write: false,
+            may_write_journal: false,
             outbox: Outbox::default(),
             processor: BTreeMap::new(),
         };
-        planner.place(now);
+        planner.propagate_election(now);
         planner
     }
 
-    /// What was asked for since this was called last.
+    /// Returns the sends, writes and decisions since the last call of this function.
     pub fn take_outbox(&mut self) -> Outbox {
         std::mem::take(&mut self.outbox)
     }
 
-    /// When [`Planner::woken`] is to be called next.
-    pub fn due(&self) -> Duration {
+    /// Returns the time at which [`Planner::timer_fired`] is to be called next.
+    pub fn next_deadline(&self) -> Duration {
         self.election.next_deadline().min(self.tasks.next_deadline()).min(self.consensus.next_timer())
     }
 
-    /// Time has passed.
-    pub fn woken(&mut self, now: Duration) {
+    /// Calls the state machines whose deadlines are reached.
+    pub fn timer_fired(&mut self, now: Duration) {
         if now >= self.election.next_deadline() {
             self.call_election(now, |member| member.timer_fired(now));
         }
@@ -290,11 +300,13 @@
         }
     }
 
-    /// A packet came from another planner.
-    pub fn heard(&mut self, now: Duration, from: MemberId, packet: Packet) {
+    /// Handles a packet from another planner.
+    pub fn packet_received(&mut self, now: Duration, from: MemberId, packet: Packet) {
         match packet {
-            Packet::Election(word) => self.call_election(now, |member| member.receive(now, from, word)),
-            Packet::Task(word) => self.call_tasks(now, Box::new(|tasks| tasks.receive(now, from, word))),
+            Packet::Election(message) => self.call_election(now, |member| member.receive(now, from, message)),
+            Packet::Task(message) => {
+                self.call_tasks(now, Box::new(|tasks| tasks.receive(now, from, message)))
+            }
             Packet::Configuration(message) => {
                 self.call_consensus(now, Box::new(|node| node.message_received(now, from, message)))
             }
@@ -302,18 +314,22 @@
         }
     }
 
-    /// The disk has written something that was asked for.
-    pub fn written(&mut self, now: Duration, written: &Written) {
+    /// Handles that a write to disk is durable.
+    pub fn write_completed(&mut self, now: Duration, written: &DiskWrite) {
         match written {
-            Written::Election(kept) => self.call_election(now, |member| member.persisted(now, kept.revision)),
-            Written::Cells(_, stamp) => self.call_tasks(now, Box::new(|tasks| tasks.persisted(now, *stamp))),
-            Written::Configuration(_, stamp) => {
+            DiskWrite::Election(state) => {
+                self.call_election(now, |member| member.persisted(now, state.revision))
+            }
+            DiskWrite::RegisterEntries(_, revision) => {
+                self.call_tasks(now, Box::new(|tasks| tasks.persisted(now, *revision)))
+            }
+            DiskWrite::Configuration(_, stamp) => {
                 self.call_consensus(now, Box::new(|node| node.persisted(now, *stamp)))
             }
         }
     }
 
-    /// Proposes a change of the configuration. Refused where too many wait.
+    /// Proposes configuration changes. Returns `None` if too many proposals wait.
     pub fn propose(
         &mut self,
         now: Duration,
@@ -324,113 +340,120 @@
         id
     }
 
-    /// Whether this planner leads.
-    pub fn leads(&self) -> bool {
+    /// Returns true if this planner leads.
+    pub fn is_leader(&self) -> bool {
         self.election.is_leader()
     }
 
-    /// By which configuration it may act.
-    pub fn acts(&self, now: Duration) -> consensus::ActiveVersions {
+    /// Returns the active configuration versions at `now`.
+    pub fn active_versions(&self, now: Duration) -> consensus::ActiveVersions {
         self.consensus.active_versions(now)
     }
 
-    /// The configuration that it holds.
+    /// Returns the state of the configuration consensus.
     pub fn configuration(&self) -> &consensus::StoredState {
         self.consensus.state()
     }
 
-    fn charge(&mut self, component: Component, took: Duration) {
+    /// Adds processor time to the counter of a state machine.
+    fn add_processor_time(&mut self, component: Component, took: Duration) {
         *self.processor.entry(component).or_default() += took;
     }
 
-    fn call_election(&mut self, now: Duration, what: impl FnOnce(&mut election::Member<Host>)) {
-        let ((), took) = timed(|| what(&mut self.election));
-        self.charge(Component::Election, took);
-        let asked = std::mem::take(&mut self.election.host().0);
-        self.take_asked(asked.outbox);
-        self.place(now);
+    /// Calls the leader election, and reports its state to the other state machines.
+    fn call_election(&mut self, now: Duration, call: impl FnOnce(&mut election::Member<Host>)) {
+        let ((), took) = timed(|| call(&mut self.election));
+        self.add_processor_time(Component::Election, took);
+        let requests = std::mem::take(&mut self.election.host().0);
+        self.extend_outbox(requests.outbox);
+        self.propagate_election(now);
     }
 
-    /// Tells the other state machines who takes part and who leads, after every call of the election.
-    fn place(&mut self, now: Duration) {
-        let (seats, took) = timed(|| {
-            let kept = self.election.hard_state();
-            kept.membership.voters.keys().copied().collect::<Vec<MemberId>>()
+    /// Passes the voters and the leader of the election to the other state machines.
+    fn propagate_election(&mut self, now: Duration) {
+        let (voters, took) = timed(|| {
+            let state = self.election.hard_state();
+            state.membership.voters.keys().copied().collect::<Vec<MemberId>>()
         });
-        self.charge(Component::Election, took);
+        self.add_processor_time(Component::Election, took);
         let leader = self.election.leader().map(|id| tasks::Leader { term: self.election.term(), id });
-        let until = self.election.lease_expires_at();
-        let taking_part = seats.clone();
+        let lease_expires_at = self.election.lease_expires_at();
+        let consensus_voters = voters.clone();
         self.call_tasks(
             now,
             Box::new(|manager| {
-                manager.election_changed(
-                    now,
-                    tasks::ElectionState { members: seats, leader, lease_expires_at: until },
-                )
+                manager
+                    .election_changed(now, tasks::ElectionState { members: voters, leader, lease_expires_at })
             }),
         );
-        self.call_consensus(now, Box::new(|node| node.set_voters(now, taking_part)));
-    }
-
-    fn call_tasks(&mut self, now: Duration, what: Call<'_, TaskManager<Host>>) {
-        self.tasks.host().0.may_write = self.may_write;
-        let ((), took) = timed(|| what(&mut self.tasks));
-        self.charge(Component::Tasks, took);
-        let mut asked = std::mem::take(&mut self.tasks.host().0);
-        self.may_write = asked.may_write;
-        if !asked.cells.is_empty() || asked.copied {
-            let cells = std::mem::take(&mut asked.cells);
-            asked.outbox.writes.push(Written::Cells(cells, asked.cells_stamp));
+        self.call_consensus(now, Box::new(|node| node.set_voters(now, consensus_voters)));
+    }
+
+    /// Calls the singleton tasks, and reports changes of the journal to the configuration consensus.
+    fn call_tasks(&mut self, now: Duration, call: Call<'_, TaskManager<Host>>) {
+        self.tasks.host().0.may_write_journal = self.may_write_journal;
+        let ((), took) = timed(|| call(&mut self.tasks));
+        self.add_processor_time(Component::Tasks, took);
+        let mut requests = std::mem::take(&mut self.tasks.host().0);
+        self.may_write_journal = requests.may_write_journal;
+        if !requests.entries.is_empty() || requests.copy_completed {
+            let entries = std::mem::take(&mut requests.entries);
+            requests.outbox.writes.push(DiskWrite::RegisterEntries(entries, requests.entries_revision));
         }
-        self.take_asked(asked.outbox);
-        if asked.lost {
+        self.extend_outbox(requests.outbox);
+        if requests.lease_lost {
             self.call_consensus(now, Box::new(|node| node.stop_coordinating(now)));
         }
-        for (token, record, first) in asked.durable {
-            let tell = |member: &mut consensus::ConsensusNode<Host>| match &record {
-                last if first => member.start_coordinating(now, token, last.as_ref()),
-                Some(record) if record.completed => member.journal_step_finished(now, token),
-                _ => member.journal_durable(now, token),
+        for (token, record, first) in requests.durable_steps {
+            let notify = |node: &mut consensus::ConsensusNode<Host>| match &record {
+                last if first => node.start_coordinating(now, token, last.as_ref()),
+                Some(record) if record.completed => node.journal_step_finished(now, token),
+                _ => node.journal_durable(now, token),
             };
-            self.call_consensus(now, Box::new(tell));
+            self.call_consensus(now, Box::new(notify));
         }
     }
 
-    fn call_consensus(&mut self, now: Duration, what: Call<'_, consensus::ConsensusNode<Host>>) {
-        let owned = self.tasks.current_token(now, CONFIGURATION);
+    /// Calls the configuration consensus, and performs the journal writes that it requests.
+    fn call_consensus(&mut self, now: Duration, call: Call<'_, consensus::ConsensusNode<Host>>) {
+        let journal_token = self.tasks.current_token(now, JOURNAL_TASK);
         let ((), took) = timed(|| {
-            self.consensus.set_journal_token(owned);
-            what(&mut self.consensus);
+            self.consensus.set_journal_token(journal_token);
+            call(&mut self.consensus);
         });
-        self.charge(Component::Consensus, took);
-        let asked = std::mem::take(&mut self.consensus.host().0);
-        self.take_asked(asked.outbox);
-        if let Some((token, content)) = asked.fix {
-            let begun = self.journal(now, |tasks| tasks.begin_step(now, CONFIGURATION, content));
-            if !begun {
-                self.call_consensus(now, Box::new(|member| member.journal_write_rejected(now, token)));
+        self.add_processor_time(Component::Consensus, took);
+        let requests = std::mem::take(&mut self.consensus.host().0);
+        self.extend_outbox(requests.outbox);
+        if let Some((token, content)) = requests.journal_write {
+            let started = self.write_journal_step(now, |tasks| tasks.begin_step(now, JOURNAL_TASK, content));
+            if !started {
+                self.call_consensus(now, Box::new(|node| node.journal_write_rejected(now, token)));
             }
         }
-        if asked.end {
-            self.journal(now, |tasks| tasks.complete_step(now, CONFIGURATION));
+        if requests.finish_journal_step {
+            self.write_journal_step(now, |tasks| tasks.complete_step(now, JOURNAL_TASK));
         }
     }
 
-    /// Writes a step of the journal, where the step before it is durable.
-    fn journal(&mut self, now: Duration, what: impl FnOnce(&mut TaskManager<Host>) -> bool) -> bool {
-        if !std::mem::take(&mut self.may_write) {
+    /// Writes a step of the journal if the step before is durable. Returns false if the step is not written.
+    fn write_journal_step(
+        &mut self,
+        now: Duration,
+        write: impl FnOnce(&mut TaskManager<Host>) -> bool,
+    ) -> bool {
+        if !std::mem::take(&mut self.may_write_journal) {
             return false;
         }
         let mut written = false;
-        self.call_tasks(now, Box::new(|tasks| written = what(tasks)));
-        self.may_write |= !written;
+        self.call_tasks(now, Box::new(|tasks| written = write(tasks)));
+        self.may_write_journal |= !written;
         written
     }
 
-    fn take_asked(&mut self, asked: Outbox) {
-        self.outbox.packets.extend(asked.packets);
-        self.outbox.writes.extend(asked.writes);
-        self.outbox.answered.extend(asked.answered);
+    /// Appends the requests of one call to the outbox of the planner.
+    fn extend_outbox(&mut self, requests: Outbox) {
+        self.outbox.packets.extend(requests.packets);
+        self.outbox.writes.extend(requests.writes);
+        self.outbox.decided.extend(requests.decided);
     }
 }
--- a/crates/scale-bench/src/hollow/traffic.rs
+++ b/crates/scale-bench/src/hollow/traffic.rs
@@ -1,30 +1,30 @@
-//! Messages and bytes by type and direction.
+//! Counters of packets and bytes by type and direction.
 
 use grebespool_cluster::transport::Packet;
 use std::collections::BTreeMap;
 
-/// Bytes that a frame costs beyond its body on a sealed stream: its length, and the message authentication code.
-pub const FRAME: usize = 4 + 16;
+/// Bytes of a frame on an authenticated stream besides its body: the length and the message authentication code.
+pub(super) const FRAME_OVERHEAD_BYTES: usize = 4 + 16;
 
-/// The types of messages that are counted apart.
+/// The types of messages that have their own counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TrafficClass {
-    /// Heartbeats, votes and rosters of the leader election.
+    /// Heartbeats, votes and memberships of the leader election.
     Election,
     /// Leases of singleton tasks.
     TaskLeases,
-    /// The replicated journal.
+    /// Reads and writes of the replicated journal.
     Journal,
     /// Leases of configuration versions.
     ConfigurationLeases,
     /// Proposals, preparations and commits of configuration versions.
     ConfigurationChanges,
-    /// Bytes of configuration versions, in parts.
+    /// Chunks of the content of configuration versions.
     ConfigurationContent,
 }
 
 impl TrafficClass {
-    /// As it is written in tables.
+    /// Returns the name of the type in `samples.csv`.
     pub fn name(self) -> &'static str {
         match self {
             TrafficClass::Election => "election",
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The type of a packet.
+    /// Returns the type of a packet.
     pub fn of(packet: &Packet) -> TrafficClass {
         use grebespool_config_consensus::Message as Consensus;
         use grebespool_singleton_tasks::Message as Tasks;
@@ -60,36 +60,36 @@
     }
 }
 
-/// How many packets, and how many bytes they were on the wire.
+/// Numbers of packets and of their bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Packets {
-    /// Packets.
+    /// Number of packets.
     pub count: u64,
-    /// Bytes, with length and authentication code, without the transport's own headers.
+    /// Number of bytes with length and authentication code, without the headers of the transport below.
     pub bytes: u64,
 }
 
 impl Packets {
-    /// One more, whose body has so many bytes.
+    /// Counts one more packet with a body of `body` bytes.
     pub fn add(&mut self, body: usize) {
         self.count += 1;
-        self.bytes += (body + FRAME) as u64;
+        self.bytes += (body + FRAME_OVERHEAD_BYTES) as u64;
     }
 }
 
-/// What one planner sent and received.
+/// The packets that one planner sent and received.
 #[derive(Debug, Clone, Default)]
 pub struct Traffic {
-    /// Sent, by type.
+    /// Sent packets by type.
     pub sent: BTreeMap<TrafficClass, Packets>,
-    /// Received, by type.
+    /// Received packets by type.
     pub received: BTreeMap<TrafficClass, Packets>,
 }
 
 impl Traffic {
-    /// All types of one direction together.
-    pub fn total(of: &BTreeMap<TrafficClass, Packets>) -> Packets {
-        of.values().fold(Packets::default(), |sum, p| Packets {
+    /// Returns the sum of all types of one direction.
+    pub fn total(packets: &BTreeMap<TrafficClass, Packets>) -> Packets {
+        packets.values().fold(Packets::default(), |sum, p| Packets {
             count: sum.count + p.count,
             bytes: sum.bytes + p.bytes,
         })
--- a/crates/scale-bench/src/lib.rs
+++ b/crates/scale-bench/src/lib.rs
@@ -1,14 +1,11 @@
-//! How the cost of a fleet grows with its size.
+//! Measures how the cost of a fleet grows with its size, and estimates what a planned size needs.
 //!
-//! Planners are started in two ways, which every table tells apart. A *real* planner is the program as a process of its
-//! own on loopback. A *hollow* planner is the state machines and codecs of that program without proxies: thousands of
-//! them share one process, a simulated clock and in-memory links.
+//! Planners run in two ways, and each sample names the way. A *real* planner is the program as a separate process on
+//! loopback. A *hollow* planner consists of the state machines and codecs of that program, without proxies: thousands of
+//! hollow planners share one process, a simulated clock and in-memory links.
 //!
-//! [`fit`] turns measured [`sample::Sample`]s into slopes and exponents; [`capacity`] works out from these what a planned
-//! size needs. Nothing here decides anything for a planner in service.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-#![warn(missing_docs)]
+//! [`fit`] turns measured [`sample::Sample`]s into slopes and exponents; [`capacity`] derives the needs of a planned size
+//! from them. Planners in service use nothing of this crate.
 
 pub mod capacity;
 pub mod chart;
--- a/crates/scale-bench/src/resources.rs
+++ b/crates/scale-bench/src/resources.rs
@@ -1,36 +1,36 @@
-//! What the operating system counts: processor time of this thread, and processor time and memory of a process.
+//! Resource counters of the operating system: processor time of this thread, and processor time and memory of a process.
 
 use std::fs;
 use std::time::Duration;
 
-/// The processor time that this thread has used.
+/// Returns the processor time that this thread has used.
 pub fn thread_time() -> Duration {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec.unsigned_abs(), u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// Runs something and gives the processor time that it took on this thread.
-pub fn timed<T>(what: impl FnOnce() -> T) -> (T, Duration) {
+/// Calls a function and returns its result and the processor time that the call took on this thread.
+pub fn timed<T>(function: impl FnOnce() -> T) -> (T, Duration) {
     let begun = thread_time();
-    let done = what();
-    (done, thread_time().saturating_sub(begun))
+    let result = function();
+    (result, thread_time().saturating_sub(begun))
 }
 
-/// What a process uses.
+/// The resources that a process uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ProcessUse {
-    /// Processor time since its start.
+    /// Processor time since the start of the process.
     pub processor: Duration,
     /// Resident memory in bytes.
     pub resident: u64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// The position of user and system time among the fields behind the command's name in `/proc/PID/stat`.
+/// The index of the user time among the fields after the command's name in `/proc/PID/stat`; the system time follows it.
 const USER_TIME: usize = 11;
 
-/// What a process uses now; nothing where it has ended.
+/// Returns the resources that a process uses now, or `None` if the process has ended.
 pub fn process_use(pid: u32) -> Option<ProcessUse> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
--- a/crates/scale-bench/src/station.rs
+++ b/crates/scale-bench/src/station.rs
@@ -1,5 +1,5 @@
-//! A hollow planner of the platform's protocol: the session manager and the decisions of the program in service, with a list
-//! of servers and, where asked, proxies whose bytes go nowhere.
+//! Measurements of a station: a hollow planner of the platform's protocol. A station consists of the session manager and the
+//! decisions of the program in service, an endpoint list and, if asked for, proxies whose output is discarded.
 
 use crate::resources::timed;
 use grebespool_platform_protocol::{ConnectionId, Effects, Event, PlannerConfig, ReceivedAt, SessionManager};
@@ -11,47 +11,49 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The machines' time at the planner's start, in milliseconds.
+/// The time of day at the planner's start, in milliseconds since the Unix epoch.
 const START_MS: f64 = 1_700_000_000_000.0;
-/// Descriptors held back, as the program does.
+/// Number of file descriptors that the planner keeps free, as the program does.
 const KEPT_FREE: usize = 32;
 
-/// How large a planner's world is.
+/// The numbers of servers, proxies, routes and zones of a station.
+// Part of the text of `StationError` in its Debug form.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StationSize {
-    /// Servers in the list.
+    /// Number of servers in the endpoint list.
     pub servers: usize,
-    /// Proxies that have joined.
+    /// Number of proxies that have joined.
     pub proxies: usize,
-    /// Routes, which the settings call classes.
+    /// Number of routes, which the settings call classes.
     pub routes: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
 }
 
-/// What a planner cost.
+/// The measured costs of a station.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StationCosts {
-    /// Bytes allocated for it, by the allocator's count.
+    /// Allocated memory by the count of the allocator, in bytes.
     pub allocated: u64,
-    /// Processor time a second of its own clock with nothing happening.
+    /// Processor time of an idle station, in seconds per second of the simulated clock.
     pub idle: f64,
-    /// Processor time of one change of the list.
+    /// Mean processor time of one change of the endpoint list, without the idle cost.
     pub per_change: Duration,
-    /// Bytes written to proxies for one change of the list.
+    /// Mean number of bytes written to proxies for one change of the endpoint list.
     pub written_per_change: f64,
 }
 
-/// Why a planner does not start at a size.
+/// The reason why a planner rejects a station of a size.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{size:?}: {cause}")]
-pub struct Unstartable {
-    /// The size.
+pub struct StationError {
+    /// The size of the station.
     pub size: StationSize,
-    /// The planner's own words.
+    /// The error message of the planner.
     pub cause: String,
 }
 
+/// Discards the output of the planner and counts the bytes written to proxies.
 #[derive(Default)]
 struct Discarded {
     bytes: Rc<Cell<u64>>,
@@ -68,7 +70,8 @@
     fn log(&mut self, _: &Event) {}
 }
 
-fn config(size: StationSize) -> Result<PlannerConfig, Unstartable> {
+/// Returns the start file of a station.
+fn config(size: StationSize) -> Result<PlannerConfig, StationError> {
     let mut settings = default_settings();
     let class = settings["classes"][0].clone();
     let classes = (0..size.routes).map(|k| {
@@ -79,26 +82,27 @@
     settings["classes"] = classes.collect::<Vec<Value>>().into();
     settings["zones"] = json!(zones(size.zones));
     settings["familyInfo"]["dataPlaneSize"] = json!(size.proxies.max(1));
-    let servers: Vec<Value> = (0..size.servers).map(|k| listed(k, "SERVING", size.zones)).collect();
+    let servers: Vec<Value> = (0..size.servers).map(|k| endpoint_in_zone(k, "SERVING", size.zones)).collect();
     let file = json!({
         "name": "p0", "listen": "127.0.0.1:9", "discovery": "127.0.0.1:8", "seed": "8c1f", "settings": settings,
         "limits": {"sockets": size.proxies + 1024}, "known": {"version": 1, "full": true, "servers": servers},
     });
     PlannerConfig::parse(file.to_string().as_bytes())
-        .map_err(|error| Unstartable { size, cause: error.to_string() })
+        .map_err(|error| StationError { size, cause: error.to_string() })
 }
 
 fn zones(count: usize) -> Vec<String> {
     (0..count).map(|k| format!("zone-{k}")).collect()
 }
 
-fn listed(k: usize, state: &str, zones: usize) -> Value {
+/// Returns the list entry of a server; the servers are spread over the zones in turn.
+fn endpoint_in_zone(k: usize, state: &str, zones: usize) -> Value {
     let mut entry = endpoint(k, state);
     entry["zone"] = json!(format!("zone-{}", k % zones));
     entry
 }
 
-/// Lets the planner's clock run, calling it whenever it is due. Gives the processor time.
+/// Advances the simulated clock by `span` and fires the planner's timers. Returns the processor time of the planner.
 fn run(manager: &mut SessionManager<Discarded>, now: &mut Duration, span: Duration) -> Duration {
     let end = *now + span;
     let mut took = Duration::ZERO;
@@ -114,12 +118,12 @@
     }
 }
 
-/// Starts a planner of this size and measures it. `allocated` gives the bytes that this process has allocated.
+/// Starts a station of this size and measures it. `allocated` returns the number of bytes that this process has allocated.
 ///
 /// # Errors
 ///
-/// It refuses a world of this size.
-pub fn measure(size: StationSize, allocated: &dyn Fn() -> u64) -> Result<StationCosts, Unstartable> {
+/// Returns an error if the planner rejects the settings or the endpoint list of this size.
+pub fn measure(size: StationSize, allocated: &dyn Fn() -> u64) -> Result<StationCosts, StationError> {
     const IDLE: Duration = Duration::from_secs(20);
     const CHANGES: usize = 8;
     let before = allocated();
@@ -136,23 +140,26 @@
         manager.bytes_received(now, conn, &encode_frame(&join));
     }
     run(&mut manager, &mut now, Duration::from_secs(3));
-    let held = allocated().saturating_sub(before);
+    let station_bytes = allocated().saturating_sub(before);
     let idle = run(&mut manager, &mut now, IDLE).as_secs_f64() / IDLE.as_secs_f64();
-    let mut changing = Duration::ZERO;
+    let mut change_time = Duration::ZERO;
     let before = bytes.get();
     for k in 0..CHANGES {
-        let entry =
-            listed(k % size.servers.max(1), if k % 2 == 0 { "DRAINING" } else { "SERVING" }, size.zones);
+        let entry = endpoint_in_zone(
+            k % size.servers.max(1),
+            if k % 2 == 0 { "DRAINING" } else { "SERVING" },
+            size.zones,
+        );
         let version = k as u64 + 2;
         let body = json!({"version": version, "full": false, "servers": [entry]}).to_string();
         let received = ReceivedAt { now, unix_ms: START_MS + now.as_secs_f64() * 1000.0 };
         let (taken, took) =
             timed(|| manager.endpoint_list_received(received, Some(version - 1), body.as_bytes()));
-        taken.map_err(|error| Unstartable { size, cause: error.to_string() })?;
-        changing += took + run(&mut manager, &mut now, Duration::from_secs(1));
+        taken.map_err(|error| StationError { size, cause: error.to_string() })?;
+        change_time += took + run(&mut manager, &mut now, Duration::from_secs(1));
     }
     let changes = CHANGES as u32;
-    let per_change = (changing / changes).saturating_sub(Duration::from_secs_f64(idle));
+    let per_change = (change_time / changes).saturating_sub(Duration::from_secs_f64(idle));
     let written_per_change = (bytes.get() - before) as f64 / f64::from(changes);
-    Ok(StationCosts { allocated: held, idle, per_change, written_per_change })
+    Ok(StationCosts { allocated: station_bytes, idle, per_change, written_per_change })
 }
