--- a/crates/server-model/src/invariant_facts.rs
+++ b/crates/server-model/src/invariant_facts.rs
@@ -1,9 +1,9 @@
-//! A day's settings as the checker of the invariants takes them.
+//! Converts a day's settings to the facts that the invariant checker needs.
 
 use grebespool_invariants::{Facts, Limits, RouteFacts};
 use grebespool_settings::{Day, Group, Repeats, Route};
 
-/// What the checker of the invariants has to know of a day.
+/// Returns the limits and routes of a day for the invariant checker.
 pub fn invariant_facts(day: &Day) -> Facts {
     let (deployment, rules) = (&day.deployment, &day.rules);
     let limits = Limits {
--- a/crates/server-model/src/lib.rs
+++ b/crates/server-model/src/lib.rs
@@ -1,7 +1,7 @@
-//! How servers work and how proxies pick them, and the service level of a day. Free of I/O and clocks, so that the emulator on sockets
-//! and the simulation under a simulated clock have the same.
+//! Models of servers and of how proxies pick them, and the service level of a day. The crate does no I/O and reads no clock, so that
+//! the emulator on sockets and the simulation under a simulated clock share the same models.
 //!
-//! A stand-in for the users' servers and proxies: it decides nothing for the planner.
+//! The models replace the users' servers and proxies; the planner doesn't use them.
 
 mod invariant_facts;
 mod proxy_tables;
--- a/crates/server-model/src/proxy_tables.rs
+++ b/crates/server-model/src/proxy_tables.rs
@@ -1,5 +1,5 @@
-//! What a proxy was told, and how it picks a server by that. Assumes that messages come in the order in which they were sent; never
-//! applies one that is older than what it has applied.
+//! The weight tables that planners sent to a proxy, and how the proxy picks a server by them. Updates are expected in the order in
+//! which they were sent; an update older than the last applied one is rejected.
 
 use grebespool_settings::Picks;
 use grebespool_wire::{
@@ -10,47 +10,48 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A planner's message is from an earlier term or stream, or not newer than the last one: nothing of it is applied.
+/// Error for a stream of an older term, and for an update of another term or stream, or one that is not newer than the last one.
+/// Nothing of it is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the message is older than what was applied")]
 pub struct StaleUpdateError;
 
-/// When a proxy avoids a server.
+/// Rule by which a proxy avoids a failing server.
 #[derive(Debug, Clone, Copy)]
 pub struct Avoidance {
-    /// Failures one after another; 0 for never.
+    /// Number of consecutive failures after which the server is avoided; 0 never avoids one.
     pub after_failures: u32,
-    /// How long it avoids the server then.
+    /// Time for which the server is then avoided.
     pub duration: Duration,
 }
 
-/// A planner's update, by which it is acknowledged.
+/// Identifier of a planner's update, used to acknowledge the update.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UpdateId {
-    /// The planner's incarnation.
+    /// Incarnation of the planner.
     pub incarnation: u64,
-    /// The position in its stream, from 1.
+    /// Position of the update in its stream, from 1.
     pub sequence: u64,
 }
 
-/// What a route's proxies admit, and when they retry.
+/// Share of a route's requests that proxies admit, and when they retry.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Admission {
-    /// The share of the requests that is admitted, 0 to 1.
+    /// Admitted share of the requests, 0 to 1.
     pub share: f32,
-    /// When a failed attempt is made again.
+    /// Condition under which a failed attempt is retried.
     pub retries: RetryPolicy,
 }
 
 impl Admission {
-    /// Everything, until a planner says otherwise.
+    /// Admits every request; holds until a planner sets an admission level.
     const DEFAULT: Admission = Admission { share: 1.0, retries: RetryPolicy::IfNotExecuted };
 }
 
 struct Entry {
     server: ServerId,
     weight: f32,
-    /// For picking in turn: how far the server is behind its share.
+    /// Weight by which the server is behind its share of the picks, for picks in turn.
     credit: f32,
 }
 
@@ -62,14 +63,14 @@
 
 struct Table {
     number: u16,
-    /// The routes that use it, a bit each; [`ALL_ROUTES`] for all.
+    /// Bit set of the routes that use the table; [`ALL_ROUTES`] for all.
     routes: u16,
     entries: Vec<Entry>,
 }
 
-/// A set of routes that stands for every route.
+/// Bit set of routes that means every route.
 const ALL_ROUTES: u16 = 0;
-/// The number of the table that a proxy begins with, which no planner uses.
+/// Number of the table that a proxy starts with; no planner uses this number.
 const INITIAL_TABLE: u16 = u16::MAX;
 
 impl Table {
@@ -90,37 +91,37 @@
     avoided_until: Duration,
 }
 
-/// A planner's stream, by the planner's incarnation and the stream's number.
+/// Identifier of a planner's stream: the planner's incarnation and the stream's number.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct PlannerStream {
     incarnation: u64,
     stream: u32,
 }
 
-/// The tables, admission levels and withdrawn servers of one proxy.
+/// Weight tables, admission levels and excluded servers of one proxy.
 pub struct ProxyTables {
     picks: Picks,
     avoidance: Avoidance,
     tables: Vec<Table>,
     levels: BTreeMap<u16, AdmissionRule>,
-    withdrawn: BTreeSet<ServerId>,
+    excluded: BTreeSet<ServerId>,
     failure_runs: BTreeMap<ServerId, FailureRun>,
     stream: Option<PlannerStream>,
-    /// The newest term seen; kept over broken streams.
+    /// Newest term of an accepted stream; outlasts the stream.
     term: u64,
     sequence: u64,
     last_applied: UpdateId,
 }
 
 impl ProxyTables {
-    /// Begins with a table of `servers` with even weights.
+    /// Creates the tables of a proxy that starts with one table of `servers` with even weights.
     pub fn new(picks: Picks, avoidance: Avoidance, servers: &[ServerId]) -> ProxyTables {
         let mut tables = ProxyTables {
             picks,
             avoidance,
             tables: vec![],
             levels: BTreeMap::new(),
-            withdrawn: BTreeSet::new(),
+            excluded: BTreeSet::new(),
             failure_runs: BTreeMap::new(),
             stream: None,
             term: 0,
@@ -131,32 +132,32 @@
         tables
     }
 
-    /// Replaces all tables by one of these servers with even weights.
+    /// Replaces all tables by one table of `servers` with even weights.
     pub fn set_even_weights(&mut self, servers: &[ServerId]) {
         let entries = servers.iter().map(|server| Entry::new(*server, 1.0)).collect();
         self.tables = vec![Table { number: INITIAL_TABLE, routes: ALL_ROUTES, entries }];
     }
 
-    /// Whether no planner's update was ever applied.
+    /// Returns true if no planner's update was ever applied.
     pub fn is_unconfigured(&self) -> bool {
         self.last_applied == UpdateId::default()
     }
 
-    /// The newest term seen.
+    /// Returns the newest term of an accepted stream.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The last update that was applied.
+    /// Returns the identifier of the last update that was applied.
     pub fn last_applied(&self) -> UpdateId {
         self.last_applied
     }
 
-    /// A planner has accepted a stream: only its updates count from here on.
+    /// Handles that a planner has accepted a stream: from now on only updates of this stream are applied.
     ///
     /// # Errors
     ///
-    /// The planner leads in an older term than one that was seen.
+    /// Returns [`StaleUpdateError`] if `term` is older than the newest term of an accepted stream.
     pub fn stream_accepted(
         &mut self,
         incarnation: u64,
@@ -172,16 +173,16 @@
         Ok(())
     }
 
-    /// The stream has ended; what was applied stays.
+    /// Handles the end of the stream. The tables stay as they are.
     pub fn stream_closed(&mut self) {
         self.stream = None;
     }
 
-    /// Applies an update and returns the number of the acknowledgement that it asks for.
+    /// Applies an update and returns the number of the acknowledgement that the update requests.
     ///
     /// # Errors
     ///
-    /// The update is stale, and nothing of it is applied.
+    /// Returns [`StaleUpdateError`] if the update is stale; nothing of it is applied then.
     pub fn apply(&mut self, update: &Update) -> Result<Option<u16>, StaleUpdateError> {
         let stream = PlannerStream { incarnation: update.incarnation, stream: update.stream };
         let is_current = self.stream == Some(stream) && update.term == self.term;
@@ -208,43 +209,43 @@
                 self.levels = admission.iter().map(|level| (level.routes, *level)).collect();
             }
             Change::SetWeight(WeightChange { table, server, weight, .. }) => {
-                let tables = self.tables.iter_mut().filter(|held| held.number == *table);
-                tables.for_each(|held| held.set_weight(*server, *weight));
+                let tables = self.tables.iter_mut().filter(|candidate| candidate.number == *table);
+                tables.for_each(|table| table.set_weight(*server, *weight));
             }
             Change::SetAdmission(level) => drop(self.levels.insert(level.routes, *level)),
-            Change::Exclude(Exclusion { server, excluded: true }) => drop(self.withdrawn.insert(*server)),
-            Change::Exclude(Exclusion { server, excluded: false }) => drop(self.withdrawn.remove(server)),
+            Change::Exclude(Exclusion { server, excluded: true }) => drop(self.excluded.insert(*server)),
+            Change::Exclude(Exclusion { server, excluded: false }) => drop(self.excluded.remove(server)),
             Change::RequestAck(_) => {}
         }
     }
 
-    /// Uses a table for routes, in place of the tables that these had.
+    /// Binds a table to routes and drops every table that shares a route with it.
     fn bind(&mut self, number: u16, routes: u16, weights: &[ServerWeight]) {
         self.tables
             .retain(|table| routes != ALL_ROUTES && table.routes & routes == 0 && table.routes != ALL_ROUTES);
-        let entries = weights.iter().map(|held| Entry::new(held.server, held.weight)).collect();
+        let entries = weights.iter().map(|weight| Entry::new(weight.server, weight.weight)).collect();
         self.tables.push(Table { number, routes, entries });
     }
 
-    fn includes(routes: u16, route: u8) -> bool {
+    fn route_set_contains(routes: u16, route: u8) -> bool {
         routes == ALL_ROUTES || routes >> route & 1 == 1
     }
 
-    /// What is admitted of a route.
+    /// Returns the admission level of a route and when its attempts are retried.
     pub fn admission(&self, route: u8) -> Admission {
-        let level = self.levels.values().find(|level| Self::includes(level.routes, route));
+        let level = self.levels.values().find(|level| Self::route_set_contains(level.routes, route));
         level.map_or(Admission::DEFAULT, |level| Admission {
             share: level.admitted_fraction,
             retries: level.retry_policy,
         })
     }
 
-    /// Whether any table has the server.
+    /// Returns true if any table has the server.
     pub fn contains(&self, server: ServerId) -> bool {
         self.tables.iter().any(|table| table.entries.iter().any(|entry| entry.server == server))
     }
 
-    /// Counts how an attempt at a server ended.
+    /// Counts a finished attempt at a server, and avoids the server after too many consecutive failures.
     pub fn attempt_finished(&mut self, now: Duration, server: ServerId, answered: bool) {
         if self.avoidance.after_failures == 0 {
             return;
@@ -257,8 +258,10 @@
         }
     }
 
-    /// A server for a request of the route, none of `tried`; `None` where no table has another. `in_flight` gives the requests in
-    /// flight at a server.
+    /// Picks a server that is not in `tried` for a request for the route. Returns `None` if the route's table has no other server.
+    /// `in_flight` returns the number of requests in flight at a server.
+    ///
+    /// The number and the order of the random draws decide the results of a simulated day.
     pub fn pick(
         &mut self,
         now: Duration,
@@ -267,14 +270,14 @@
         tried: &[ServerId],
         in_flight: impl Fn(ServerId) -> usize,
     ) -> Option<ServerId> {
-        let table = self.tables.iter_mut().find(|table| Self::includes(table.routes, route))?;
+        let table = self.tables.iter_mut().find(|table| Self::route_set_contains(table.routes, route))?;
         let is_avoided =
             |server: &ServerId| self.failure_runs.get(server).is_some_and(|run| now < run.avoided_until);
         let is_allowed =
-            |entry: &Entry| !tried.contains(&entry.server) && !self.withdrawn.contains(&entry.server);
+            |entry: &Entry| !tried.contains(&entry.server) && !self.excluded.contains(&entry.server);
         let mut entries: Vec<&mut Entry> =
             table.entries.iter_mut().filter(|entry| is_allowed(entry)).collect();
-        // Where all are avoided, any is better than none.
+        // If all servers are avoided, the request still needs one of them.
         if entries.iter().any(|entry| !is_avoided(&entry.server)) {
             entries.retain(|entry| !is_avoided(&entry.server));
         }
@@ -283,28 +286,29 @@
             return None;
         }
         match self.picks {
-            Picks::Weighted => Some(draw(&entries, total, rng)),
+            Picks::Weighted => Some(draw_by_weight(&entries, total, rng)),
             Picks::Two => {
-                let (first, second) = (draw(&entries, total, rng), draw(&entries, total, rng));
+                let first = draw_by_weight(&entries, total, rng);
+                let second = draw_by_weight(&entries, total, rng);
                 Some(if in_flight(second) < in_flight(first) { second } else { first })
             }
-            Picks::Round => take_turn(&mut entries, total),
+            Picks::Round => pick_in_turn(&mut entries, total),
         }
     }
 }
 
-/// One of the servers, by chance and weight.
-fn draw(entries: &[&mut Entry], total: f32, rng: &mut impl Rng) -> ServerId {
-    let mut left = rng.random_range(0.0..total);
+/// Returns a random server, with a probability in proportion to its weight.
+fn draw_by_weight(entries: &[&mut Entry], total: f32, rng: &mut impl Rng) -> ServerId {
+    let mut remaining = rng.random_range(0.0..total);
     let drawn = entries.iter().find(|entry| {
-        left -= entry.weight;
-        left < 0.0
+        remaining -= entry.weight;
+        remaining < 0.0
     });
     drawn.unwrap_or(&entries[entries.len() - 1]).server
 }
 
-/// The server that is furthest behind its share.
-fn take_turn(entries: &mut [&mut Entry], total: f32) -> Option<ServerId> {
+/// Returns the server that is furthest behind its share of the picks (smooth weighted round robin).
+fn pick_in_turn(entries: &mut [&mut Entry], total: f32) -> Option<ServerId> {
     entries.iter_mut().for_each(|entry| entry.credit += entry.weight);
     let next = entries.iter_mut().max_by(|a, b| a.credit.total_cmp(&b.credit))?;
     next.credit -= total;
--- a/crates/server-model/src/report_aggregator.rs
+++ b/crates/server-model/src/report_aggregator.rs
@@ -1,4 +1,4 @@
-//! What a proxy observed since its last report, summed up by server and route.
+//! Sums up by server and route what a proxy observed since its last report.
 
 use grebespool_wire::{Message, ProxyReport, RouteLoad, ServerId, ServerLoad, ServerMetrics};
 use std::collections::BTreeMap;
@@ -8,13 +8,13 @@
 struct ServerTotals {
     attempts: u32,
     failures: u32,
-    /// The sum of the answered attempts' latencies.
+    /// The sum of the latencies of all answered attempts.
     latency_sum: Duration,
     report: Option<ServerMetrics>,
 }
 
 impl ServerTotals {
-    /// Mean latency in microseconds, 1 at the least; 0 where nothing was answered.
+    /// Returns the mean latency in microseconds: at least 1, or 0 if no attempt was answered.
     fn mean_latency_us(&self) -> u32 {
         match self.attempts - self.failures {
             0 => 0,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Sums up a proxy's attempts and requests until they are reported.
+/// Totals of a proxy's attempts and requests since its last report.
 #[derive(Default)]
 pub struct ReportAggregator {
     servers: BTreeMap<ServerId, ServerTotals>,
@@ -31,12 +31,13 @@
 }
 
 impl ReportAggregator {
-    /// Counts a request of a route.
+    /// Counts a request for a route.
     pub fn request_received(&mut self, route: u8) {
         *self.requests_by_route.entry(route).or_default() += 1;
     }
 
-    /// Counts an attempt at a server: answered after `latency`, or failed. The newest load report that came is kept.
+    /// Counts an attempt at a server, which was answered after `latency`, or failed if that is `None`. The newest load report of each
+    /// server replaces the one before.
     pub fn attempt_finished(
         &mut self,
         server: ServerId,
@@ -52,9 +53,9 @@
         }
     }
 
-    /// The report of everything since the last call.
+    /// Returns the report on everything counted since the last call, and resets the totals.
     pub fn take_report(&mut self) -> Message {
-        let observed = |(server, totals): (ServerId, ServerTotals)| ServerLoad {
+        let server_load = |(server, totals): (ServerId, ServerTotals)| ServerLoad {
             server,
             attempts: totals.attempts,
             dropped: totals.failures,
@@ -64,7 +65,7 @@
         let servers = std::mem::take(&mut self.servers).into_iter();
         let requests = std::mem::take(&mut self.requests_by_route).into_iter();
         Message::ProxyReport(ProxyReport {
-            servers: servers.map(observed).collect(),
+            servers: servers.map(server_load).collect(),
             routes: requests.map(|(route, calls)| RouteLoad { route, calls }).collect(),
         })
     }
--- a/crates/server-model/src/service_level.rs
+++ b/crates/server-model/src/service_level.rs
@@ -1,38 +1,39 @@
-//! The service level of a day, as the users define it: the priority weight of what was answered within its latency objective over that of
-//! all requests, with a client's repeats counted under its first. Beside it, what the day cost.
+//! The service level of a day, as the users define it: the priority weight of the requests that were answered within their latency
+//! objective, divided by the priority weight of all requests. A client's repeats count as part of its first request. The work,
+//! connections and messages of the day are recorded with it.
 
 use serde::{Deserialize, Serialize};
 
-// stored: do not rename what stands in `rename`, nor change the order of fields; reports and sweeps keep these as JSON.
+// stored: change neither the names in `rename` nor the order of the fields; reports and sweeps store these types as JSON.
 
 /// The service level of one route.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouteServiceLevel {
-    /// The name of the route.
+    /// Name of the route.
     pub name: String,
-    /// Requests, repeats not counted.
+    /// Number of requests, without repeats.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// Requests that were answered.
+    /// Number of requests that were answered.
     pub answered: u64,
-    /// Requests that were answered within the latency objective.
+    /// Number of requests that were answered within the latency objective.
     pub in_time: u64,
-    /// Requests that were rejected to shed load.
+    /// Number of requests that were rejected to shed load.
     #[serde(rename = "throttled")]
     pub rejected: u64,
-    /// Median latency of the answered, in milliseconds.
+    /// Median latency of the answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the latency of the answered requests, in milliseconds.
     pub p99_ms: f64,
 }
 
 impl RouteServiceLevel {
-    /// Requests that were answered after the latency objective.
+    /// Returns the number of requests that were answered after the latency objective.
     pub fn late(&self) -> u64 {
         self.answered - self.in_time
     }
 
-    /// Requests that were neither answered nor rejected.
+    /// Returns the number of requests that were neither answered nor rejected.
     pub fn failed(&self) -> u64 {
         self.requests - self.answered - self.rejected
     }
@@ -41,77 +42,77 @@
 /// The service level of one zone's clients.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ZoneServiceLevel {
-    /// The name of the zone.
+    /// Name of the zone.
     pub name: String,
-    /// Requests, repeats not counted.
+    /// Number of requests, without repeats.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// The service level, 0 to 1.
+    /// Service level of the zone's clients, 0 to 1.
     #[serde(rename = "service")]
     pub level: f64,
 }
 
-/// The service level of a day, and what the day cost.
+/// Service level of a day, with the work, connections and messages that the day took.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceLevel {
-    /// The service level of the whole day, 0 to 1.
+    /// Service level of the whole day, 0 to 1.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// That of the worst ten seconds.
+    /// Service level of the worst ten seconds, 0 to 1.
     pub worst: f64,
-    /// By route.
+    /// Service level of each route.
     pub routes: Vec<RouteServiceLevel>,
-    /// By zone.
+    /// Service level of each zone's clients.
     pub zones: Vec<ZoneServiceLevel>,
-    /// Median latency of all that was answered, in milliseconds.
+    /// Median latency of all answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the latency of all answered requests, in milliseconds.
     pub p99_ms: f64,
-    /// 99.9th percentile of the same.
+    /// 99.9th percentile of the latency of all answered requests, in milliseconds.
     pub p999_ms: f64,
-    /// Of the work that servers completed, the share that answered nobody in time.
+    /// Share of the completed work of servers that answered no request in time, 0 to 1.
     #[serde(rename = "wasted")]
     pub wasted_share: f64,
-    /// Of the attempts, the share that went to another zone.
+    /// Share of the attempts that went to another zone, 0 to 1.
     #[serde(rename = "crossings")]
     pub cross_zone_share: f64,
-    /// Attempts for each request.
+    /// Mean number of attempts per request.
     #[serde(rename = "tries")]
     pub attempts_per_request: f64,
-    /// Connections made to servers.
+    /// Number of connections made to servers.
     pub connections: u64,
-    /// Messages sent to proxies.
+    /// Number of messages sent to proxies.
     pub messages: u64,
-    /// Parts of these messages: weight entries and the like.
+    /// Number of changes in these messages, such as weight entries.
     #[serde(rename = "lines")]
     pub entries: u64,
-    /// How often proxies joined.
+    /// Number of times that a proxy joined.
     pub joins: u64,
-    /// The service level of each [`ServiceLevel::STEP_S`], by when requests were due.
+    /// Service level of each period of [`ServiceLevel::STEP_S`], by the time at which the requests were due.
     #[serde(rename = "course")]
     pub over_time: Vec<f64>,
 }
 
 impl ServiceLevel {
-    /// Seconds that each item of [`Self::over_time`] stands for.
+    /// Length of the period of each item of [`Self::over_time`], in seconds.
     pub const STEP_S: u64 = 2;
 
-    /// Rejected requests of all routes.
+    /// Returns the number of rejected requests of all routes.
     pub fn rejected(&self) -> u64 {
         self.routes.iter().map(|route| route.rejected).sum()
     }
 
-    /// Late requests of all routes.
+    /// Returns the number of late requests of all routes.
     pub fn late(&self) -> u64 {
         self.routes.iter().map(RouteServiceLevel::late).sum()
     }
 
-    /// Failed requests of all routes.
+    /// Returns the number of failed requests of all routes.
     pub fn failed(&self) -> u64 {
         self.routes.iter().map(RouteServiceLevel::failed).sum()
     }
 
-    /// Requests of all routes.
+    /// Returns the number of requests of all routes.
     pub fn requests(&self) -> u64 {
         self.routes.iter().map(|route| route.requests).sum()
     }
--- a/crates/server-model/src/service_level_recorder.rs
+++ b/crates/server-model/src/service_level_recorder.rs
@@ -1,4 +1,4 @@
-//! Works the service level out as a day goes on, holding only the requests that are in flight.
+//! Computes the service level from a day's events one by one; of the requests, only those in flight are held in memory.
 
 use crate::service_level::{RouteServiceLevel, ServiceLevel, ZoneServiceLevel};
 use grebespool_invariants::{Passed, Record};
@@ -8,13 +8,13 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Seconds of the worst period.
+/// Length of the worst period, in seconds.
 const WORST_PERIOD_S: usize = 10;
-/// Significant digits of recorded latencies.
+/// Number of significant digits of recorded latencies.
 const LATENCY_DIGITS: u8 = 3;
 const US_PER_MS: f64 = 1000.0;
 
-/// Priority weight of requests, and of those that were answered in time.
+/// Priority weight of all requests, and of the requests that were answered in time.
 #[derive(Debug, Clone, Copy, Default)]
 struct WeightTotals {
     requested: f64,
@@ -22,16 +22,18 @@
 }
 
 impl WeightTotals {
+    /// Returns the service level, 0 to 1; 1 if there were no requests.
     fn level(self) -> f64 {
         if self.requested > 0.0 { self.in_time / self.requested } else { 1.0 }
     }
 
-    fn with(self, other: &WeightTotals) -> WeightTotals {
+    fn plus(self, other: &WeightTotals) -> WeightTotals {
         WeightTotals { requested: self.requested + other.requested, in_time: self.in_time + other.in_time }
     }
 
-    fn level_of(parts: &[WeightTotals]) -> f64 {
-        parts.iter().fold(WeightTotals::default(), WeightTotals::with).level()
+    /// Returns the service level of consecutive periods taken together.
+    fn level_of(periods: &[WeightTotals]) -> f64 {
+        periods.iter().fold(WeightTotals::default(), WeightTotals::plus).level()
     }
 }
 
@@ -56,7 +58,7 @@
                 p50_ms: 0.0,
                 p99_ms: 0.0,
             },
-            latencies: latencies(),
+            latencies: new_histogram(),
         }
     }
 
@@ -82,13 +84,14 @@
     work_us: u32,
 }
 
-/// Records the events of a day.
+/// Recorder of a day's events, from which it computes the service level.
 pub struct ServiceLevelRecorder {
     routes: Vec<RouteRecord>,
     zone_names: Vec<String>,
     zones: Vec<ZoneRecord>,
     in_flight: BTreeMap<u64, InFlight>,
     latencies: Histogram<u64>,
+    /// Totals of each second of the day, by the time at which the requests were due.
     seconds: Vec<WeightTotals>,
     zone_by_server: BTreeMap<ServerId, u16>,
     work_us: u64,
@@ -101,7 +104,7 @@
     joins: u64,
 }
 
-fn latencies() -> Histogram<u64> {
+fn new_histogram() -> Histogram<u64> {
     Histogram::new(LATENCY_DIGITS).expect("a histogram takes up to five digits")
 }
 
@@ -113,20 +116,20 @@
     latencies.value_at_quantile(quantile) as f64 / US_PER_MS
 }
 
-/// A part of a total; 0 of none.
+/// Returns a part divided by its total; 0 if the total is 0.
 fn share(part: u64, total: u64) -> f64 {
     if total > 0 { part as f64 / total as f64 } else { 0.0 }
 }
 
 impl ServiceLevelRecorder {
-    /// A day without events.
+    /// Creates the recorder of a day without events.
     pub fn new(deployment: &Deployment) -> ServiceLevelRecorder {
         ServiceLevelRecorder {
             routes: deployment.routes.iter().map(RouteRecord::new).collect(),
             zone_names: deployment.zones.clone(),
             zones: vec![ZoneRecord::default(); deployment.zones.len()],
             in_flight: BTreeMap::new(),
-            latencies: latencies(),
+            latencies: new_histogram(),
             seconds: vec![],
             zone_by_server: BTreeMap::new(),
             work_us: 0,
@@ -140,14 +143,14 @@
         }
     }
 
-    /// The service level of a whole record.
+    /// Returns the service level of a whole record.
     pub fn of_record(record: &Record, deployment: &Deployment) -> ServiceLevel {
         let mut recorder = ServiceLevelRecorder::new(deployment);
         record.passed.iter().for_each(|(at, event)| recorder.record(*at, event));
         recorder.finish()
     }
 
-    /// Records an event at a time since the day's beginning.
+    /// Records an event; `at` is the time since the beginning of the day.
     pub fn record(&mut self, at: Duration, event: &Passed) {
         match event {
             Passed::Asked { id, route, zone, work_us, .. } => {
@@ -163,10 +166,11 @@
             }
             Passed::Sent { server, call, .. } => {
                 self.attempts += 1;
-                let to = self.zone_by_server.get(server);
-                let from = self.in_flight.get(&call.id).map(|request| request.zone);
-                let crosses = to.zip(from).is_some_and(|(to, from)| *to != from);
-                self.cross_zone_attempts += u64::from(crosses);
+                let server_zone = self.zone_by_server.get(server);
+                let client_zone = self.in_flight.get(&call.id).map(|request| request.zone);
+                let is_remote =
+                    server_zone.zip(client_zone).is_some_and(|(server, client)| *server != client);
+                self.cross_zone_attempts += u64::from(is_remote);
             }
             Passed::Answered { call, outcome: CallOutcome::Answered, .. } => {
                 self.work_us += u64::from(call.work_us);
@@ -229,7 +233,7 @@
         }
     }
 
-    /// The service level of what was recorded; requests in flight count as failed.
+    /// Returns the service level of the recorded events. Requests still in flight count as failed.
     pub fn finish(self) -> ServiceLevel {
         let overall = WeightTotals::level_of(&self.seconds);
         let periods = self.seconds.windows(WORST_PERIOD_S).map(WeightTotals::level_of);
--- a/crates/server-model/tests/server_model.rs
+++ b/crates/server-model/tests/server_model.rs
@@ -1,4 +1,4 @@
-//! The proxies' tables and picks, and a server's work beside what queueing theory gives.
+//! Tests of the proxies' tables and picks, and of a server's work compared with queueing theory.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
@@ -20,12 +20,12 @@
     ServerId { addr: ([127, 0, 0, 1], 9000 + n as u16).into(), number: n }
 }
 
-fn update(start: u64, stream: u32, seq: u64, changes: Vec<Change>) -> Update {
+fn update(incarnation: u64, stream: u32, sequence: u64, changes: Vec<Change>) -> Update {
     Update {
         term: 0,
-        incarnation: start,
+        incarnation,
         stream,
-        sequence: seq,
+        sequence,
         created_us: 0,
         endpoints_version: 0,
         cause: UpdateCause::ProxyJoined,
@@ -50,24 +50,27 @@
 }
 
 #[rstest]
-#[case::next(1, 1, 2, Ok(Some(9)))]
-#[case::repeated(1, 1, 1, Err(StaleUpdateError))]
-#[case::former_stream(1, 0, 2, Err(StaleUpdateError))]
-#[case::other_start(2, 1, 2, Err(StaleUpdateError))]
+#[case::next_sequence(1, 1, 2, Ok(Some(9)))]
+#[case::repeated_sequence(1, 1, 1, Err(StaleUpdateError))]
+#[case::older_stream(1, 0, 2, Err(StaleUpdateError))]
+#[case::other_incarnation(2, 1, 2, Err(StaleUpdateError))]
 fn applies_only_newer_updates_of_the_stream(
-    #[case] start: u64,
+    #[case] incarnation: u64,
     #[case] stream: u32,
-    #[case] seq: u64,
+    #[case] sequence: u64,
     #[case] applied: Result<Option<u16>, StaleUpdateError>,
 ) {
     let mut tables = bound_tables(Picks::Weighted, &[1.0, 1.0]);
-    let line = Change::SetWeight(WeightChange { table: 0, version: 2, server: id(0), weight: 0.0 });
-    assert_eq!(tables.apply(&update(start, stream, seq, vec![line, Change::RequestAck(9)])), applied);
+    let removal = Change::SetWeight(WeightChange { table: 0, version: 2, server: id(0), weight: 0.0 });
+    assert_eq!(
+        tables.apply(&update(incarnation, stream, sequence, vec![removal, Change::RequestAck(9)])),
+        applied
+    );
     assert_eq!(tables.contains(id(0)), applied.is_err());
 }
 
 #[rstest]
-fn bound_table_replaces_the_initial_one() {
+fn bound_table_replaces_the_initial_table() {
     let tables = bound_tables(Picks::Weighted, &[1.0]);
     assert!(tables.contains(id(0)) && !tables.contains(id(7)) && !tables.is_unconfigured());
     assert_eq!(tables.admission(0), Admission { share: 0.5, retries: RetryPolicy::Never });
@@ -76,8 +79,8 @@
 
 #[rstest]
 #[case::weighted(Picks::Weighted, 0.02)]
-#[case::round(Picks::Round, 0.001)]
-fn picks_follow_weights(#[case] picks: Picks, #[case] off: f64) {
+#[case::in_turn(Picks::Round, 0.001)]
+fn picks_follow_weights(#[case] picks: Picks, #[case] tolerance: f64) {
     let weights = [3.0, 1.0, 0.5, 0.5];
     let (mut tables, mut rng) = (bound_tables(picks, &weights), Pcg64Mcg::seed_from_u64(1));
     let mut picked = BTreeMap::<ServerId, f64>::new();
@@ -87,20 +90,23 @@
     }
     for (i, w) in weights.iter().enumerate() {
         let share = picked[&id(i as u32)];
-        assert!((share - f64::from(*w) / 5.0).abs() < off, "server {i}: {share}");
+        assert!(
+            (share - f64::from(*w) / 5.0).abs() < tolerance,
+            "server {i} was picked for {share} of the requests"
+        );
     }
 }
 
 #[rstest]
-fn of_two_picks_the_one_with_fewer_in_flight() {
+fn picks_the_server_with_fewer_requests_in_flight_of_two_draws() {
     let (mut tables, mut rng) = (bound_tables(Picks::Two, &[1.0, 1.0]), Pcg64Mcg::seed_from_u64(1));
     let mut pick = || tables.pick(Duration::ZERO, &mut rng, 0, &[], |s| s.number as usize * 9).unwrap();
     let idle = (0..1000).filter(|_| pick() == id(0)).count();
-    assert!((700..800).contains(&idle), "{idle} of 1000");
+    assert!((700..800).contains(&idle), "the idle server was picked for {idle} of 1000 requests");
 }
 
 #[rstest]
-fn avoids_server_after_consecutive_failures_unless_it_is_the_last() {
+fn avoids_server_after_consecutive_failures_unless_no_other_is_left() {
     let (mut tables, mut rng) = (bound_tables(Picks::Weighted, &[1.0, 1.0]), Pcg64Mcg::seed_from_u64(1));
     (0..3).for_each(|_| tables.attempt_finished(Duration::ZERO, id(0), false));
     let mut pick = |at, tried: &[ServerId]| tables.pick(at, &mut rng, 0, tried, |_| 0);
@@ -123,22 +129,22 @@
         warm_keys: 0.0,
         refresh: Span(Duration::from_millis(100)),
     };
-    let (warm_up, fall) = (Duration::from_secs(10), Duration::from_secs(1));
+    let (warm_up, overload_window) = (Duration::from_secs(10), Duration::from_secs(1));
     ServerModel::new(
-        ServerSpec { kind, warm_up, overload_multiple: 4.0, overload_window: fall },
+        ServerSpec { kind, warm_up, overload_multiple: 4.0, overload_window },
         1,
         Duration::ZERO,
         cold,
     )
 }
 
-/// The mean wait of requests in an M/M/c queue, by Erlang's formula.
+/// Returns the mean wait of requests in an M/M/c queue in seconds, by Erlang's C formula.
 fn erlang_wait(cores: usize, load: f64, service: f64) -> f64 {
     let a = load * cores as f64;
     let term = |k: usize| (1..=k).fold(1.0, |t, i| t * a / i as f64);
     let last = term(cores) / (1.0 - load);
-    let waits = last / ((0..cores).map(term).sum::<f64>() + last);
-    waits * service / (cores as f64 * (1.0 - load))
+    let wait_probability = last / ((0..cores).map(term).sum::<f64>() + last);
+    wait_probability * service / (cores as f64 * (1.0 - load))
 }
 
 #[rstest]
@@ -149,41 +155,42 @@
     let (mut server, mut rng) = (server(cores, false), Pcg64Mcg::seed_from_u64(5));
     let service = 0.02;
     let mut exp = |mean: f64| -mean * rng.random_range(f64::EPSILON..1.0f64).ln();
-    let (mut now, mut took, mut arrived) = (0.0, 0.0, BTreeMap::new());
-    let calls = 400_000;
-    let mut done = |server: &mut ServerModel, until: Option<Duration>, arrived: &mut BTreeMap<u64, f64>| {
-        while let Some(due) = server.next_completion().filter(|d| until.is_none_or(|u| *d <= u)) {
-            for ticket in server.take_completed(due) {
-                took += due.as_secs_f64() - arrived.remove(&ticket).unwrap();
+    let (mut now, mut total_latency, mut arrivals) = (0.0, 0.0, BTreeMap::new());
+    let requests = 400_000;
+    let mut complete_jobs =
+        |server: &mut ServerModel, until: Option<Duration>, arrivals: &mut BTreeMap<u64, f64>| {
+            while let Some(due) = server.next_completion().filter(|d| until.is_none_or(|u| *d <= u)) {
+                for ticket in server.take_completed(due) {
+                    total_latency += due.as_secs_f64() - arrivals.remove(&ticket).unwrap();
+                }
             }
-        }
-    };
-    for ticket in 0..calls {
+        };
+    for ticket in 0..requests {
         now += exp(service / (load * cores as f64));
         let at = Duration::from_secs_f64(now);
-        done(&mut server, Some(at), &mut arrived);
-        arrived.insert(ticket, now);
+        complete_jobs(&mut server, Some(at), &mut arrivals);
+        arrivals.insert(ticket, now);
         assert!(server.accept(at, ticket, Duration::from_secs_f64(exp(service)), 0));
     }
-    done(&mut server, None, &mut arrived);
-    let (wait, expected) = (took / calls as f64 - service, erlang_wait(cores, load, service));
+    complete_jobs(&mut server, None, &mut arrivals);
+    let (wait, expected) = (total_latency / requests as f64 - service, erlang_wait(cores, load, service));
     assert!(
         (wait / expected - 1.0).abs() < 0.06,
-        "waits {wait:.5} s, Erlang's formula gives {expected:.5} s"
+        "the mean wait is {wait:.5} s, Erlang's formula gives {expected:.5} s"
     );
 }
 
 #[rstest]
-#[case::its_capacity(10, false)]
-#[case::three_times(30, false)]
-#[case::far_more(80, true)]
-fn warming_server_crashes_past_a_multiple_of_its_capacity(#[case] calls: u64, #[case] falls: bool) {
-    // It starts at a quarter of a core: four times that is a second's work each second.
+#[case::at_its_capacity(10, false)]
+#[case::at_three_times_its_capacity(30, false)]
+#[case::far_above_the_multiple(80, true)]
+fn warming_server_crashes_above_a_multiple_of_its_capacity(#[case] requests: u64, #[case] crashes: bool) {
+    // The server starts at a quarter of a core, so four times its capacity is one second of work per second.
     let mut server = server(1, true);
-    for i in 0..calls {
+    for i in 0..requests {
         server.accept(Duration::from_millis(10 * i), i, Duration::from_millis(30), i);
     }
-    assert_eq!(server.crashed, falls);
+    assert_eq!(server.crashed, crashes);
 }
 
 #[rstest]
@@ -203,15 +210,20 @@
 #[case::newer_term(5, true)]
 #[case::older_term(3, false)]
 #[case::planner_without_terms(0, false)]
-fn refuses_terms_older_than_the_newest_seen(#[case] epoch: u64, #[case] applied: bool) {
+fn rejects_terms_older_than_the_newest_accepted(#[case] term: u64, #[case] applied: bool) {
     let mut tables = ProxyTables::new(Picks::Weighted, NEVER_AVOIDS, &[]);
     tables.stream_accepted(7, 1, 4).unwrap();
-    let bind = |term, start| Update { term, ..update(start, 1, 1, vec![Change::RequestAck(3)]) };
-    assert_eq!(tables.apply(&bind(3, 7)), Err(StaleUpdateError), "update of another term than its stream's");
-    assert_eq!(tables.apply(&bind(4, 7)), Ok(Some(3)));
-    // The term is kept over a broken stream.
+    let ack_request =
+        |term, incarnation| Update { term, ..update(incarnation, 1, 1, vec![Change::RequestAck(3)]) };
+    assert_eq!(
+        tables.apply(&ack_request(3, 7)),
+        Err(StaleUpdateError),
+        "an update whose term differs from that of its stream is rejected"
+    );
+    assert_eq!(tables.apply(&ack_request(4, 7)), Ok(Some(3)));
+    // The newest term outlasts a closed stream.
     tables.stream_closed();
-    assert_eq!(tables.stream_accepted(8, 1, epoch).is_ok(), applied);
-    assert_eq!(tables.apply(&bind(epoch, 8)).is_ok(), applied);
-    assert_eq!(tables.term(), epoch.max(4));
+    assert_eq!(tables.stream_accepted(8, 1, term).is_ok(), applied);
+    assert_eq!(tables.apply(&ack_request(term, 8)).is_ok(), applied);
+    assert_eq!(tables.term(), term.max(4));
 }
