--- a/crates/test-cluster/src/connection.rs
+++ b/crates/test-cluster/src/connection.rs
@@ -1,19 +1,19 @@
-//! One connection to a planner, message by message.
+//! A connection to a planner that sends and receives whole messages.
 
 use serde_json::Value;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Encodes a message as a frame: the length in four bytes, most significant first, and the JSON text.
+/// Encodes a message as a frame: the length in four bytes, most significant first, then the JSON text.
 pub fn encode_frame(message: &Value) -> Vec<u8> {
     let body = message.to_string();
     [&(body.len() as u32).to_be_bytes()[..], body.as_bytes()].concat()
 }
 
-/// One connection to a planner.
+/// Connection to a planner.
 pub struct Connection {
-    /// Its socket, for what goes beyond whole messages.
+    /// Socket of the connection, for tests that send or read other than whole messages.
     pub socket: TcpStream,
 }
 
@@ -22,17 +22,17 @@
     ///
     /// # Panics
     ///
-    /// Nobody listens there.
+    /// Panics if no process listens at the address.
     pub fn connect(planner: SocketAddr) -> Connection {
-        Connection { socket: TcpStream::connect(planner).expect("a planner listens") }
+        Connection { socket: TcpStream::connect(planner).expect("a planner listens at the address") }
     }
 
-    /// Sends one message. A connection that has ended takes none, which shows at the next [`Connection::receive`].
+    /// Sends one message. A failure is ignored: the next [`Connection::receive`] shows that the connection has ended.
     pub fn send(&mut self, message: &Value) {
         let _ = self.socket.write_all(&encode_frame(message));
     }
 
-    /// Receives one message; none once the connection has ended or its read timeout has passed.
+    /// Receives one message. Returns `None` if the connection has ended or its read timeout has passed.
     pub fn receive(&mut self) -> Option<Value> {
         let mut header = [0; 4];
         self.socket.read_exact(&mut header).ok()?;
@@ -41,32 +41,33 @@
         serde_json::from_slice(&body).ok()
     }
 
-    /// Limits how long one [`Connection::receive`] may wait.
+    /// Sets how long one [`Connection::receive`] may wait.
     ///
     /// # Panics
     ///
-    /// The limit is zero.
+    /// Panics if the limit is zero.
     pub fn set_read_timeout(&self, limit: Duration) {
-        self.socket.set_read_timeout(Some(limit)).expect("a limit above zero");
+        self.socket.set_read_timeout(Some(limit)).expect("the limit is above zero");
     }
 
-    /// Whether it is closed, or a refusal came, within the limit.
+    /// Returns true if the planner closes the connection or sends a refusal within the limit.
     ///
     /// # Panics
     ///
-    /// The limit is zero.
+    /// Panics if the limit is zero.
     pub fn is_refused(&mut self, limit: Duration) -> bool {
         self.set_read_timeout(limit);
         let mut buffer = [0; 64];
         match self.socket.read(&mut buffer) {
-            // Bytes or an end: either is an answer.
+            // The planner refuses by a NACK or by closing the connection, so both bytes and an end of stream count.
             Ok(length) => length <= buffer.len(),
             Err(error) => !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
         }
     }
 }
 
-/// Opens connections that send nothing, or half a message, and stay open. Fewer where the planner takes no more.
+/// Opens connections that send nothing, or half a message, and stay open. Returns fewer than `count` if the planner accepts
+/// no more.
 pub fn open_idle_connections(planner: SocketAddr, count: usize) -> Vec<TcpStream> {
     const HALF_A_MESSAGE: &[u8] = &[0, 0, 0, 50, b'{', b'"'];
     let open = |number: usize| {
--- a/crates/test-cluster/src/discovery/answer.rs
+++ b/crates/test-cluster/src/discovery/answer.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 answers of discovery, as its behavior has them.
+//! HTTP/1.1 answers of the discovery service, according to its behavior.
 
 use super::{Discovery, DiscoveryBehavior};
 use crate::ms;
@@ -8,22 +8,25 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The pause between two looks at the list or the behavior.
+/// Pause between two checks of the list or the behavior.
 const INTERVAL: Duration = ms(3);
-/// The pause after each byte of an answer that trickles.
+/// Pause after each byte of an answer that trickles.
 const TRICKLE_INTERVAL: Duration = ms(100);
-/// How long a request that is never answered is held.
-const HANG: Duration = ms(60_000);
+/// Time for which a request that is never answered is held open.
+const HANG_DURATION: Duration = ms(60_000);
 
-/// One request for the list.
+/// Request for the endpoint list.
 struct Request {
+    /// Path and query.
     path: String,
+    /// Version that the client has; `None` requests the full list.
     since: Option<u64>,
+    /// Time for which an answer without changes may be delayed.
     wait: Duration,
 }
 
 impl Request {
-    /// Reads one request; none at the end of the connection.
+    /// Reads one request. Returns `None` at the end of the connection.
     fn read(reader: &mut impl BufRead) -> io::Result<Option<Request>> {
         let mut path = String::new();
         let mut line = String::new();
@@ -62,28 +65,28 @@
     Ok(())
 }
 
-/// Waits until the request is to be answered. The behavior at that moment, and the list.
+/// Waits until the request is due for an answer. Returns the behavior at that moment and the list as JSON.
 fn wait_for_answer(discovery: &Discovery, request: &Request) -> (DiscoveryBehavior, String) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
         let behavior = discovery.behavior();
-        if let Some(body) = list_now(discovery, request, behavior, began.elapsed()) {
+        if let Some(body) = list_if_due(discovery, request, behavior, started_at.elapsed()) {
             return (behavior, body);
         }
         thread::sleep(INTERVAL);
     }
 }
 
-/// The list, unless the request waits for changes.
-fn list_now(
+/// Returns the list as JSON, or `None` if the request still waits for changes.
+fn list_if_due(
     discovery: &Discovery,
     request: &Request,
     behavior: DiscoveryBehavior,
     waited: Duration,
 ) -> Option<String> {
     let list = discovery.list();
-    let has_answer = request.since.is_none_or(|since| list.version > since) || waited >= request.wait;
-    if !has_answer && behavior.waits_for_changes() {
+    let is_due = request.since.is_none_or(|since| list.version > since) || waited >= request.wait;
+    if !is_due && behavior.waits_for_changes() {
         return None;
     }
     let since = request.since.filter(|_| behavior != DiscoveryBehavior::SendsFullList);
@@ -95,7 +98,7 @@
     Some(json!({"version": version, "full": since.is_none(), "servers": servers}).to_string())
 }
 
-/// Whether the connection stays open.
+/// Writes the answer and returns true if the connection stays open.
 fn write_answer(
     discovery: &Discovery,
     behavior: DiscoveryBehavior,
@@ -124,12 +127,13 @@
             writer.shutdown(Shutdown::Both)?;
             return Ok(false);
         }
-        DiscoveryBehavior::Hangs => thread::sleep(HANG),
+        DiscoveryBehavior::Hangs => thread::sleep(HANG_DURATION),
         DiscoveryBehavior::Trickles => trickle(bytes, writer)?,
     }
     Ok(true)
 }
 
+/// Writes the bytes up to `middle`, and the rest once the behavior changes.
 fn write_in_halves(
     discovery: &Discovery,
     bytes: &[u8],
@@ -145,6 +149,7 @@
     writer.write_all(rest)
 }
 
+/// Writes the bytes one at a time, with a pause after each.
 fn trickle(bytes: &[u8], writer: &mut TcpStream) -> io::Result<()> {
     for byte in bytes {
         writer.write_all(&[*byte])?;
--- a/crates/test-cluster/src/discovery/list.rs
+++ b/crates/test-cluster/src/discovery/list.rs
@@ -1,42 +1,42 @@
-//! The endpoint list that discovery publishes, and what was requested of it.
+//! The endpoint list that the discovery service publishes, and the requests for the list.
 
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
-/// The version of a new list.
+/// Version of a new list.
 const FIRST_VERSION: u64 = 5;
-/// Requests that are remembered.
-const MAX_REQUESTS_KEPT: usize = 500;
+/// Number of requests whose path is recorded.
+const MAX_RECORDED_REQUESTS: usize = 500;
 const STATE_REMOVED: &str = "DELETED";
 
-/// The entry of server number `number`, in one of two zones by that number.
+/// Returns the entry of server number `number`, which is in one of two zones by that number.
 pub fn endpoint(number: usize, state: &str) -> Value {
     endpoint_started_at(number, state, 0)
 }
 
-/// The same of a server that was started at this time, in Unix milliseconds.
+/// Returns the same entry for a server that was started at `started_ms`, in Unix milliseconds.
 pub fn endpoint_started_at(number: usize, state: &str, started_ms: u64) -> Value {
     let zone = ["north", "south"][number % 2];
     json!({"id": format!("s{number}"), "addr": "127.0.0.1:1", "zone": zone, "kind": "k", "cell": 1,
            "state": state, "weight": 1.0, "started_ms": started_ms})
 }
 
-/// An entry and the version that it came with.
+/// Entry and the version in which the entry was published.
 struct Change {
     version: u64,
     entry: Value,
 }
 
-/// The list with all its changes.
+/// Endpoint list with all its changes.
 pub struct PublishedList {
-    /// The latest version.
+    /// Latest version.
     pub version: u64,
     changes: Vec<Change>,
-    /// How many requests came.
+    /// Number of requests received.
     pub request_count: usize,
-    /// Path and query of the first few hundred requests.
+    /// Path and query of the first 500 requests.
     pub requests: Vec<String>,
-    /// Answers of which only half was sent at first.
+    /// Number of answers of which only half was sent at first.
     pub half_answers: usize,
 }
 
@@ -56,12 +56,13 @@
 
     pub(super) fn count_request(&mut self, path: &str) {
         self.request_count += 1;
-        if self.requests.len() < MAX_REQUESTS_KEPT {
+        if self.requests.len() < MAX_RECORDED_REQUESTS {
             self.requests.push(path.into());
         }
     }
 
-    /// The latest entry of each server that has changed since a version, or of all servers that are not removed.
+    /// Returns the latest entry of each server that has changed since a version; without a version, of each server that is not
+    /// removed.
     pub(super) fn entries_since(&self, since: Option<u64>) -> Vec<&Value> {
         let mut latest = BTreeMap::new();
         for change in self.changes.iter().filter(|change| since.is_none_or(|since| change.version > since)) {
--- a/crates/test-cluster/src/discovery/mod.rs
+++ b/crates/test-cluster/src/discovery/mod.rs
@@ -1,5 +1,5 @@
-//! A discovery service: one endpoint list for all planners, and an address for each planner, which can be made to behave
-//! badly by itself.
+//! A discovery service: one endpoint list for all planners, and an address for each planner. The behavior of each address,
+//! such as hanging or resetting connections, is set separately.
 
 mod answer;
 mod list;
@@ -12,61 +12,61 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 
-/// How an address of discovery behaves.
+/// Behavior of one address of the discovery service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DiscoveryBehavior {
-    /// It answers every request as it should.
+    /// Answers every request correctly.
     Answers,
-    /// It takes requests and never answers.
+    /// Accepts requests and never answers.
     Hangs,
-    /// It answers a byte at a time, too slowly.
+    /// Answers one byte at a time, too slowly.
     Trickles,
-    /// It answers with status 503.
+    /// Answers with status 503.
     Unavailable,
-    /// It ends the connection instead of answering.
+    /// Ends the connection instead of answering.
     Resets,
-    /// It sends half of an answer, and the rest once it behaves differently.
+    /// Sends half of an answer, and the rest once another behavior is set.
     SendsHalf,
-    /// It sends so many bytes of an answer and ends the connection.
+    /// Sends this number of bytes of an answer and ends the connection.
     BreaksOff(usize),
-    /// It answers with the full list, whatever was requested.
+    /// Answers with the full list, even if changes were requested.
     SendsFullList,
-    /// It answers with changes up to a version before the one that was known.
+    /// Answers with changes up to the version before the one that the client has.
     VersionGoesBack,
 }
 
 impl DiscoveryBehavior {
-    /// Whether a request without changes waits for some. The other behaviors show at once.
+    /// Returns true if a request waits until there are changes. The other behaviors take effect at once.
     fn waits_for_changes(self) -> bool {
         use DiscoveryBehavior::{Answers, BreaksOff, SendsHalf};
         matches!(self, Answers | SendsHalf | BreaksOff(_))
     }
 }
 
-/// The service at one of its addresses.
+/// Discovery service at one of its addresses. Clones share the list and the behavior.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Address at which the service listens.
     pub address: SocketAddr,
     list: Arc<Mutex<PublishedList>>,
     behavior: Arc<Mutex<DiscoveryBehavior>>,
 }
 
 impl Discovery {
-    /// A service that lists so many servers, all serving.
+    /// Starts a service that lists `servers` servers, all of them serving.
     ///
     /// # Panics
     ///
-    /// No port is free.
+    /// Panics if no port is free.
     pub fn new(servers: usize) -> Discovery {
         Self::listen(Arc::new(Mutex::new(PublishedList::new(servers))))
     }
 
-    /// The same list at another address.
+    /// Starts another address of the service, with the same list and its own behavior.
     ///
     /// # Panics
     ///
-    /// No port is free.
+    /// Panics if no port is free.
     pub fn another_address(&self) -> Discovery {
         Self::listen(self.list.clone())
     }
@@ -86,34 +86,34 @@
         discovery
     }
 
-    /// The list, as all addresses publish it.
+    /// Locks and returns the list, which all addresses share.
     ///
     /// # Panics
     ///
-    /// A thread has panicked while it held the list.
+    /// Panics if a thread has panicked with the list locked.
     pub fn list(&self) -> MutexGuard<'_, PublishedList> {
-        self.list.lock().expect("nobody panics with the lock")
+        self.list.lock().expect("no thread panics with the lock held")
     }
 
-    /// Publishes a new version, with these entries changed.
+    /// Publishes a new version of the list in which `entries` are changed.
     ///
     /// # Panics
     ///
-    /// A thread has panicked while it held the list.
+    /// Panics if a thread has panicked with the list locked.
     pub fn publish(&self, entries: &[Value]) {
         self.list().publish(entries);
     }
 
-    /// How this address behaves from now on.
+    /// Sets the behavior of this address from now on.
     ///
     /// # Panics
     ///
-    /// A thread has panicked while it held the behavior.
+    /// Panics if a thread has panicked with the behavior locked.
     pub fn set_behavior(&self, behavior: DiscoveryBehavior) {
-        *self.behavior.lock().expect("nobody panics with the lock") = behavior;
+        *self.behavior.lock().expect("no thread panics with the lock held") = behavior;
     }
 
     fn behavior(&self) -> DiscoveryBehavior {
-        *self.behavior.lock().expect("nobody panics with the lock")
+        *self.behavior.lock().expect("no thread panics with the lock held")
     }
 }
--- a/crates/test-cluster/src/fleet/collector.rs
+++ b/crates/test-cluster/src/fleet/collector.rs
@@ -1,4 +1,4 @@
-//! Collectors, which report the attempts of a zone's proxies, and the proxies' own reports of usage.
+//! Collectors, which report the attempts of a zone's proxies, and the usage reports of the proxies.
 
 use super::load::{AttemptTotals, Attempts, ReportKey};
 use super::server::SimulatedServer;
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A collector of one zone at one planner.
+/// Collector that reports on one zone to one planner.
 pub(super) struct Collector {
     planner: usize,
     zone: usize,
@@ -17,13 +17,13 @@
 }
 
 impl Collector {
-    /// One for each zone at each planner.
+    /// Creates a collector for each zone at each planner.
     pub(super) fn for_all(planners: usize) -> Vec<Collector> {
         let zones_of = |planner| (0..ZONES.len()).map(move |zone| Collector { planner, zone, socket: None });
         (0..planners).flat_map(zones_of).collect()
     }
 
-    /// Sends the reports of its zone. It connects first where that is needed.
+    /// Sends the reports of the collector's zone. Connects to the planner first if there is no connection.
     fn send(
         &mut self,
         planner: SocketAddr,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A report on one server. One that is down answers nothing and sends no metrics.
+/// Returns a report on one server. The report on a server that is down has neither a latency nor metrics.
 fn server_report(key: &ReportKey, attempts: Attempts, interval_ms: f64, server: &SimulatedServer) -> Value {
     let mut report = json!({
         "msg": "LOAD", "locality": ZONES[key.zone], "endpoint": format!("s{}", key.server),
--- a/crates/test-cluster/src/fleet/load.rs
+++ b/crates/test-cluster/src/fleet/load.rs
@@ -1,18 +1,18 @@
-//! What the proxies' tables send to the servers, and what these have time for.
+//! The load that the proxies' tables put on the servers, and how much of the load the servers can serve.
 
 use super::Fleet;
 use super::server::LoadSample;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Milliseconds of one [`ServiceSlot`].
+/// Length of one [`ServiceSlot`], in milliseconds.
 const SLOT_MS: u128 = 100;
-/// A capacity to divide by where a server has none.
-pub(super) const SMALLEST_CAPACITY: f64 = 1e-9;
-/// Stands for the planner of a proxy that has joined none.
+/// Divisor that replaces a server's capacity if the capacity is zero; in requests.
+pub(super) const MIN_CAPACITY: f64 = 1e-9;
+/// Planner number of the attempts of a proxy that has not joined a planner.
 const NO_PLANNER: usize = usize::MAX;
 
-/// Whose attempts are counted together.
+/// Key by which attempts are counted: the planner and the zone of the proxies, and the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ReportKey {
     pub(super) planner: usize,
@@ -29,21 +29,21 @@
 
 pub(super) type AttemptTotals = BTreeMap<ReportKey, Attempts>;
 
-/// Requests of a tenth of a second.
+/// Requests of one slot of [`SLOT_MS`], and how many of them were served.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ServiceSlot {
     requests: f64,
     served: f64,
 }
 
-/// Work that a proxy sends to a server.
+/// Attempts that a proxy sends to a server; `amount` is their number.
 struct Work {
     planner: usize,
     zone: usize,
     amount: f64,
 }
 
-/// Work by server, in the order in which it was sent.
+/// Work by server, in the order in which the work was sent.
 type WorkByServer = BTreeMap<usize, Vec<Work>>;
 
 fn total(work: &[Work]) -> f64 {
@@ -51,17 +51,17 @@
 }
 
 impl Fleet {
-    /// The part of the requests since `from` that found a server with time for them.
+    /// Returns the share of the requests since `from` that were served; 1 if there were no requests.
     pub fn served_share(&self, from: Duration) -> f64 {
         let (mut requests, mut served) = (0.0, 0.0);
-        for slot in self.service.iter().skip(slot_of(from)) {
+        for slot in self.service.iter().skip(slot_index(from)) {
             requests += slot.requests;
             served += slot.served;
         }
         if requests > 0.0 { served / requests } else { 1.0 }
     }
 
-    /// The load of the last `seconds`.
+    /// Computes the load of the last `seconds` and counts its attempts and requests.
     pub(super) fn compute_load(&mut self, now: Duration, seconds: f64) {
         let capacity: Vec<f64> = self
             .servers
@@ -72,14 +72,14 @@
         let requests = self.send_first_attempts(seconds, &mut work);
         self.send_retries(seconds, &capacity, &mut work);
         let served = self.serve(now, &capacity, work);
-        let slot = slot_of(now);
+        let slot = slot_index(now);
         self.service.resize(self.service.len().max(slot + 1), ServiceSlot::default());
         let ServiceSlot { requests: earlier_requests, served: earlier_served } = self.service[slot];
         self.service[slot] =
             ServiceSlot { requests: earlier_requests + requests, served: earlier_served + served };
     }
 
-    /// Gives how many requests came to the proxies.
+    /// Sends the first attempt of each admitted request, and returns the number of requests that arrived at the proxies.
     fn send_first_attempts(&mut self, seconds: f64, work: &mut WorkByServer) -> f64 {
         let mut all_requests = 0.0;
         for proxy in &mut self.proxies {
@@ -94,7 +94,7 @@
         all_requests
     }
 
-    /// What a full server rejects comes again at the others of the proxy's table.
+    /// Sends the attempts that a full server rejects to the other servers of the proxy's table.
     fn send_retries(&self, seconds: f64, capacity: &[f64], work: &mut WorkByServer) {
         let rejected_share = |(server, capacity): (usize, &f64)| {
             let offered: f64 = work.get(&server).map_or(0.0, |work| total(work));
@@ -103,15 +103,15 @@
         let rejected: Vec<f64> = capacity.iter().enumerate().map(rejected_share).collect();
         for proxy in self.proxies.iter().filter(|proxy| proxy.retries) {
             let (planner, zone) = (proxy.planner().unwrap_or(NO_PLANNER), proxy.zone);
-            for (server, first) in proxy.spread(proxy.rate * seconds * proxy.admitted, None) {
-                for (other, amount) in proxy.spread(first * rejected[server], Some(server)) {
+            for (server, first_attempts) in proxy.spread(proxy.rate * seconds * proxy.admitted, None) {
+                for (other, amount) in proxy.spread(first_attempts * rejected[server], Some(server)) {
                     work.entry(other).or_default().push(Work { planner, zone, amount });
                 }
             }
         }
     }
 
-    /// Gives how many attempts found time.
+    /// Serves each server's attempts up to its capacity, and returns the number of attempts that were served.
     fn serve(&mut self, now: Duration, capacity: &[f64], mut work: WorkByServer) -> f64 {
         let mut served = 0.0;
         for (number, server) in self.servers.iter_mut().enumerate() {
@@ -119,7 +119,7 @@
             let (offered, capacity) = (total(&work), capacity[number]);
             let served_share = if offered > capacity { capacity / offered } else { 1.0 };
             served += offered * served_share;
-            server.load = offered / capacity.max(SMALLEST_CAPACITY);
+            server.load = offered / capacity.max(MIN_CAPACITY);
             server.add_sample(LoadSample { at: now, offered, capacity }, self.limits.overload_window);
             for Work { planner, zone, amount } in work {
                 let attempts = self.attempts.entry(ReportKey { planner, zone, server: number }).or_default();
@@ -131,6 +131,6 @@
     }
 }
 
-fn slot_of(at: Duration) -> usize {
+fn slot_index(at: Duration) -> usize {
     (at.as_millis() / SLOT_MS) as usize
 }
--- a/crates/test-cluster/src/fleet/mod.rs
+++ b/crates/test-cluster/src/fleet/mod.rs
@@ -1,8 +1,8 @@
-//! Several planners over one endpoint list, with proxies and collectors that go on to another planner when theirs is lost.
-//! What passes on the sockets is played in the caller's own thread, and the rules are checked as it passes.
+//! Several planners over one endpoint list, with proxies that connect to another planner when theirs is lost, and collectors.
+//! Proxies and collectors run in the caller's thread, which checks the rules after each step.
 //!
-//! Servers are arithmetic: what the proxies' tables send to one, by weight, beside what it has capacity for. So a breach
-//! shows in what the planners ordered, whichever of them did, and not in what the machine had time for.
+//! Servers are only computed: the load that the proxies' tables send to a server, by weight, is compared with its capacity. A
+//! breach therefore follows from the planners' updates and not from the speed of the machine that runs the test.
 
 mod collector;
 mod load;
@@ -26,34 +26,34 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The zones; a proxy or server is in one of them by its number.
+/// Names of the zones; a proxy's or server's number decides its zone.
 const ZONES: [&str; 2] = ["north", "south"];
-/// Requests a second at each proxy.
+/// Requests per second at each proxy.
 const REQUESTS_PER_SECOND: f64 = 10.0;
-/// Descriptors of a planner beyond one for each proxy.
+/// Number of file descriptors that a planner gets beyond one for each proxy.
 const SPARE_DESCRIPTORS: usize = 120;
-/// The pause between two steps.
+/// Pause between two steps.
 const STEP_INTERVAL: Duration = ms(4);
-/// How often load is computed and the rules are checked.
+/// Time between two computations of the load and checks of the rules.
 const LOAD_INTERVAL: Duration = ms(20);
 
-/// The size of a fleet.
+/// Size of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetConfig {
-    /// Planner processes.
+    /// Number of planner processes.
     pub planners: usize,
-    /// Proxies, which ask 10 requests a second each.
+    /// Number of proxies, each with 10 requests per second.
     pub proxies: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// The part of the servers' capacity that these requests take.
+    /// Share of the servers' capacity that these requests take, 0 to 1.
     pub utilization: f64,
-    /// How long a server takes from its start to full capacity.
+    /// Time from a server's start to its full capacity.
     pub warm_up: Duration,
 }
 
 impl FleetConfig {
-    /// A fleet of this size, whose servers warm up in 4 s.
+    /// Returns the configuration of a fleet of this size whose servers warm up in 4 s.
     pub fn new(planners: usize, proxies: usize, servers: usize, utilization: f64) -> Self {
         FleetConfig { planners, proxies, servers, utilization, warm_up: ms(4000) }
     }
@@ -65,57 +65,57 @@
         settings
     }
 
-    /// Requests a second that one server has time for.
+    /// Returns the capacity of one server, in requests per second.
     fn server_capacity(&self) -> f64 {
         REQUESTS_PER_SECOND * self.proxies as f64 / self.utilization / self.servers as f64
     }
 }
 
-/// Planners, proxies, collectors and servers, played from one thread.
+/// Planners, proxies, collectors and servers, driven from one thread.
 pub struct Fleet {
-    began: Instant,
-    /// The machines' clock at the start, in Unix milliseconds.
+    started_at: Instant,
+    /// System time at the start, in Unix milliseconds.
     unix_ms: u64,
-    /// The figures of the rules.
+    /// Limits of the rules.
     pub limits: RuleLimits,
-    /// The endpoint list.
+    /// Discovery service with the endpoint list.
     pub discovery: Discovery,
-    /// The address of discovery that each planner has.
+    /// Address of the discovery service that each planner uses.
     pub planner_discoveries: Vec<Discovery>,
-    /// The planners.
+    /// Planners, by number.
     pub planners: Vec<PlannerProcess>,
-    /// When each planner first answered after its last start.
+    /// Time at which each planner first answered after its last start.
     answered_at: Vec<Duration>,
-    /// Planners that are cut off: nothing passes to or from them, though their connections stand.
+    /// True for each planner that is cut off: its connections stay open, but no message is sent or read on them.
     pub cut_off: Vec<bool>,
-    /// The servers, by number.
+    /// Servers, by number.
     pub servers: Vec<SimulatedServer>,
-    /// The proxies, by number.
+    /// Proxies, by number.
     pub proxies: Vec<RoamingProxy>,
     collectors: Vec<Collector>,
     warm_up: Duration,
-    /// What a server that has just started has of its capacity.
+    /// Fraction of its full capacity that a server has right after its start.
     pub cold_capacity: f64,
     load_computed_at: Duration,
     reported_at: Duration,
     attempts: AttemptTotals,
-    /// What broke a rule.
+    /// Descriptions of the breaches of rules.
     pub breaches: Vec<String>,
     service: Vec<ServiceSlot>,
-    /// How long a proxy stays with another planner before it tries its own again.
+    /// Time for which a proxy stays with another planner before it tries its home planner again.
     pub homing_interval: Duration,
-    /// The time between two reports.
+    /// Time between two reports.
     pub report_interval: Duration,
-    /// The most that a cold server was sent over the time of the rule, as a multiple of its capacity.
+    /// Greatest load of a cold server over [`RuleLimits::overload_window`], as a multiple of its capacity.
     pub worst_cold_load: f64,
 }
 
 impl Fleet {
-    /// Starts the planners as processes of `program`.
+    /// Starts the planners as processes of `program` (a path).
     ///
     /// # Panics
     ///
-    /// One cannot be started.
+    /// Panics if a planner cannot be started.
     pub fn start(program: &str, config: FleetConfig) -> Fleet {
         let discovery = Discovery::new(config.servers);
         let planner_discoveries: Vec<Discovery> =
@@ -126,9 +126,9 @@
             .map(|discovery| PlannerProcess::start(program, discovery, descriptors, &settings))
             .collect();
         let capacity = config.server_capacity();
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after 1970");
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("the system time is after 1970");
         Fleet {
-            began: Instant::now(),
+            started_at: Instant::now(),
             unix_ms: unix.as_millis() as u64,
             limits: RuleLimits::default(),
             discovery,
@@ -152,12 +152,12 @@
         }
     }
 
-    /// Time since the start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Goes on for so long.
+    /// Runs the fleet for `span`.
     pub fn run(&mut self, span: Duration) {
         let end = self.now() + span;
         while self.now() < end {
@@ -166,15 +166,16 @@
         }
     }
 
-    /// Goes on until the condition holds. Gives how long that took.
+    /// Runs the fleet until the condition holds, and returns how long that took. `what` names the condition in the panic
+    /// message.
     ///
     /// # Panics
     ///
-    /// It does not hold within the limit.
+    /// Panics if the condition does not hold within the limit.
     pub fn run_until(&mut self, what: &str, limit: Duration, holds: impl Fn(&Fleet) -> bool) -> Duration {
         let from = self.now();
         while !holds(self) {
-            assert!(self.now() - from < limit, "not within {limit:?}: {what}");
+            assert!(self.now() - from < limit, "condition not met within {limit:?}: {what}");
             self.run(ms(5));
         }
         self.now() - from
@@ -196,39 +197,39 @@
         }
     }
 
-    /// Whether every proxy has joined some planner and has a table.
+    /// Returns true if every proxy has joined a planner and has a table.
     pub fn is_settled(&self) -> bool {
         self.proxies.iter().all(|proxy| proxy.planner().is_some() && !proxy.table.is_empty())
     }
 
-    /// How many proxies have joined a planner.
+    /// Returns the number of proxies that have joined a planner.
     pub fn joined_count(&self, planner: usize) -> usize {
         self.proxies.iter().filter(|proxy| proxy.planner() == Some(planner)).count()
     }
 
-    /// Ends a planner as a planned restart does, and starts it again after so long.
+    /// Ends a planner by SIGTERM as a planned restart does, and starts it again after `down`.
     ///
     /// # Panics
     ///
-    /// It does not run, or does not start again.
+    /// Panics if the planner does not run or does not start again.
     pub fn restart_planner(&mut self, planner: usize, down: Duration) {
         self.planners[planner].signal("TERM");
         self.run(down);
         self.start_planner_again(planner);
     }
 
-    /// Starts a planner that has ended, or kills and starts it.
+    /// Starts a planner again, and kills it first if it still runs.
     ///
     /// # Panics
     ///
-    /// It does not start.
+    /// Panics if the planner does not start.
     pub fn start_planner_again(&mut self, planner: usize) {
         self.planners[planner].restart();
         self.answered_at[planner] = self.now();
     }
 
-    /// Starts new servers in place of some, which drain from now on. As many of each zone come as go, where the old ones
-    /// are a run of numbers.
+    /// Starts a new server for each of the servers `old`, and drains those. Each zone keeps its number of servers if the
+    /// numbers in `old` are consecutive.
     pub fn replace_servers(&mut self, old: &[usize]) {
         let now = self.now();
         let first_new = self.servers.len();
@@ -237,22 +238,22 @@
         for number in first_new..first_new + old.len() {
             self.servers.push(SimulatedServer::new(capacity, Some(now)));
             let started_ms = self.unix_ms + now.as_millis() as u64;
-            changes.push(endpoint_started_at(number, ServerState::Serving.listed(), started_ms));
+            changes.push(endpoint_started_at(number, ServerState::Serving.wire_name(), started_ms));
         }
         for number in old {
             self.servers[*number].drain(now);
-            changes.push(endpoint_started_at(*number, ServerState::Draining.listed(), 0));
+            changes.push(endpoint_started_at(*number, ServerState::Draining.wire_name(), 0));
         }
         self.discovery.publish(&changes);
     }
 
-    /// Removes the servers that drain.
+    /// Removes the servers that are draining from the endpoint list.
     pub fn remove_drained_servers(&mut self) {
         self.servers.iter_mut().for_each(SimulatedServer::remove_if_drained);
         let servers = self.servers.iter().enumerate();
         let removed = servers.filter(|(_, server)| server.state() == ServerState::Removed);
         let changes: Vec<Value> = removed
-            .map(|(number, _)| endpoint_started_at(number, ServerState::Removed.listed(), 0))
+            .map(|(number, _)| endpoint_started_at(number, ServerState::Removed.wire_name(), 0))
             .collect();
         self.discovery.publish(&changes);
     }
--- a/crates/test-cluster/src/fleet/proxy.rs
+++ b/crates/test-cluster/src/fleet/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies that go on to the next planner when theirs is lost, and home again later.
+//! Proxies that connect to the next planner when theirs is lost, and return to their home planner later.
 
 use super::{Fleet, REQUESTS_PER_SECOND, ZONES};
 use crate::connection::encode_frame;
@@ -10,35 +10,35 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Bytes read at a time.
+/// Number of bytes read at a time.
 const READ_LENGTH: usize = 16 << 10;
-/// The pause between the first connections of two proxies.
+/// Pause between the first connections of two proxies, in milliseconds.
 const FIRST_CONNECT_INTERVAL_MS: u64 = 3;
 
-/// A proxy of a fleet.
+/// Proxy of a fleet.
 pub struct RoamingProxy {
     pub(super) node: usize,
     pub(super) zone: usize,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
     pub(super) stream: Option<Stream>,
     next_planner: usize,
     connect_at: Duration,
     /// Weights by the server's number.
     pub table: BTreeMap<usize, f64>,
-    /// The part of its requests that it admits.
+    /// Admitted fraction of the requests, 0 to 1.
     pub admitted: f64,
-    /// Whether an attempt at a full server is made again at another.
+    /// True if an attempt at a full server is retried at another.
     pub(super) retries: bool,
-    /// Since when it has had no server that it could use.
+    /// Time since which the proxy has had no server that it can use.
     pub(super) unusable_since: Option<Duration>,
-    /// How many full tables came to it.
+    /// Number of full tables received.
     pub full_tables: usize,
-    /// Requests since the last report.
+    /// Number of requests since the last report.
     pub(super) unreported_requests: f64,
 }
 
-/// A proxy's stream to its planner.
+/// Stream from a proxy to its planner.
 pub(super) struct Stream {
     pub(super) planner: usize,
     pub(super) opened_at: Duration,
@@ -46,9 +46,9 @@
     unread: Vec<u8>,
 }
 
-/// Whether bytes came, or the stream has ended.
+/// State of a stream after a read.
 #[derive(PartialEq)]
-enum StreamEnd {
+enum StreamState {
     Open,
     Ended,
 }
@@ -71,14 +71,14 @@
         }
     }
 
-    /// The planner that it has joined.
+    /// Returns the number of the planner that the proxy has joined, if any.
     pub(super) fn planner(&self) -> Option<usize> {
         self.stream.as_ref().map(|stream| stream.planner)
     }
 
-    /// Whether it is to connect now. One that is with another planner leaves it for its own after a while: that somebody
-    /// is there again shows only by connecting.
-    fn is_to_connect(&mut self, now: Duration, planners: usize, homing_interval: Duration) -> bool {
+    /// Returns true if the proxy should connect now. A proxy that has joined another planner leaves it for its home planner
+    /// after `homing_interval`, because only a connection shows whether the home planner runs again.
+    fn should_connect(&mut self, now: Duration, planners: usize, homing_interval: Duration) -> bool {
         if now < self.connect_at {
             return false;
         }
@@ -92,7 +92,7 @@
         true
     }
 
-    /// The pause before the next connection: neither all at once nor by chance.
+    /// Returns the pause before the next connection, which is spread over the proxies by their number and not random.
     fn reconnect_delay(&self) -> Duration {
         ms(100 + (37 * self.node as u64) % 300)
     }
@@ -129,12 +129,12 @@
         if let Some(retries) = update.retries() {
             self.retries = retries;
         }
-        if let (Some(mark), Some(stream)) = (update.mark(), &mut self.stream) {
-            stream.send(&json!({"msg": "ACK", "node": self.node, "nonce": mark, "latency": 1.5}));
+        if let (Some(ticket), Some(stream)) = (update.ack_ticket(), &mut self.stream) {
+            stream.send(&json!({"msg": "ACK", "node": self.node, "nonce": ticket, "latency": 1.5}));
         }
     }
 
-    /// So much work spread by the table's weights, over all of its servers but one.
+    /// Returns `work` spread by the table's weights over all servers of the table but `except`.
     pub(super) fn spread(&self, work: f64, except: Option<usize>) -> Vec<(usize, f64)> {
         let weights = || self.table.iter().filter(|(server, _)| Some(**server) != except);
         let sum: f64 = weights().map(|(_, weight)| weight).sum();
@@ -142,7 +142,8 @@
     }
 }
 
-/// The planner that a proxy belongs to. Neighbours in number are in different zones, so two of them share one.
+/// Returns the planner that a proxy joins first and returns to. Each pair of proxies with consecutive numbers, one of each zone,
+/// shares a home planner.
 fn home_planner(node: usize, planners: usize) -> usize {
     node / 2 % planners
 }
@@ -152,19 +153,20 @@
         let _ = self.socket.write_all(&encode_frame(message));
     }
 
-    /// Reads what has come.
-    fn read(&mut self) -> StreamEnd {
+    /// Reads all bytes that have arrived.
+    fn read(&mut self) -> StreamState {
         let mut buffer = [0; READ_LENGTH];
         loop {
             match self.socket.read(&mut buffer) {
-                Ok(0) => return StreamEnd::Ended,
+                Ok(0) => return StreamState::Ended,
                 Ok(length) => self.unread.extend(&buffer[..length]),
-                Err(error) if is_empty_for_now(&error) => return StreamEnd::Open,
-                Err(_) => return StreamEnd::Ended,
+                Err(error) if would_block(&error) => return StreamState::Open,
+                Err(_) => return StreamState::Ended,
             }
         }
     }
 
+    /// Takes the first whole message from the bytes that were read.
     fn next_message(&mut self) -> Option<Value> {
         let header = self.unread.first_chunk::<4>()?;
         let end = header.len() + u32::from_be_bytes(*header) as usize;
@@ -175,7 +177,7 @@
     }
 }
 
-fn is_empty_for_now(error: &io::Error) -> bool {
+fn would_block(error: &io::Error) -> bool {
     error.kind() == ErrorKind::WouldBlock
 }
 
@@ -183,7 +185,7 @@
     pub(super) fn connect_proxy(&mut self, now: Duration, node: usize) {
         let planners = self.planners.len();
         let proxy = &mut self.proxies[node];
-        if !proxy.is_to_connect(now, planners, self.homing_interval) {
+        if !proxy.should_connect(now, planners, self.homing_interval) {
             return;
         }
         let planner = proxy.next_planner;
@@ -198,7 +200,7 @@
         if self.cut_off[stream.planner] {
             return;
         }
-        if stream.read() == StreamEnd::Ended {
+        if stream.read() == StreamState::Ended {
             return proxy.stream_ended(now);
         }
         while let Some(message) = proxy.stream.as_mut().and_then(Stream::next_message) {
--- a/crates/test-cluster/src/fleet/rules.rs
+++ b/crates/test-cluster/src/fleet/rules.rs
@@ -1,22 +1,22 @@
-//! The rules of the service, checked on what the proxies hold and what the servers are sent.
+//! The rules of the service, checked against the proxies' tables and the load of the servers.
 
 use super::Fleet;
-use super::load::SMALLEST_CAPACITY;
+use super::load::MIN_CAPACITY;
 use crate::ms;
 use std::time::Duration;
 
-/// The figures of the rules, with the platform's slack.
+/// Limits of the rules, with the platform's slack included.
 #[derive(Debug, Clone, Copy)]
 pub struct RuleLimits {
-    /// How long a joined proxy may have no server that it can use.
+    /// Longest time for which a joined proxy may have no server that it can use.
     pub without_server: Duration,
-    /// How long a proxy may go on naming a server that drains.
+    /// Longest time for which a proxy's table may have a server that drains.
     pub drain_grace: Duration,
-    /// How much of its capacity a cold server may be sent over `overload_window`.
+    /// Multiple of its capacity that a cold server may be sent over `overload_window`.
     pub overload_multiple: f64,
-    /// The time over which that is summed.
+    /// Time over which the load of a cold server is summed up.
     pub overload_window: Duration,
-    /// No time limit starts earlier than this after a planner first answered.
+    /// Shortest time from a planner's first answer to the start of any time limit.
     pub settling: Duration,
 }
 
@@ -42,30 +42,33 @@
         }
     }
 
-    /// Rules 1 and 3: a joined proxy has a server that it can use, and none that drains for longer than the grace.
+    /// Checks rules 1 and 3: a joined proxy has a server that it can use, and its table has no server that has been draining for
+    /// longer than the grace.
     fn check_proxy(&mut self, now: Duration, node: usize) {
         let limits = self.limits;
         let (servers, proxy) = (&self.servers, &mut self.proxies[node]);
-        let usable = proxy.table.keys().any(|server| servers[*server].left_at.is_none());
-        proxy.unusable_since = if usable { None } else { proxy.unusable_since.or(Some(now)) };
+        let has_usable = proxy.table.keys().any(|server| servers[*server].draining_since.is_none());
+        proxy.unusable_since = if has_usable { None } else { proxy.unusable_since.or(Some(now)) };
         let Some(stream) = proxy.stream.as_ref().filter(|stream| !self.cut_off[stream.planner]) else {
             return;
         };
         let planner = stream.planner;
-        let from = stream.opened_at.max(self.answered_at[planner] + limits.settling);
-        let exceeds = |since: Duration, limit| now.saturating_sub(from.max(since)) > limit;
+        let limits_start = stream.opened_at.max(self.answered_at[planner] + limits.settling);
+        let exceeds = |since: Duration, limit| now.saturating_sub(limits_start.max(since)) > limit;
         if proxy.unusable_since.is_some_and(|since| exceeds(since, limits.without_server)) {
-            self.breaches.push(format!("rule 1 at {now:?}: proxy {node} of planner {planner} has no line"));
+            self.breaches
+                .push(format!("rule 1 at {now:?}: proxy {node} of planner {planner} has no usable server"));
         }
         for server in proxy.table.keys() {
-            if servers[*server].left_at.is_some_and(|since| exceeds(since, limits.drain_grace)) {
-                let breach = format!("rule 3 at {now:?}: proxy {node} of planner {planner} holds s{server}");
+            if servers[*server].draining_since.is_some_and(|since| exceeds(since, limits.drain_grace)) {
+                let breach =
+                    format!("rule 3 at {now:?}: proxy {node} of planner {planner} still lists s{server}");
                 self.breaches.push(breach);
             }
         }
     }
 
-    /// Rule 4: a cold server is not sent a multiple of its capacity.
+    /// Checks rule 4: a cold server is not sent more than a multiple of its capacity.
     fn check_cold_load(&mut self, now: Duration, number: usize) {
         let limits = self.limits;
         let server = &self.servers[number];
@@ -78,10 +81,11 @@
             offered += sample.offered;
             capacity += sample.capacity;
         }
-        self.worst_cold_load = self.worst_cold_load.max(offered / capacity.max(SMALLEST_CAPACITY));
+        self.worst_cold_load = self.worst_cold_load.max(offered / capacity.max(MIN_CAPACITY));
         if offered > limits.overload_multiple * capacity {
             let multiple = offered / capacity;
-            self.breaches.push(format!("rule 4 at {now:?}: s{number} was sent {multiple:.1} times its due"));
+            self.breaches
+                .push(format!("rule 4 at {now:?}: s{number} was sent {multiple:.1} times its capacity"));
         }
     }
 }
--- a/crates/test-cluster/src/fleet/server.rs
+++ b/crates/test-cluster/src/fleet/server.rs
@@ -1,9 +1,9 @@
-//! Servers as arithmetic: a capacity that grows after a start.
+//! Simulated servers, each of which is only a capacity that grows after a start.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The state of a server in the endpoint list.
+/// State of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ServerState {
     Serving,
@@ -12,8 +12,8 @@
 }
 
 impl ServerState {
-    /// Its name in the list.
-    pub(crate) fn listed(self) -> &'static str {
+    /// Returns the name of the state in the endpoint list.
+    pub(crate) fn wire_name(self) -> &'static str {
         match self {
             ServerState::Serving => "SERVING",
             ServerState::Draining => "DRAINING",
@@ -22,25 +22,25 @@
     }
 }
 
-/// The load of one moment.
+/// Load of a server in one step.
 pub(super) struct LoadSample {
     pub(super) at: Duration,
-    /// Requests that came.
+    /// Number of attempts that were sent to the server.
     pub(super) offered: f64,
-    /// Requests that there was time for.
+    /// Number of attempts that the server could serve.
     pub(super) capacity: f64,
 }
 
-/// A server.
+/// Simulated server.
 pub struct SimulatedServer {
-    /// Requests a second that it has time for once it is warm.
+    /// Capacity of the warm server, in requests per second.
     pub(super) capacity: f64,
     pub(super) up: bool,
     state: ServerState,
     pub(super) started_at: Option<Duration>,
-    /// Since when it drains or is removed: no proxy should go on naming it.
-    pub(super) left_at: Option<Duration>,
-    /// Requests that came as a multiple of its capacity.
+    /// Time since which the server is draining or removed, so that no proxy's table should have it.
+    pub(super) draining_since: Option<Duration>,
+    /// Attempts of the last step as a multiple of the server's capacity.
     pub(super) load: f64,
     pub(super) recent: VecDeque<LoadSample>,
 }
@@ -52,7 +52,7 @@
             up: true,
             state: ServerState::Serving,
             started_at,
-            left_at: None,
+            draining_since: None,
             load: 0.0,
             recent: VecDeque::new(),
         }
@@ -63,7 +63,7 @@
     }
 
     pub(super) fn drain(&mut self, now: Duration) {
-        (self.state, self.left_at) = (ServerState::Draining, Some(now));
+        (self.state, self.draining_since) = (ServerState::Draining, Some(now));
     }
 
     pub(super) fn remove_if_drained(&mut self) {
@@ -72,16 +72,17 @@
         }
     }
 
-    /// Requests a second that it has time for now; `cold` is the part of that right after its start.
+    /// Returns the capacity now, in requests per second; `cold` is the fraction of it that a server has right after its start.
     pub(super) fn capacity_now(&self, now: Duration, warm_up: Duration, cold: f64) -> f64 {
         if !self.up {
             return 0.0;
         }
-        let warmth = self.started_at.map_or(1.0, |at| (now - at).as_secs_f64() / warm_up.as_secs_f64());
-        self.capacity * (cold + (1.0 - cold) * warmth.min(1.0))
+        let elapsed_fraction =
+            self.started_at.map_or(1.0, |at| (now - at).as_secs_f64() / warm_up.as_secs_f64());
+        self.capacity * (cold + (1.0 - cold) * elapsed_fraction.min(1.0))
     }
 
-    /// Keeps the samples of the last `window`.
+    /// Adds a sample and drops the samples that are older than `window`.
     pub(super) fn add_sample(&mut self, sample: LoadSample, window: Duration) {
         let now = sample.at;
         self.recent.push_back(sample);
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Takes it down, without a word to anybody, or up again, cold.
+    /// Takes the server down without a notice to discovery or planners, or starts it again, cold.
     pub fn set_down(&mut self, now: Duration, down: bool) {
         self.up = !down;
         self.started_at = if down { self.started_at } else { Some(now) };
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,8 +1,8 @@
-//! The parties of the operators' platform, written for tests: a discovery service, proxies, collectors and idle
-//! connections on loopback, around planners that are processes of their own; and a fleet of several planners whose rules
-//! are checked from what passed on the sockets.
+//! Scripted peers of the operators' platform for tests: a discovery service, proxies, collectors and idle connections on
+//! loopback, around planners that run as separate processes; and a fleet of several planners, which checks the rules of
+//! the service against the messages on the sockets.
 //!
-//! It plays the platform's side only, and by its protocol alone: it shares no code with the planner that it tests.
+//! The crate implements only the platform's side of the protocol and shares no code with the planner under test.
 
 mod connection;
 mod discovery;
@@ -23,23 +23,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The pause between two looks at a condition that is waited for.
+/// Pause between two checks of a condition that a test waits for.
 const CONDITION_INTERVAL: Duration = ms(5);
 
-/// A span of milliseconds.
+/// Returns a duration of `ms` milliseconds.
 pub const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// Waits until the condition holds. Gives how long that took.
+/// Waits until the condition holds, and returns how long that took. `what` names the condition in the panic message.
 ///
 /// # Panics
 ///
-/// It does not hold within the limit.
+/// Panics if the condition does not hold within the limit.
 pub fn wait_until(what: &str, limit: Duration, holds: impl Fn() -> bool) -> Duration {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < limit, "not within {limit:?}: {what}");
+        assert!(began.elapsed() < limit, "condition not met within {limit:?}: {what}");
         thread::sleep(CONDITION_INTERVAL);
     }
     began.elapsed()
--- a/crates/test-cluster/src/planner_process.rs
+++ b/crates/test-cluster/src/planner_process.rs
@@ -1,4 +1,4 @@
-//! A planner as the platform starts it: a process with its start file.
+//! A planner process, started with a start file as the platform does.
 
 use crate::connection::Connection;
 use crate::discovery::Discovery;
@@ -14,58 +14,58 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a planner may take until it answers.
+/// Longest time from a planner's start to its first answer.
 const START_LIMIT: Duration = ms(5000);
-/// How long one ping may take, so that a planner that stands still is not waited for without end.
+/// Longest wait for the answer to one ping, so that a planner that hangs does not block the test.
 const PING_LIMIT: Duration = ms(1000);
-/// How long a process may take to stop after the signal to.
+/// Longest time from the stop signal until the process has stopped.
 const PAUSE_LIMIT: Duration = ms(2000);
 
-/// What is run, and with what.
+/// Program, descriptor limit and settings with which a planner is started.
 struct Launch {
     program: String,
     descriptors: usize,
     settings: Value,
 }
 
-/// A running planner. It is killed when this is dropped.
+/// Planner process, which is killed when the value is dropped.
 pub struct PlannerProcess {
-    /// The process.
+    /// Child process.
     pub child: Child,
-    /// The address that it listens at.
+    /// Address at which the planner listens.
     pub listen: SocketAddr,
-    /// Its start file.
+    /// Path of the start file.
     pub file: PathBuf,
     _folder: tempfile::TempDir,
     launch: Launch,
 }
 
 impl PlannerProcess {
-    /// Starts `program` (a path) with these settings and so many descriptors, and waits until it answers.
+    /// Starts `program` (a path) with `settings` and at most `descriptors` file descriptors, and waits until the planner answers.
     ///
     /// # Panics
     ///
-    /// It cannot be started, or does not answer within 5 s.
+    /// Panics if the planner cannot be started or does not answer within 5 s.
     pub fn start(program: &str, discovery: &Discovery, descriptors: usize, settings: &Value) -> Self {
         let planner = Self::spawn(program, discovery, descriptors, settings);
         planner.wait_until_ready();
         planner
     }
 
-    /// Starts it and does not wait.
+    /// Starts a planner as [`Self::start`] does, but does not wait until it answers.
     ///
     /// # Panics
     ///
-    /// It cannot be started.
+    /// Panics if the planner cannot be started.
     pub fn spawn(program: &str, discovery: &Discovery, descriptors: usize, settings: &Value) -> Self {
         Self::spawn_with_log(program, discovery, descriptors, settings, Stdio::null())
     }
 
-    /// Starts it with its log written to `log`, and does not wait.
+    /// Starts a planner as [`Self::spawn`] does, with its log written to `log`.
     ///
     /// # Panics
     ///
-    /// It cannot be started.
+    /// Panics if the planner cannot be started.
     pub fn spawn_with_log(
         program: &str,
         discovery: &Discovery,
@@ -75,7 +75,7 @@
     ) -> Self {
         let launch = Launch { program: program.into(), descriptors, settings: settings.clone() };
         let listen = free_address();
-        let folder = tempfile::tempdir().expect("a folder for the start file");
+        let folder = tempfile::tempdir().expect("a temporary folder for the start file can be created");
         let file = folder.path().join("config.json");
         fs::write(&file, start_file(listen, discovery.address, descriptors, settings))
             .expect("the start file can be written");
@@ -83,33 +83,33 @@
         PlannerProcess { child, listen, file, _folder: folder, launch }
     }
 
-    /// The text of its start file with another discovery.
+    /// Returns the text of the start file with another address of the discovery service.
     pub fn start_file_with(&self, discovery: SocketAddr) -> String {
         start_file(self.listen, discovery, self.launch.descriptors, &self.launch.settings)
     }
 
-    /// Kills it, if it still runs, starts it again at its address, and waits until it answers.
+    /// Kills the planner if it still runs, starts it again at its address, and waits until it answers.
     ///
     /// # Panics
     ///
-    /// It cannot be started, or does not answer within 5 s.
+    /// Panics if the planner cannot be started or does not answer within 5 s.
     pub fn restart(&mut self) {
         self.kill();
         self.child = self.launch.spawn(&self.file, Stdio::null());
         self.wait_until_ready();
     }
 
-    /// Kills it, if it still runs.
+    /// Kills the planner if it still runs.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until it answers a ping.
+    /// Waits until the planner answers a ping.
     ///
     /// # Panics
     ///
-    /// That takes longer than 5 s.
+    /// Panics if that takes longer than 5 s.
     pub fn wait_until_ready(&self) {
         wait_until("the planner answers", START_LIMIT, || {
             let Ok(socket) = TcpStream::connect(self.listen) else { return false };
@@ -120,85 +120,85 @@
         });
     }
 
-    /// Sends a signal by its name, such as `TERM`.
+    /// Sends the planner a signal by its name, such as `TERM`.
     ///
     /// # Panics
     ///
-    /// It no longer runs.
+    /// Panics if the planner no longer runs.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
-        let status = Command::new("sh").args(["-c", &kill]).status().expect("a shell");
-        assert!(status.success(), "the planner takes the signal {name}");
+        let status = Command::new("sh").args(["-c", &kill]).status().expect("a shell can be started");
+        assert!(status.success(), "cannot send the signal {name} to the planner");
     }
 
-    /// Stops it, so that everything that is sent to it meanwhile comes to it at once.
+    /// Stops the planner, so that it handles everything that is sent to it during the pause at once after the pause.
     ///
     /// # Panics
     ///
-    /// It does not stop within 2 s.
+    /// Panics if the planner does not stop within 2 s.
     pub fn pause(&self) {
         self.signal("STOP");
         wait_until("the planner has stopped", PAUSE_LIMIT, || process_info::is_stopped(self.child.id()));
     }
 
-    /// Lets it go on after a pause.
+    /// Resumes the planner after a pause.
     ///
     /// # Panics
     ///
-    /// It no longer runs.
+    /// Panics if the planner no longer runs.
     pub fn resume(&self) {
         self.signal("CONT");
     }
 
-    /// The most memory that it ever held, in KiB.
+    /// Returns the planner's peak memory, in KiB.
     ///
     /// # Panics
     ///
-    /// It no longer runs.
+    /// Panics if the planner no longer runs.
     pub fn peak_memory_kib(&self) -> usize {
         process_info::peak_memory_kib(self.child.id())
     }
 
-    /// Waits for its end. Its exit code; unset where a signal ended it.
+    /// Waits until the planner ends. Returns its exit code, or `None` if a signal ended it.
     ///
     /// # Panics
     ///
-    /// It still runs after the limit.
+    /// Panics if the planner still runs after the limit.
     pub fn wait_for_exit(&mut self, limit: Duration) -> Option<i32> {
         const INTERVAL: Duration = ms(2);
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("a child of this process") {
+            if let Some(status) = self.child.try_wait().expect("the state of a child process can be read") {
                 return status.code();
             }
-            assert!(began.elapsed() < limit, "it did not end within {limit:?}");
+            assert!(started_at.elapsed() < limit, "the planner did not end within {limit:?}");
             thread::sleep(INTERVAL);
         }
     }
 
-    /// Whether it runs.
+    /// Returns true if the planner runs.
     ///
     /// # Panics
     ///
-    /// The kernel does not tell.
+    /// Panics if the state of the process cannot be read.
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("a child of this process").is_none()
+        self.child.try_wait().expect("the state of a child process can be read").is_none()
     }
 
-    /// The ids of its child processes.
+    /// Returns the ids of the planner's child processes.
     ///
     /// # Panics
     ///
-    /// The process table cannot be read.
+    /// Panics if the process table cannot be read.
     pub fn children(&self) -> Vec<u32> {
         process_info::children(self.child.id())
     }
 
-    /// How many sockets of each kind it holds, by the kernel's tables; a named Unix socket counts by its name.
+    /// Counts the planner's open sockets by kind, from the kernel's tables. A named Unix socket is counted under its name.
     ///
     /// # Panics
     ///
-    /// It no longer runs.
+    /// Panics if the planner no longer runs.
     pub fn sockets(&self) -> BTreeMap<String, usize> {
         process_info::sockets(self.child.id())
     }
@@ -216,11 +216,11 @@
         let run = format!("ulimit -n {descriptors}; exec {program} platform");
         let mut command = Command::new("sh");
         command.args(["-c", &run]).env("GW_CONFIG", file).stderr(log).stdout(Stdio::null());
-        command.spawn().expect("a shell")
+        command.spawn().expect("a shell can be started")
     }
 }
 
-/// An address of the loopback that nobody listens at.
+/// Returns a loopback address at which no process listens.
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     listener.local_addr().expect("a bound socket has an address")
--- a/crates/test-cluster/src/process_info.rs
+++ b/crates/test-cluster/src/process_info.rs
@@ -1,11 +1,12 @@
-//! What the kernel says of a process, read from `/proc`.
+//! Information on a process, read from `/proc`.
 
 use std::collections::BTreeMap;
 use std::fs;
 
-/// The state of a process that was stopped by a signal.
+/// State of a process that was stopped by a signal.
 const STOPPED: char = 'T';
 
+/// Returns a field of the process's status; empty if the process or the field does not exist.
 fn status(pid: u32, field: &str) -> String {
     let status = fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     status.lines().find_map(|line| line.strip_prefix(field)).unwrap_or("").trim().to_string()
@@ -15,12 +16,15 @@
     status(pid, "State:").starts_with(STOPPED)
 }
 
-/// The most memory that it ever held, in KiB.
+/// Returns the peak memory of the process, in KiB.
 pub(crate) fn peak_memory_kib(pid: u32) -> usize {
-    status(pid, "VmHWM:").trim_end_matches(" kB").parse().expect("the kernel tells a running process' memory")
+    status(pid, "VmHWM:")
+        .trim_end_matches(" kB")
+        .parse()
+        .expect("the status of a running process has its peak memory")
 }
 
-/// The ids of its child processes.
+/// Returns the ids of the child processes of a process.
 pub(crate) fn children(pid: u32) -> Vec<u32> {
     let processes = fs::read_dir("/proc").expect("the process table can be read").flatten();
     let ids = processes.filter_map(|entry| entry.file_name().to_str()?.parse().ok());
@@ -32,23 +36,23 @@
     stat.rsplit(')').next()?.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// How many sockets of each kind it holds, by the kernel's tables; a named Unix socket counts by its name, and one that
-/// was closed meanwhile as `unlisted`.
+/// Counts the open sockets of a process by kind, from the kernel's tables. A named Unix socket is counted under its name, and
+/// a socket that was closed during the count as `unlisted`.
 pub(crate) fn sockets(pid: u32) -> BTreeMap<String, usize> {
     let kinds = socket_kinds(pid);
-    let mut held = BTreeMap::new();
+    let mut counts = BTreeMap::new();
     for link in fs::read_dir(format!("/proc/{pid}/fd")).expect("a running process").flatten() {
         let target = fs::read_link(link.path()).unwrap_or_default();
         let inode = target.to_str().and_then(|text| text.strip_prefix("socket:[")?.strip_suffix(']'));
         if let Some(inode) = inode {
             let kind = kinds.get(inode).cloned().unwrap_or_else(|| "unlisted".into());
-            *held.entry(kind).or_default() += 1;
+            *counts.entry(kind).or_default() += 1;
         }
     }
-    held
+    counts
 }
 
-/// The kinds of all sockets by inode.
+/// Returns the kinds of all sockets by inode.
 fn socket_kinds(pid: u32) -> BTreeMap<String, String> {
     const INODE_COLUMN: usize = 9;
     const UNIX_INODE_COLUMN: usize = 6;
--- a/crates/test-cluster/src/proxy.rs
+++ b/crates/test-cluster/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that applies what it is sent, on a thread of its own.
+//! A proxy that applies its planner's updates on a separate thread.
 
 use crate::connection::Connection;
 use crate::planner_process::PlannerProcess;
@@ -10,33 +10,33 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 
-/// How many proxies [`join_all`] connects.
-const PROXIES: usize = 12;
+/// Number of proxies that [`join_all`] connects.
+const JOINED_PROXIES: usize = 12;
 
-/// What a proxy holds.
+/// State of a [`TestProxy`].
 #[derive(Default)]
 pub struct ProxyState {
-    /// Weights by server.
+    /// Weights by server id.
     pub table: BTreeMap<String, f64>,
-    /// How many full tables came.
+    /// Number of full tables received.
     pub full_tables: usize,
-    /// The stream has ended.
+    /// True if the stream has ended.
     pub ended: bool,
 }
 
-/// A proxy that applies updates and acknowledges marks.
+/// Proxy that applies updates and sends the acknowledgements that they request.
 pub struct TestProxy {
-    /// Its stream, for sending.
+    /// Stream of the proxy, for sending.
     pub connection: Connection,
     state: Arc<Mutex<ProxyState>>,
 }
 
 impl TestProxy {
-    /// Joins a planner as proxy number `node`; `cold` where it says that it holds no table.
+    /// Joins a planner as proxy number `node`. If `cold` is true, the proxy reports that it has no table.
     ///
     /// # Panics
     ///
-    /// Nobody listens there.
+    /// Panics if no process listens at the address.
     pub fn join(planner: SocketAddr, node: usize, cold: bool) -> TestProxy {
         let mut connection = Connection::connect(planner);
         let zone = ["north", "south"][node % 2];
@@ -48,26 +48,26 @@
         TestProxy { connection, state }
     }
 
-    /// What it holds now.
+    /// Locks and returns the proxy's state.
     ///
     /// # Panics
     ///
-    /// Its thread has panicked: a message could not be applied.
+    /// Panics if the proxy's thread has panicked because a message could not be applied.
     pub fn state(&self) -> MutexGuard<'_, ProxyState> {
         self.state.lock().expect("the reader applies every message")
     }
 
-    /// How many servers its table has.
+    /// Returns the number of servers in the proxy's table.
     pub fn server_count(&self) -> usize {
         self.state().table.len()
     }
 
-    /// Whether its table has the server.
+    /// Returns true if the proxy's table has the server.
     pub fn has(&self, server: &str) -> bool {
         self.state().table.contains_key(server)
     }
 
-    /// Whether its stream has ended.
+    /// Returns true if the proxy's stream has ended.
     pub fn ended(&self) -> bool {
         self.state().ended
     }
@@ -77,7 +77,7 @@
     let mut connection = Connection { socket };
     while let Some(message) = connection.receive() {
         let update = TableUpdate::new(&message);
-        let mut state = state.lock().expect("nobody panics with the lock");
+        let mut state = state.lock().expect("no thread panics with the lock held");
         if update.is_full() {
             state.table.clear();
             state.full_tables += 1;
@@ -85,21 +85,21 @@
         for (server, weight) in update.weights() {
             set_weight(&mut state.table, server.to_string(), weight);
         }
-        if let Some(mark) = update.mark() {
-            connection.send(&json!({"msg": "ACK", "node": node, "nonce": mark, "latency": 1.5}));
+        if let Some(ticket) = update.ack_ticket() {
+            connection.send(&json!({"msg": "ACK", "node": node, "nonce": ticket, "latency": 1.5}));
         }
     }
-    state.lock().expect("nobody panics with the lock").ended = true;
+    state.lock().expect("no thread panics with the lock held").ended = true;
 }
 
-/// Joins twelve proxies and waits until each has so many servers.
+/// Joins twelve proxies and waits until each has `servers` servers in its table.
 ///
 /// # Panics
 ///
-/// That takes longer than 6 s.
+/// Panics if that takes longer than 6 s.
 pub fn join_all(planner: &PlannerProcess, servers: usize, cold: bool) -> Vec<TestProxy> {
     let proxies: Vec<TestProxy> =
-        (0..PROXIES).map(|node| TestProxy::join(planner.listen, node, cold)).collect();
+        (0..JOINED_PROXIES).map(|node| TestProxy::join(planner.listen, node, cold)).collect();
     wait_until("every proxy has every server", ms(6000), || {
         proxies.iter().all(|proxy| proxy.server_count() == servers)
     });
--- a/crates/test-cluster/src/start_file.rs
+++ b/crates/test-cluster/src/start_file.rs
@@ -1,14 +1,14 @@
-//! The file that the platform starts a planner with.
+//! The start file with which the platform starts a planner.
 
 use crate::discovery::endpoint;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// The settings of a small deployment, whose servers answer no health checks.
+/// Returns the settings of a small deployment whose servers answer no health checks.
 ///
 /// # Panics
 ///
-/// The settings in the source are not JSON.
+/// Panics if the settings in the source tree are not JSON.
 pub fn default_settings() -> Value {
     const SETTINGS: &str = include_str!("../../platform-protocol/tests/settings.json");
     let mut settings: Value = serde_json::from_str(SETTINGS).expect("the settings are JSON");
@@ -16,7 +16,7 @@
     settings
 }
 
-/// The text of a start file, for a process that may hold so many descriptors.
+/// Returns the text of a start file for a process that may open `descriptors` file descriptors.
 pub fn start_file(listen: SocketAddr, discovery: SocketAddr, descriptors: usize, settings: &Value) -> String {
     json!({
         "name": "p0", "listen": listen.to_string(), "discovery": discovery.to_string(), "seed": "8c1f",
