--- a/crates/launcher/src/main.rs
+++ b/crates/launcher/src/main.rs
@@ -1,10 +1,10 @@
-//! The binary `grebespool`: runs a planner on the operators' platform itself, and becomes the full command line
-//! (`crates/cli`) for everything else.
+//! The binary `grebespool`, which runs a planner on the operators' platform, and replaces its process by the full command
+//! line (`crates/cli`) for all other commands.
 //!
-//! It calls cargo to build that command line where it is needed. Operators build with a plain `cargo build --release`,
-//! which must stay light, so the command line's heavier crates are not part of that build; and the binary that a plain
-//! `cargo run` finds is this one. So `grebespool COMMAND` works from a checkout with a toolchain, and only there; the
-//! planner itself needs neither.
+//! Operators build with a plain `cargo build --release`, which must stay light, so the heavier crates of the command line
+//! are not part of that build; and a plain `cargo run` runs this binary. The binary therefore calls cargo to build the
+//! command line when a command needs it, so `grebespool COMMAND` works only from a checkout with a toolchain. The planner
+//! needs neither.
 
 use grebespool_platform_server::BackgroundLog;
 use std::io;
@@ -12,9 +12,9 @@
 use std::path::Path;
 use std::process::{Command, ExitCode};
 
-/// The subcommand that this binary runs itself.
+/// Subcommand that this binary runs without the command line.
 const PLATFORM_COMMAND: &str = "platform";
-/// The exit code where cargo cannot be started.
+/// Exit code if cargo cannot be started.
 const EXIT_NO_CARGO: u8 = 2;
 
 fn main() -> ExitCode {
@@ -22,8 +22,8 @@
         return run_planner();
     }
     eprintln!("grebespool: building the command line if it is not built yet (minutes, the first time)");
-    let error = become_command_line();
-    eprintln!("grebespool: cargo cannot be started to build the command line: {error}");
+    let error = exec_command_line();
+    eprintln!("grebespool: cannot start cargo to build the command line: {error}");
     ExitCode::from(EXIT_NO_CARGO)
 }
 
@@ -34,9 +34,9 @@
     exit_code
 }
 
-/// Replaces this process by cargo, which builds and runs the command line with this process' arguments. Returns only if
-/// that fails.
-fn become_command_line() -> io::Error {
+/// Replaces this process by cargo, which builds and runs the command line with the arguments of this process. Returns only
+/// if cargo cannot be started.
+fn exec_command_line() -> io::Error {
     let manifest = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../Cargo.toml");
     let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
     let mut command = Command::new(cargo);
