--- a/crates/server-model/src/proxy_tables.rs
+++ b/crates/server-model/src/proxy_tables.rs
@@ -85,6 +85,7 @@
     }
 }
 
+/// Consecutive failures of attempts at a server.
 #[derive(Default)]
 struct FailureRun {
     failures: u32,
@@ -103,12 +104,14 @@
     picks: Picks,
     avoidance: Avoidance,
     tables: Vec<Table>,
+    /// Admission levels by the bit set of their routes.
     levels: BTreeMap<u16, AdmissionRule>,
     excluded: BTreeSet<ServerId>,
     failure_runs: BTreeMap<ServerId, FailureRun>,
     stream: Option<PlannerStream>,
     /// Newest term of an accepted stream; outlasts the stream.
     term: u64,
+    /// Sequence number of the last update on the current stream; 0 before the first.
     sequence: u64,
     last_applied: UpdateId,
 }
--- a/crates/test-cluster/src/fleet/load.rs
+++ b/crates/test-cluster/src/fleet/load.rs
@@ -20,7 +20,7 @@
     pub(super) server: usize,
 }
 
-/// Attempts since the last report.
+/// Number of attempts, and of the failed ones among them.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Attempts {
     pub(super) total: f64,
--- a/crates/test-cluster/src/fleet/mod.rs
+++ b/crates/test-cluster/src/fleet/mod.rs
@@ -98,9 +98,11 @@
     pub cold_capacity: f64,
     load_computed_at: Duration,
     reported_at: Duration,
+    /// Attempts since the last report.
     attempts: AttemptTotals,
     /// Descriptions of the breaches of rules.
     pub breaches: Vec<String>,
+    /// Requests of each slot since the start.
     service: Vec<ServiceSlot>,
     /// Time for which a proxy stays with another planner before it tries its home planner again.
     pub homing_interval: Duration,
--- a/crates/test-cluster/src/fleet/proxy.rs
+++ b/crates/test-cluster/src/fleet/proxy.rs
@@ -22,7 +22,9 @@
     /// Requests per second.
     pub rate: f64,
     pub(super) stream: Option<Stream>,
+    /// Planner to which the next connection goes.
     next_planner: usize,
+    /// Earliest time of the next connection.
     connect_at: Duration,
     /// Weights by the server's number.
     pub table: BTreeMap<usize, f64>,
@@ -43,6 +45,7 @@
     pub(super) planner: usize,
     pub(super) opened_at: Duration,
     socket: TcpStream,
+    /// Bytes that were read from the socket but not yet taken as messages.
     unread: Vec<u8>,
 }
 
--- a/crates/test-cluster/src/table_update.rs
+++ b/crates/test-cluster/src/table_update.rs
@@ -30,7 +30,7 @@
         self.message["level"].as_f64().filter(|_| self.message.get("classes").is_none())
     }
 
-    /// Returns whether failed attempts are retried, if the message sets it.
+    /// Returns true if failed attempts are retried; `None` if the message doesn't change that.
     pub(crate) fn retries(&self) -> Option<bool> {
         self.message["retry"].as_u64().map(|code| code > 0)
     }
