--- a/crates/config-consensus/src/configuration/validation.rs
+++ b/crates/config-consensus/src/configuration/validation.rs
@@ -8,7 +8,7 @@
 const SHARE_TOLERANCE: f64 = 1e-9;
 
 /// A reason why a configuration is invalid, with the entry that it concerns.
-// tests of `grebespool-cli` match the beginnings of some texts
+// the texts, also those of `why`, go to other members and must not change; tests of `grebespool-cli` match some of them
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ValidationError {
     /// A value is out of its range.
@@ -22,7 +22,7 @@
         why: String,
     },
     /// An entry refers to another entry that does not exist.
-    #[error("{place} {name:?} names {target_kind} {target:?}, which does not exist")]
+    #[error("{place} {name:?} names {target_kind} {target:?}, which is not there")]
     UnknownReference {
         /// Kind of the entry.
         place: &'static str,
@@ -37,12 +37,12 @@
     #[error("limit {0:?} is none that this program knows; it knows {1}")]
     UnknownLimit(String, String),
     /// None of the servers is ready; the value is the number of servers.
-    #[error("all {0} servers would be closed or draining: no proxy would have a usable server")]
+    #[error("all {0} servers would be closed or draining: no proxy would have a line")]
     NoReadyServer(usize),
     /// More capacity is withdrawn at once than the rules allow.
     #[error(
         "{servers} servers of {withdrawn:.0}% of the capacity would be withdrawn at once, {allowed:.0}% are allowed; \
-         {remaining:.0} of {before:.0} requests per second would remain: force the change or split it into parts"
+         {remaining:.0} calls a second of {before:.0} would be left: force it, or do it in parts"
     )]
     TooMuchWithdrawn {
         /// Number of servers that lose capacity.
@@ -97,11 +97,11 @@
 fn check_routes(new: &Configuration, errors: &mut Vec<ValidationError>) {
     for (name, route) in &new.routes {
         if !is_not_negative(route.importance) {
-            let why = format!("importance {} is not a non-negative number", route.importance);
+            let why = format!("an importance of {}", route.importance);
             errors.push(ValidationError::value("route", name, why));
         }
         if !(0.0..=1.0).contains(&route.max_share) {
-            let why = format!("maximum share {} is not between 0 and 1", route.max_share);
+            let why = format!("at most {} of its calls; 0 to 1 can be", route.max_share);
             errors.push(ValidationError::value("route", name, why));
         }
     }
@@ -118,13 +118,12 @@
             errors.push(ValidationError::UnknownLimit(name.clone(), rules.known_limits.join(", ")));
         }
         if !is_not_negative(limit.value()) {
-            let why = format!("{} is not a non-negative number", limit.value());
-            errors.push(ValidationError::value("limit", name, why));
+            errors.push(ValidationError::value("limit", name, format!("{} is no bound", limit.value())));
         }
         // Of an upper and a lower bound neither is stricter, so the intersection of both versions would be undefined.
         let is_upper = |limit: &Limit| matches!(limit, Limit::AtMost(_));
         if old.limits.get(name).is_some_and(|before| is_upper(before) != is_upper(limit)) {
-            let why = "an upper and a lower bound cannot replace each other: remove the limit first";
+            let why = "it was a bound to the other side: take it away first";
             errors.push(ValidationError::value("limit", name, why));
         }
     }
@@ -133,11 +132,10 @@
 fn check_racks(new: &Configuration, errors: &mut Vec<ValidationError>) {
     for (name, rack) in &new.racks {
         if !is_positive(rack.power_cap) {
-            let why = format!("power cap {} W is not a positive number", rack.power_cap);
-            errors.push(ValidationError::value("rack", name, why));
+            errors.push(ValidationError::value("rack", name, format!("a cap of {} W", rack.power_cap)));
         }
         if rack.site.is_empty() || rack.feed.is_empty() {
-            errors.push(ValidationError::value("rack", name, "the site or the feed is empty"));
+            errors.push(ValidationError::value("rack", name, "no site or no feed"));
         }
     }
 }
@@ -145,8 +143,7 @@
 fn check_servers(new: &Configuration, errors: &mut Vec<ValidationError>) {
     for (name, server) in &new.servers {
         if !is_positive(server.capacity) {
-            let why = format!("capacity {} is not a positive number", server.capacity);
-            errors.push(ValidationError::value("server", name, why));
+            errors.push(ValidationError::value("server", name, format!("a capacity of {}", server.capacity)));
         }
         if !new.racks.contains_key(&server.rack) {
             let (name, target) = (name.clone(), server.rack.clone());
--- a/crates/config-consensus/src/coordinator/batch.rs
+++ b/crates/config-consensus/src/coordinator/batch.rs
@@ -13,13 +13,13 @@
 use thiserror::Error;
 
 /// Reasons why a proposal is rejected.
+// the texts go to other members and must not change; tests of `grebespool-cli` match the beginning of the second
 #[derive(Debug, Clone, PartialEq, Error)]
 enum RejectReason {
     /// The configuration with the proposed changes is invalid.
     #[error(transparent)]
     Invalid(#[from] ValidationError),
     /// The proposal sets the state of a server that does not exist.
-    // tests of `grebespool-cli` match the beginning of this text
     #[error("nothing of that name to change: {0:?}")]
     NothingToChange(Change),
 }
--- a/crates/config-consensus/src/coordinator/queue.rs
+++ b/crates/config-consensus/src/coordinator/queue.rs
@@ -11,10 +11,11 @@
 
 /// Maximum number of queued proposals; members retransmit the others until there is space.
 const MAX_QUEUED: usize = 512;
+// the texts of both reasons go to other members and must not change
 /// The reason that is sent for a rejection by a former coordinator.
-const REJECTED_BEFORE: &str = "rejected by a former convener; the reasons are in that member's log";
+const REJECTED_BEFORE: &str = "refused by the convener before; its reasons are in that member's log";
 /// The reason that is sent if bytes do not decode or have another hash.
-const UNREADABLE_CHANGES: &str = "the bytes do not encode changes or have another hash than announced";
+const UNREADABLE_CHANGES: &str = "its bytes are no changes, or not those that it told of";
 
 /// Identifies a proposal among those of all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/config-consensus/tests/consensus/configuration.rs
+++ b/crates/config-consensus/tests/consensus/configuration.rs
@@ -33,21 +33,18 @@
 
 #[rstest]
 #[case::unknown_limit(Change::Limit("heat".into(), Some(Limit::AtMost(3.0))), "limit \"heat\" is none that this program knows; it knows draw, reserve")]
-#[case::limit_that_is_not_a_number(
-    draw(Limit::AtMost(f64::NAN)),
-    "limit \"draw\": NaN is not a non-negative number"
-)]
+#[case::limit_that_is_not_a_number(draw(Limit::AtMost(f64::NAN)), "limit \"draw\": NaN is no bound")]
 #[case::upper_bound_replaced_by_a_lower_bound(
     draw(Limit::AtLeast(3.0)),
-    "limit \"draw\": an upper and a lower bound cannot replace each other"
+    "limit \"draw\": it was a bound to the other side"
 )]
-#[case::unknown_rack(set_server("r9", 1.0), "server \"x\" names rack \"r9\", which does not exist")]
+#[case::unknown_rack(set_server("r9", 1.0), "server \"x\" names rack \"r9\", which is not there")]
 #[case::removed_rack_that_has_servers(Change::Rack("r0".into(), None), "server \"s00\" names rack \"r0\"")]
-#[case::negative_capacity(set_server("r0", -1.0), "server \"x\": capacity -1 is not a positive number")]
-#[case::share_above_one(set_route(1.0, 1.5), "route \"read\": maximum share 1.5 is not between 0 and 1")]
-#[case::negative_importance(set_route(-1.0, 1.0), "route \"read\": importance -1 is not a non-negative number")]
-#[case::rack_without_power(set_rack("east", "f", 0.0), "rack \"r0\": power cap 0 W is not a positive number")]
-#[case::rack_without_a_site(set_rack("", "f", 1.0), "rack \"r0\": the site or the feed is empty")]
+#[case::negative_capacity(set_server("r0", -1.0), "server \"x\": a capacity of -1")]
+#[case::share_above_one(set_route(1.0, 1.5), "route \"read\": at most 1.5 of its calls")]
+#[case::negative_importance(set_route(-1.0, 1.0), "route \"read\": an importance of -1")]
+#[case::rack_without_power(set_rack("east", "f", 0.0), "rack \"r0\": a cap of 0 W")]
+#[case::rack_without_a_site(set_rack("", "f", 1.0), "rack \"r0\": no site or no feed")]
 fn an_invalid_value_is_rejected_with_its_entry_and_cause(#[case] change: Change, #[case] expected: &str) {
     let errors = validate(&configuration(), &changed(&[change]), &rules(1.0), false).unwrap_err();
     assert!(errors.iter().any(|error| error.to_string().starts_with(expected)), "{errors:?}");
@@ -71,7 +68,7 @@
     let texts: Vec<String> = checked.err().into_iter().flatten().map(|error| error.to_string()).collect();
     match (valid, withdrawn) {
         (false, 6) => assert!(
-            texts[0].contains("6 servers of 50%") && texts[0].contains("60 of 120 requests per second"),
+            texts[0].contains("6 servers of 50%") && texts[0].contains("60 calls a second of 120"),
             "{texts:?}"
         ),
         (false, 12) => assert!(texts[0].starts_with("all 12 servers would be closed"), "{texts:?}"),
