--- a/crates/cluster/src/commands/configuration.rs
+++ b/crates/cluster/src/commands/configuration.rs
@@ -48,12 +48,12 @@
         Ok(Ok(ProposalOutcome::Activated(number))) => Response::Done(format!("edition {number} holds")),
         Ok(Ok(ProposalOutcome::Rejected(reasons))) => Response::Rejected(reasons.join("; ")),
         _ => Response::Rejected(format!(
-            "the proposal is not decided after {OUTCOME_TIMEOUT:?}; this member retransmits the proposal until the decision, \
-             while it runs"
+            "nothing is agreed yet after {OUTCOME_TIMEOUT:?}; it is proposed again until it is answered, while this \
+             member runs"
         )),
     }
 }
 
 fn not_configured() -> Response {
-    Response::Rejected("there are no editions: members.duties.agree is not set".into())
+    Response::Rejected("no editions are agreed on: members.duties.agree is not set".into())
 }
--- a/crates/cluster/src/commands/sites.rs
+++ b/crates/cluster/src/commands/sites.rs
@@ -19,7 +19,7 @@
     match timeout(ANSWER_TIMEOUT, answer).await {
         Ok(Ok(response)) => response,
         _ => Response::Rejected(
-            "this member stopped leading before the answer; the request may not have been executed".into(),
+            "it stopped leading before it could answer; nothing is known to have changed".into(),
         ),
     }
 }
--- a/crates/cluster/src/commands/tasks.rs
+++ b/crates/cluster/src/commands/tasks.rs
@@ -69,7 +69,7 @@
     match core.call_tasks(|tasks, now| execute(core, tasks, now, task, order)) {
         Some(Ok(())) => Response::Done(done_text(name, order)),
         Some(Err(error)) => Response::Rejected(error.to_string()),
-        None => Response::Rejected("there are no duties".into()),
+        None => Response::Rejected("no work is shared out".into()),
     }
 }
 
@@ -113,5 +113,5 @@
 }
 
 fn not_configured() -> Response {
-    Response::Rejected("there are no duties: members.duties is not set".into())
+    Response::Rejected("no work is shared out: members.duties is not set".into())
 }
--- a/crates/cluster/src/request.rs
+++ b/crates/cluster/src/request.rs
@@ -99,7 +99,7 @@
 }
 
 /// The response to a request.
-// on the wire, and JSON: do not rename variants and keys, do not reorder
+// on the wire, and JSON: do not rename variants and keys, do not reorder, do not reword the texts of responses
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Response {
     /// The state of a member and its election.
--- a/crates/cluster/src/store/mod.rs
+++ b/crates/cluster/src/store/mod.rs
@@ -30,7 +30,7 @@
     )]
     NotFormed(String),
     /// The folder already contains the state of a member.
-    #[error("{0}: a member's state is here already; a second state could vote twice in a term")]
+    #[error("{0}: a member's state is here already; it would vote again as another")]
     AlreadyFormed(String),
     /// The databases cannot be opened.
     #[error("{path}: another process has it open, or the databases cannot be opened: {source}")]
--- a/crates/cluster/src/transport/error.rs
+++ b/crates/cluster/src/transport/error.rs
@@ -7,19 +7,20 @@
 use tokio::time::error::Elapsed;
 
 /// Reasons why a stream between members fails.
+// the texts of failures to connect are part of responses to requests (`members add`) and must not change
 #[derive(Debug, Error)]
 pub enum TransportError {
     /// The connection failed, was closed, or took too long.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The other side speaks another protocol.
-    #[error("the other side is not a member")]
+    #[error("it is no member")]
     NotAMember,
     /// The other side speaks another version of the protocol.
-    #[error("the other side speaks version {0}, this member {PROTOCOL_VERSION}")]
+    #[error("it speaks version {0}, this member {PROTOCOL_VERSION}")]
     OtherVersion(u16),
     /// The other side belongs to another fleet.
-    #[error("the other side is of fleet {theirs:016x}, this member of {own:016x}")]
+    #[error("it is of fleet {theirs:016x}, this member of {own:016x}")]
     OtherFleet {
         /// Id of the other side's fleet.
         theirs: u64,
@@ -27,7 +28,7 @@
         own: u64,
     },
     /// The other side has this member's id.
-    #[error("the other side has this member's own id: the state folder was copied")]
+    #[error("it has this member's own id: its folder was copied")]
     OwnId,
     /// Another member than the expected one listens at an address.
     #[error("found member {name} ({found:016x}) at the address, expected {expected:016x}")]
@@ -40,25 +41,25 @@
         expected: MemberId,
     },
     /// The other side has none of this member's keys.
-    #[error("the other side has none of this member's keys")]
+    #[error("it holds none of the keys")]
     UnknownKey,
     /// A frame's authentication code is wrong.
-    #[error("wrong code of a frame: the key differs, or the frame was altered or replayed")]
+    #[error("a frame's code is wrong: another key, or it was altered or played again")]
     WrongCode,
     /// The other side rejected this member for this reason.
     #[error("{0}")]
     Rejected(String),
     /// The length of a frame is out of range.
-    #[error("the frame length of {0} bytes is out of range")]
+    #[error("a frame of {0} bytes, which cannot be")]
     FrameLength(usize),
     /// A frame's body cannot be decoded.
-    #[error("cannot decode the body of a frame")]
+    #[error("a frame that cannot be read")]
     UnreadableFrame,
     /// A packet cannot be encoded.
-    #[error("cannot encode a packet: {0}")]
+    #[error("a packet cannot be encoded: {0}")]
     Encode(postcard::Error),
     /// The first packet of the other side is not an introduction.
-    #[error("the first packet is not an introduction")]
+    #[error("it did not say who it is")]
     NoIntroduction,
     /// The packet is not expected on this stream, or not at this point.
     #[error("unexpected packet")]
--- a/crates/config-consensus/src/proposer.rs
+++ b/crates/config-consensus/src/proposer.rs
@@ -16,16 +16,17 @@
 const START_COUNT_SHIFT: u32 = 32;
 
 /// Reasons why changes are not proposed.
+// the texts are part of responses of `grebespool-cluster` and must not change
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ProposeError {
     /// This member already has the maximum number of undecided proposals.
-    #[error("{undecided} proposals are undecided, the maximum is {MAX_UNDECIDED}")]
+    #[error("{undecided} proposals wait already")]
     TooMany {
         /// Number of undecided proposals.
         undecided: usize,
     },
     /// The changes are larger than the maximum size of a version.
-    #[error("the changes have {bytes} bytes, the maximum is {MAX_VERSION_BYTES}")]
+    #[error("{bytes} bytes of changes; {MAX_VERSION_BYTES} can be")]
     TooLarge {
         /// Encoded size of the changes, in bytes.
         bytes: usize,
