--- a/crates/controller/src/config.rs
+++ b/crates/controller/src/config.rs
@@ -73,7 +73,7 @@
 /// The property of a deployment that the policy does not support.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum UnsupportedDeploymentError {
-    /// The sites are divided into slices.
+    /// The deployment has this number of slices.
     #[error("the deployment has {0} slices; expected 0, because the policy does not support slices")]
     Slices(usize),
     /// The deployment has no routes or too many.
--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -48,8 +48,8 @@
     /// A setting is missing or invalid.
     #[error("settings: {0}")]
     Setting(SettingsError),
-    /// The deployment has zones with slices.
-    #[error("settings.familyInfo.slices: zones with slices are not supported yet")]
+    /// The settings of the deployment have slices.
+    #[error("settings.familyInfo.slices: deployments with slices are not supported yet")]
     Slices,
 }
 
