--- a/crates/cluster/src/accounts/mod.rs
+++ b/crates/cluster/src/accounts/mod.rs
@@ -82,8 +82,7 @@
         };
         match self.write_file(token, record.step, account).await {
             Ok(WrittenAccount::Fenced(seen)) => {
-                // Tests of `grebespool-cli` match this text.
-                warn!(%token, %seen, "stops writing accounts: a newer lease holder has written");
+                warn!(%token, %seen, "no longer writing accounts: a newer lease holder has written");
                 let task = self.task;
                 self.core.call_tasks(|tasks, now| tasks.fenced(now, task, token, seen));
             }
--- a/crates/cluster/src/keys.rs
+++ b/crates/cluster/src/keys.rs
@@ -93,7 +93,7 @@
         match Keys::read(&self.path) {
             Ok(keys) => self.last = keys,
             Err(error) => {
-                warn!(path = %self.path.display(), %error, "cannot read the key file; keeping the last keys");
+                warn!(path = %self.path.display(), %error, "cannot read the key file; keeping the previous ones");
             }
         }
         self.last.clone()
--- a/crates/config-distribution/src/planner/event.rs
+++ b/crates/config-distribution/src/planner/event.rs
@@ -44,7 +44,7 @@
         let PlannerEvent { scope, from, cause } = self;
         write!(
             f,
-            "rejecting an update of scope {} from {from:016x}: {cause}; keeping the current chain",
+            "rejecting an update of scope {} from {from:016x}: {cause}; keeping the previous chain",
             scope.0
         )
     }
--- a/crates/controller-server/src/effects.rs
+++ b/crates/controller-server/src/effects.rs
@@ -92,7 +92,7 @@
             warn!(incarnation, stream, lines, "ignoring implausible lines of a load report");
         }
         ControllerEvent::EndpointListRejected(error) => {
-            warn!(incarnation, %error, "rejecting an endpoint list and keeping the previous one");
+            warn!(incarnation, %error, "rejecting an endpoint list; keeping the previous one");
         }
         ControllerEvent::Stalled(duration) => {
             warn!(incarnation, ?duration, "resuming after a stall of the controller itself");
--- a/crates/controller/src/event.rs
+++ b/crates/controller/src/event.rs
@@ -53,7 +53,7 @@
                 write!(f, "ignoring {lines} implausible lines of a load report on stream {stream}")
             }
             ControllerEvent::EndpointListRejected(error) => {
-                write!(f, "rejecting an endpoint list and keeping the previous one: {error}")
+                write!(f, "rejecting an endpoint list: {error}; keeping the previous one")
             }
             ControllerEvent::Stalled(duration) => {
                 write!(f, "resuming after a stall of the controller for {} ms", duration.as_millis())
--- a/crates/platform-server/src/connection.rs
+++ b/crates/platform-server/src/connection.rs
@@ -34,7 +34,7 @@
                 Err(failure) => acceptor.handle_accept_failure(&failure).await,
             },
             Some(ended) = acceptor.tasks.join_next() => if let Err(failure) = ended {
-                error!(%failure, "cannot continue a failed task; dropping the task");
+                error!(%failure, "dropping a failed task");
             },
         }
     }
--- a/crates/platform-server/src/discovery.rs
+++ b/crates/platform-server/src/discovery.rs
@@ -102,12 +102,12 @@
         let mut pending = Box::pin(send(request.clone(), client.take()));
         let Some(outcome) = outcome_or_new_address(shared, &request, &mut pending, former).await else {
             let address = shared.discovery.watch.borrow().address();
-            info!(%address, "requesting the endpoint list at another address");
+            info!(%address, "requesting the endpoint list from another address");
             *former = FormerRequest::new(shared.clone(), request, pending);
             continue;
         };
         client = apply_outcome(shared, &request, outcome)?;
-        // This list is newer, and the versions of the former address are not comparable with its versions.
+        // An answer of the former address would be older, and its version is not comparable with that of this list.
         *former = FormerRequest::none();
         if request.long_poll && sent_at.elapsed() < MIN_POLL_INTERVAL {
             sleep(MIN_POLL_INTERVAL).await;
--- a/crates/platform-server/src/startup.rs
+++ b/crates/platform-server/src/startup.rs
@@ -60,11 +60,11 @@
     let mut interrupts = signal(SignalKind::interrupt())?;
     let address = config.listen;
     let listener = listen(address).map_err(|source| StartError::Listen { address, source })?;
-    info!(name = config.name, listen = %address, discovery = %config.discovery, "starts");
+    info!(name = config.name, listen = %address, discovery = %config.discovery, "starting");
     tokio::select! {
         () = serve(listener, config, file, hangups) => {}
-        _ = terminations.recv() => info!(signal = "SIGTERM", "stops"),
-        _ = interrupts.recv() => info!(signal = "SIGINT", "stops"),
+        _ = terminations.recv() => info!(signal = "SIGTERM", "stopping"),
+        _ = interrupts.recv() => info!(signal = "SIGINT", "stopping"),
     }
     Ok(())
 }
--- a/crates/platform-server/src/tasks.rs
+++ b/crates/platform-server/src/tasks.rs
@@ -56,7 +56,7 @@
         let mut running = JoinSet::new();
         running.spawn_local(task(shared.clone()));
         if let Some(Err(failure)) = running.join_next().await {
-            error!(task = name, %failure, "cannot continue a failed task; restarting the task");
+            error!(task = name, %failure, "restarting a failed task");
         }
         sleep(RESTART_DELAY).await;
     }
@@ -89,7 +89,7 @@
         } = shared.manager.borrow().status();
         info!(
             joined_proxies,
-            unknown_peers, listed_servers, ready_servers, server_indices, list_version, "serves"
+            unknown_peers, listed_servers, ready_servers, server_indices, list_version, "serving"
         );
     }
 }
@@ -107,7 +107,7 @@
             Ok(config) => return apply_config(shared, &config),
             Err(error) => {
                 if attempt == 1 || attempt == RELOAD_ATTEMPTS {
-                    warn!(%error, attempt, "cannot reload the configuration; keeping the one in force");
+                    warn!(%error, attempt, "cannot reload the configuration; keeping the previous one");
                 }
                 sleep(RELOAD_DELAY).await;
             }
--- a/crates/site-failover/src/event.rs
+++ b/crates/site-failover/src/event.rs
@@ -57,8 +57,8 @@
 impl fmt::Display for SiteChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SiteChange::State { from, to, reason } => write!(f, "{from} -> {to}: {reason}"),
-            SiteChange::StepHeld { step, reason } => write!(f, "step {step} is held: {reason}"),
+            SiteChange::State { from, to, reason } => write!(f, "changing from {from} to {to}: {reason}"),
+            SiteChange::StepHeld { step, reason } => write!(f, "holding step {step}: {reason}"),
         }
     }
 }
--- a/crates/site-failover/tests/site_failover/recovery.rs
+++ b/crates/site-failover/tests/site_failover/recovery.rs
@@ -21,7 +21,7 @@
     let (mut sites, mut host) = failed();
     play(&mut sites, &mut host, 10.0, 30.0, scene);
     assert!(host.weights.iter().all(|(_, fraction)| *fraction == expected), "{:?}", host.weights);
-    assert!(host.log.iter().any(|text| text.contains("is held")));
+    assert!(host.log.iter().any(|text| text.contains("holding step")));
 }
 
 #[rstest]
