--- a/crates/assignments/src/tables.rs
+++ b/crates/assignments/src/tables.rs
@@ -30,8 +30,8 @@
     pub table: TableId,
     /// The number of turns in which the table has changed.
     pub version: u64,
-    /// The routes for which the proxy was bound to the table in this turn; `None` if it was bound before. In the first
-    /// case, the update contains the whole table and all admission rules.
+    /// The routes for which the proxy was bound to the table in this turn; `None` if the proxy was bound before. After a
+    /// binding, the update contains the whole table and all admission rules.
     pub bound_routes: Option<RouteSet>,
     /// All weights of the table after a binding, otherwise the changed ones.
     pub weights: &'a [ServerWeight],
@@ -72,7 +72,7 @@
     }
 }
 
-/// The table that a proxy is bound to, and the routes for which it is.
+/// The table that a proxy is bound to, and the routes that the binding applies to.
 #[derive(Clone, Copy)]
 struct Binding {
     table: TableId,
--- a/crates/config-distribution/src/chain/mod.rs
+++ b/crates/config-distribution/src/chain/mod.rs
@@ -89,12 +89,13 @@
         self.position.revision.saturating_sub(u64::from(self.state.pending.is_none()))
     }
 
-    /// Returns the revision that prepared the active version: a node with an older revision may not apply the scope.
+    /// Returns the revision that prepared the active version: a node with an older revision must not act by
+    /// the scope's configuration.
     pub fn required(&self) -> Revision {
         self.prepared().saturating_sub(if self.state.pending.is_some() { 2 } else { 0 })
     }
 
-    /// Returns the link that follows the chain with this step.
+    /// Returns the link that extends the chain by this step.
     ///
     /// # Errors
     ///
--- a/crates/controller-server/src/dial.rs
+++ b/crates/controller-server/src/dial.rs
@@ -29,7 +29,7 @@
     pub zone: &'a str,
     /// Requests a second that the dialer usually receives; a rough estimate.
     pub calls_per_s: f32,
-    /// True if the dialer holds only the weight table from its start.
+    /// True if the dialer still holds only the weight table that it started with.
     pub initial_table_only: bool,
     /// The last update that the dialer applied.
     pub applied: AppliedUpdate,
--- a/crates/controller/src/controller/joins.rs
+++ b/crates/controller/src/controller/joins.rs
@@ -16,7 +16,7 @@
     pub zone: &'a str,
     /// Requests a second that the proxy usually receives; a rough estimate.
     pub calls_per_s: f32,
-    /// True if the proxy holds only the weight table from its start.
+    /// True if the proxy still holds only the weight table that it started with.
     pub initial_table_only: bool,
 }
 
@@ -79,7 +79,8 @@
     pub fn stream_closed(&mut self, stream: StreamId) {
         let Some((proxy, session)) = self.sessions.close(stream) else { return };
         if let Some(sites) = &mut self.sites {
-            // The time of the last timer is accurate enough: the end of a stream is only one of several signs.
+            // The time of the last timer is accurate enough: the end of a stream is only one of several signs
+            // that a site has failed.
             sites.proxy_left(self.last_timer_at, session.zone);
         }
         self.assignments.remove_proxy(proxy);
--- a/crates/leader-election/src/snapshot.rs
+++ b/crates/leader-election/src/snapshot.rs
@@ -162,7 +162,7 @@
     /// Returns [`SnapshotError::TooLarge`] if the result exceeds [`MAX_SNAPSHOT_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, SnapshotError> {
         let version = FORMAT_VERSION.to_be_bytes().to_vec();
-        let mut bytes = postcard::to_extend(self, version).expect("a growing buffer takes every snapshot");
+        let mut bytes = postcard::to_extend(self, version).expect("encoding into memory does not fail");
         let checksum = blake3::hash(&bytes);
         bytes.extend_from_slice(&checksum.as_bytes()[..CHECKSUM_BYTES]);
         if bytes.len() > MAX_SNAPSHOT_BYTES { Err(SnapshotError::TooLarge(bytes.len())) } else { Ok(bytes) }
--- a/crates/singleton-tasks/src/lease_holder.rs
+++ b/crates/singleton-tasks/src/lease_holder.rs
@@ -172,7 +172,8 @@
         response: RenewResponse,
     ) {
         self.drop_expired(context);
-        // The answer renews the leases of these grants only: the leader knows of no others that this member acts on.
+        // The answer renews only the leases by the grants of this version: the leader does not know of other leases that
+        // this member acts on.
         let renewed =
             GrantsVersion { term: response.term, incarnation: self.incarnation, version: response.version };
         if self.leader != Some(from) || self.grants_version != renewed {
--- a/crates/site-failover/src/recovery_ramp.rs
+++ b/crates/site-failover/src/recovery_ramp.rs
@@ -3,8 +3,8 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The fraction of the site's weight at each step. There are few enough steps that each can be proven within a warm-up, and
-/// no step after the first raises the load of the site to much more than double.
+/// The fraction of the site's weight at each step. The number of steps is small enough that each step can receive enough
+/// answers within a warm-up, and no step after the first raises the load of the site to much more than double.
 const WEIGHT_FRACTIONS: [f64; 5] = [0.1, 0.25, 0.5, 0.75, 1.0];
 /// The maximum number of flaps that count: each doubles the duration of a step.
 const MAX_FLAPS: u32 = 3;
--- a/crates/write-queue/src/queue.rs
+++ b/crates/write-queue/src/queue.rs
@@ -57,8 +57,8 @@
 
     /// Queues a message. Does nothing once the queue is closed.
     ///
-    /// Aborts the queue if the waiting bytes exceed the limit already. Otherwise, a reader that keeps sending requests
-    /// without reading the responses would make the queue grow until the deadline of the oldest byte.
+    /// Aborts the queue if the waiting bytes exceed the limit already. Without this limit, a reader that keeps sending
+    /// requests without reading the responses would make the queue grow until the deadline of the oldest byte.
     pub fn push(&self, now: Duration, bytes: &[u8]) {
         if self.closing.get() {
             return;
--- a/src/policy/subsetting.rs
+++ b/src/policy/subsetting.rs
@@ -1,6 +1,6 @@
 //! Subsetting: decides which servers each pool holds.
 //!
-//! The endpoint list has to be applied before. The weights of existing entries stay as they are.
+//! The endpoint list has to be applied before the subsets are updated. The weights of existing entries stay as they are.
 
 use super::weights::learned_by_kind;
 use crate::host::{
@@ -137,8 +137,8 @@
         !entry.retiring && self.servers[entry.server].is_available()
     }
 
-    /// Returns the number of ordinary servers that a pool's entries are equivalent to. Newly started servers count only up
-    /// to a multiple of the established ones, because a pool of new servers alone would overload them.
+    /// Returns the number of fully warm servers that a pool's entries are equivalent to. Newly started servers count only
+    /// up to a multiple of the established ones, because a pool of new servers alone would overload them.
     fn occupancy(&self, pool: &Pool, locality: Locality) -> usize {
         let is_counted = |entry: &&WeightEntry| {
             self.is_available(entry) && self.is_local(entry.server) == (locality == Locality::Local)
--- a/src/policy/zone_spill.rs
+++ b/src/policy/zone_spill.rs
@@ -61,7 +61,8 @@
     const SPILL_LESS_UTILIZATION: f64 = 0.7;
     /// The change of the spillover in a tick per unit of difference in utilization.
     const SPILLOVER_GAIN: f64 = 0.4;
-    /// The divisor of [`Self::SPILLOVER_GAIN`] that gives the decrease of the spillover in a tick without need for it.
+    /// The divisor of [`Self::SPILLOVER_GAIN`]; the quotient is the decrease of the spillover in a tick of a zone that does
+    /// not need spillover.
     const SPILLOVER_DECAY_DIVISOR: f64 = 20.0;
     /// The largest spillover of a zone.
     const MAX_SPILLOVER: f64 = 1.5;
--- a/tests/policy/zone_spill.rs
+++ b/tests/policy/zone_spill.rs
@@ -27,8 +27,8 @@
     assert!((harness.weight(0, 1) - remote_weight).abs() < 0.11, "{}", harness.weight(0, 1));
 }
 
-/// A zone-local route shares its table with the others, so the table must not contain remote servers, even while all local
-/// ones are ejected.
+/// A zone-local route shares its table with the other routes, so the table must not contain remote servers, even while all
+/// local servers are ejected.
 #[rstest]
 #[case::local_servers_fail_all(10, 10)]
 #[case::local_servers_fail_most(10, 7)]
