--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -43,7 +43,7 @@
     Replay(#[from] grebespool_replay::Unswept),
     /// Recordings cannot be merged.
     #[error(transparent)]
-    Merge(grebespool_trace::Flaw),
+    Merge(grebespool_trace::ReadError),
     /// A recording cannot be finished.
     #[error("the recording: {0}")]
     Recording(io::Error),
--- a/crates/cli/src/record.rs
+++ b/crates/cli/src/record.rs
@@ -4,7 +4,7 @@
 use grebespool_controller_server::Observer;
 use grebespool_emulator::listed;
 use grebespool_settings::{Deployment, deployment_text};
-use grebespool_trace::{Cloak, Event, Recorder, Timed};
+use grebespool_trace::{Anonymizer, Event, Recorder, Timed};
 use grebespool_wire as wire;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 
 struct Open {
     recorder: Recorder,
-    cloak: Option<Cloak>,
+    anonymizer: Option<Anonymizer>,
     /// Each proxy's number in the recording.
     proxies: BTreeMap<String, u32>,
     planner: u64,
@@ -24,8 +24,8 @@
 impl Open {
     fn put(&mut self, now: Duration, event: Event) {
         let mut timed = Timed { at_us: now.as_micros() as u64, event };
-        if let Some(cloak) = &self.cloak {
-            cloak.apply(&mut timed);
+        if let Some(anonymizer) = &self.anonymizer {
+            anonymizer.anonymize(&mut timed);
         }
         self.recorder.put(timed);
     }
@@ -55,8 +55,8 @@
     ) -> Result<Recording, CommandError> {
         let cloak = cloak.map(|key| std::fs::read(key).map_err(CommandError::file(key))).transpose()?;
         let recorder = File::create_new(path).and_then(Recorder::new).map_err(CommandError::file(path))?;
-        let cloak = cloak.map(|key| Cloak::new(&key));
-        let mut open = Open { recorder, cloak, proxies: BTreeMap::new(), planner };
+        let anonymizer = cloak.map(|key| Anonymizer::new(&key));
+        let mut open = Open { recorder, anonymizer, proxies: BTreeMap::new(), planner };
         let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
         let settings = deployment_text(deployment);
         open.put(Duration::ZERO, Event::Began { planner, unix_ms: unix.as_millis() as u64, settings });
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CommandError;
 use clap::{Args, Subcommand, ValueEnum};
-use grebespool_trace::{Cloak, End, Form, Mapping, Reader, Summary, cut, import, merge, summary};
+use grebespool_trace::{Anonymizer, End, Form, Mapping, Reader, Summary, cut, import, merge, summary};
 use std::fs::File;
 use std::io::{BufReader, BufWriter};
 use std::path::{Path, PathBuf};
@@ -178,8 +178,11 @@
 
 fn print_calls(summary: &Summary) {
     println!("{} calls, {} of them repeats; by route {:?}", summary.calls, summary.repeats, summary.by_route);
-    if summary.anonymous > 0 {
-        println!("{} calls without a client: whether these are repeats can't be known", summary.anonymous);
+    if summary.without_client > 0 {
+        println!(
+            "{} calls without a client: whether these are repeats can't be known",
+            summary.without_client
+        );
     }
     if summary.counted > 0 {
         println!("{} calls told as counts: their times, keys and clients can't be known", summary.counted);
@@ -228,8 +231,8 @@
 
 fn import_log(arguments: ImportArguments) -> Result<(), CommandError> {
     let mapping = mapping(&arguments)?;
-    let cloak = match &arguments.cloak {
-        Some(path) => Some(Cloak::new(&std::fs::read(path).map_err(CommandError::file(path))?)),
+    let anonymizer = match &arguments.cloak {
+        Some(path) => Some(Anonymizer::new(&std::fs::read(path).map_err(CommandError::file(path))?)),
         None => None,
     };
     let form = match arguments.form {
@@ -239,7 +242,7 @@
     let ImportArguments { file, to, .. } = arguments;
     let log = BufReader::new(File::open(&file).map_err(CommandError::file(&file))?);
     let imported =
-        import(log, form, &mapping, cloak.as_ref(), create(&to)?).map_err(CommandError::file(&file))?;
+        import(log, form, &mapping, anonymizer.as_ref(), create(&to)?).map_err(CommandError::file(&file))?;
     println!(
         "{}: {} calls, {} of them repeats, at {} proxies",
         to.display(),
@@ -247,8 +250,11 @@
         imported.repeats,
         imported.proxies
     );
-    if imported.anonymous > 0 {
-        println!("{} rows without a client: whether these are repeats can't be known", imported.anonymous);
+    if imported.without_client > 0 {
+        println!(
+            "{} rows without a client: whether these are repeats can't be known",
+            imported.without_client
+        );
     }
     if imported.out_of_order > 0 {
         println!("{} rows out of order", imported.out_of_order);
--- a/crates/replay/src/past.rs
+++ b/crates/replay/src/past.rs
@@ -2,7 +2,7 @@
 
 use grebespool_settings::{Day, Trouble, What};
 use grebespool_simulation::{FirstCall, Past, PastEntry, Recording};
-use grebespool_trace::{Call, End, Event, Flaw, Listed, Phase, Reader, Timed};
+use grebespool_trace::{Call, End, Event, Listed, Phase, ReadError, Reader, Timed};
 use grebespool_wire as wire;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,7 +24,7 @@
     over: bool,
 }
 
-impl<I: Iterator<Item = Result<Timed, Flaw>>> Sorted<I> {
+impl<I: Iterator<Item = Result<Timed, ReadError>>> Sorted<I> {
     /// Events wait so long for earlier ones.
     const WAIT_US: u64 = 5_000_000;
     const MOST: usize = 1 << 16;
@@ -39,7 +39,7 @@
         self.waiting.insert((at_us, self.read), event);
     }
 
-    fn next(&mut self) -> Result<Option<Timed>, Flaw> {
+    fn next(&mut self) -> Result<Option<Timed>, ReadError> {
         while !self.over {
             let first = self.waiting.first_key_value().map(|(k, _)| k.0);
             if first.is_some_and(|f| f + Self::WAIT_US <= self.newest) || self.waiting.len() >= Self::MOST {
@@ -171,7 +171,7 @@
 
 type Events = Sorted<Reader<BufReader<File>>>;
 
-fn open(path: &Path, salvage: bool) -> Result<Reader<BufReader<File>>, Flaw> {
+fn open(path: &Path, salvage: bool) -> Result<Reader<BufReader<File>>, ReadError> {
     Reader::new(BufReader::new(File::open(path)?), salvage)
 }
 
@@ -196,7 +196,7 @@
     /// # Errors
     ///
     /// The recording's flaws.
-    pub fn read(path: &Path, salvage: bool, day: &Day) -> Result<Recorded, Flaw> {
+    pub fn read(path: &Path, salvage: bool, day: &Day) -> Result<Recorded, ReadError> {
         let route = |r: usize| day.callers.iter().find(|c| c.route == r).map(|c| (c.work.0, c.keys));
         let mut recorded = Recorded {
             path: path.into(),
@@ -214,13 +214,13 @@
     /// # Errors
     ///
     /// The file's.
-    pub fn sum(&self) -> Result<[u8; 32], Flaw> {
+    pub fn sum(&self) -> Result<[u8; 32], ReadError> {
         let mut hasher = blake3::Hasher::new();
         hasher.update_reader(File::open(&self.path)?)?;
         Ok(*hasher.finalize().as_bytes())
     }
 
-    fn scan(&mut self, day: &Day) -> Result<(), Flaw> {
+    fn scan(&mut self, day: &Day) -> Result<(), ReadError> {
         let mut events: Events = Sorted::new(open(&self.path, self.salvage)?);
         let (mut f, mut listed) = (Found::default(), BTreeSet::new());
         let (mut zones, mut last) = (BTreeMap::<u32, String>::new(), None);
@@ -299,7 +299,7 @@
     /// # Errors
     ///
     /// The file's.
-    pub fn begin(&self) -> Result<Recording<'_>, Flaw> {
+    pub fn begin(&self) -> Result<Recording<'_>, ReadError> {
         let mut events: Events = Sorted::new(open(&self.path, self.salvage)?);
         let f = &self.found;
         // Who had not joined when the recording began was without the planner; who never joined, always.
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,12 +1,12 @@
-//! Recorded days (`docs/design/replay.md`): a versioned, compressed, checksummed stream of blocks that holds one
-//! block in memory at a time, on either side, and is readable up to its last whole block wherever it is cut off.
+//! The format of recorded days (`docs/design/replay.md`): a versioned, compressed stream of checksummed blocks. The
+//! writer and the reader each hold one block in memory at a time. A truncated recording is readable up to its last
+//! whole block.
 //!
-//! [`Writer`] and [`Reader`] are the two ends; [`cut`], [`merge`] and [`import`] make recordings of recordings.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! [`Writer`] and [`Reader`] write and read a recording. [`cut`] and [`merge`] derive recordings from recordings, and
+//! [`import`] converts logs into recordings.
 
+mod anonymize;
 mod block;
-mod cloak;
 mod event;
 mod import;
 mod read;
@@ -14,11 +14,11 @@
 mod work;
 mod write;
 
-pub use block::{MOST_RAW, VERSION};
-pub use cloak::Cloak;
+pub use anonymize::Anonymizer;
+pub use block::{MAX_BLOCK_LEN, VERSION};
 pub use event::{Call, Event, Listed, Phase, Timed};
-pub use import::{BadRow, Form, Imported, Mapping, import};
-pub use read::{End, Flaw, Reader};
+pub use import::{Form, ImportError, Imported, Mapping, import};
+pub use read::{End, ReadError, Reader};
 pub use recorder::Recorder;
 pub use work::{Summary, cut, merge, summary};
 pub use write::Writer;
--- a/crates/trace/src/read.rs
+++ b/crates/trace/src/read.rs
@@ -1,78 +1,100 @@
-//! Reading a recording, block by block.
+//! The reader of recordings.
 
-use crate::block::{self, BLOCK_HEAD, BLOCK_MAGIC, FILE_HEAD, MAGIC, MOST_RAW, VERSION};
+use crate::block::{self, BLOCK_HEADER_LEN, BLOCK_MAGIC, FILE_HEADER_LEN, MAGIC, MAX_BLOCK_LEN, VERSION};
 use crate::event::{Event, Timed};
 use std::io::{self, Read};
 use thiserror::Error;
 
-/// What is wrong with a recording. Places are bytes from the file's first.
+/// The reason why a recording cannot be read, or not further. Offsets are in bytes from the start of the file.
 #[derive(Debug, Error)]
-pub enum Flaw {
+pub enum ReadError {
+    /// The file does not begin with the magic bytes of a recording.
     #[error("this is no recording: it does not begin with {:?}", String::from_utf8_lossy(MAGIC))]
     Foreign,
+    /// The recording has a version of the format that is not supported.
     #[error("the recording has version {found}; this program reads version {VERSION}")]
-    Version { found: u16 },
+    Version {
+        /// The version of the recording.
+        found: u16,
+    },
+    /// A block does not match its checksum, or its header is invalid.
     #[error(
-        "the block at byte {at} is damaged; {saved} events before it are whole (--salvage reads on after it)"
+        "the block at byte {at} is damaged; {events_before} events before it are whole (--salvage reads on after it)"
     )]
-    Damaged { at: u64, saved: u64 },
-    #[error("{told} events were written and {read} are there: blocks are missing")]
-    Missing { told: u64, read: u64 },
+    Damaged {
+        /// Offset of the block.
+        at: u64,
+        /// Number of events that were read before the block.
+        events_before: u64,
+    },
+    /// Whole blocks are missing in the middle of the recording.
+    #[error("{written} events were written and {read} are there: blocks are missing")]
+    Missing {
+        /// Number of events by the end block.
+        written: u64,
+        /// Number of events that were read.
+        read: u64,
+    },
+    /// The file cannot be read.
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// How a recording ends.
+/// The way in which a recording ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
+    /// The recording has its end block.
     Whole,
-    /// It was cut off at this byte, after the last whole block.
+    /// The recording is truncated.
     CutOff {
+        /// Offset of the end of the last whole block, in bytes.
         at: u64,
     },
 }
 
-/// Gives the events of a recording one after another, holding one block.
+/// Reads the events of a recording one after another, with one block in memory at a time.
 pub struct Reader<R: Read> {
     from: R,
     salvage: bool,
     bytes: Vec<u8>,
-    /// Where `bytes` begins in the file.
+    /// Offset of `bytes` in the file.
     at: u64,
+    /// Events of the current block that were not returned yet.
     block: std::vec::IntoIter<Timed>,
-    /// Of this part of the file, since its beginning.
+    /// Number of events returned so far.
     read: u64,
     end: Option<End>,
     ended: bool,
 }
 
 impl<R: Read> Reader<R> {
-    /// `salvage`: read on after a damaged block; a [`Event::Gap`] stands in its place.
+    /// Opens a recording. With `salvage`, the reader skips damaged blocks and returns an [`Event::Gap`] in place of each
+    /// run of them.
     ///
     /// # Errors
     ///
-    /// It is no recording, or one of another version.
-    pub fn new(from: R, salvage: bool) -> Result<Self, Flaw> {
+    /// Returns an error if `from` is not a recording, has another version or cannot be read.
+    pub fn new(from: R, salvage: bool) -> Result<Self, ReadError> {
         let block = Vec::new().into_iter();
         let mut reader =
             Reader { from, salvage, bytes: vec![], at: 0, block, read: 0, end: None, ended: false };
-        if !reader.fill(FILE_HEAD)? || !reader.bytes.starts_with(MAGIC) {
-            return Err(Flaw::Foreign);
+        if !reader.fill(FILE_HEADER_LEN)? || !reader.bytes.starts_with(MAGIC) {
+            return Err(ReadError::Foreign);
         }
         let found = u16::from_be_bytes([reader.bytes[8], reader.bytes[9]]);
         if found != VERSION {
-            return Err(Flaw::Version { found });
+            return Err(ReadError::Version { found });
         }
-        reader.drop_front(FILE_HEAD);
+        reader.drop_front(FILE_HEADER_LEN);
         Ok(reader)
     }
 
-    /// Known once all events were given.
+    /// Returns how the recording ends; `None` until all events were read.
     pub fn end(&self) -> Option<End> {
         self.end
     }
 
-    /// Whether so many bytes are there.
+    /// Reads until `bytes` holds `count` bytes. Returns true if the file has that many.
     fn fill(&mut self, count: usize) -> io::Result<bool> {
         let missing = count.saturating_sub(self.bytes.len());
         // `take` grows the buffer as bytes come, so that a false length claims no memory.
@@ -85,12 +107,13 @@
         self.at += count as u64;
     }
 
-    /// The next event, `None` at the end.
+    /// Returns the next event; `None` at the end.
     ///
     /// # Errors
     ///
-    /// A damaged block, unless those are passed over, and the file's own. Nothing more is given after one.
-    pub fn event(&mut self) -> Result<Option<Timed>, Flaw> {
+    /// Returns an error if a block is damaged or missing and the reader does not salvage, or if the file cannot be
+    /// read. After a damaged block, no more events follow.
+    pub fn event(&mut self) -> Result<Option<Timed>, ReadError> {
         loop {
             if let Some(timed) = self.block.next() {
                 self.read += 1;
@@ -103,28 +126,33 @@
         }
     }
 
-    /// Whether there was one more.
-    fn next_block(&mut self) -> Result<bool, Flaw> {
-        if !self.fill(BLOCK_HEAD)? {
+    /// Decodes the next block. Returns true if there was one.
+    fn next_block(&mut self) -> Result<bool, ReadError> {
+        if !self.fill(BLOCK_HEADER_LEN)? {
             self.end = Some(End::CutOff { at: self.at });
             return Ok(false);
         }
-        let Some(header) = self.bytes.first_chunk::<BLOCK_HEAD>().copied() else { return Ok(false) };
-        let Some(head) = block::head(&header) else { return self.damaged() };
-        if !self.fill(BLOCK_HEAD + head.stored)? {
+        let Some(header_bytes) = self.bytes.first_chunk::<BLOCK_HEADER_LEN>().copied() else {
+            return Ok(false);
+        };
+        let Some(header) = block::parse_header(&header_bytes) else { return self.skip_damaged() };
+        if !self.fill(BLOCK_HEADER_LEN + header.stored_len)? {
             self.end = Some(End::CutOff { at: self.at });
-            // A length that is damaged looks as if the file were cut off; what is whole after it shows which.
-            return if self.salvage { self.damaged() } else { Ok(false) };
+            // A damaged length looks like a truncated file. A whole block after it shows that it is the former.
+            return if self.salvage { self.skip_damaged() } else { Ok(false) };
         }
-        let Some(events) = block::events(&head, &header, &self.bytes[BLOCK_HEAD..BLOCK_HEAD + head.stored])
-        else {
-            return self.damaged();
+        let Some(events) = block::decode_events(
+            &header,
+            &header_bytes,
+            &self.bytes[BLOCK_HEADER_LEN..BLOCK_HEADER_LEN + header.stored_len],
+        ) else {
+            return self.skip_damaged();
         };
-        self.drop_front(BLOCK_HEAD + head.stored);
-        if head.count == 0 {
+        self.drop_front(BLOCK_HEADER_LEN + header.stored_len);
+        if header.count == 0 {
             self.end = Some(End::Whole);
-            if head.first_us != self.read && !self.salvage {
-                return Err(Flaw::Missing { told: head.first_us, read: self.read });
+            if header.first_us != self.read && !self.salvage {
+                return Err(ReadError::Missing { written: header.first_us, read: self.read });
             }
             return Ok(false);
         }
@@ -132,31 +160,40 @@
         Ok(true)
     }
 
-    fn damaged(&mut self) -> Result<bool, Flaw> {
+    /// Fails at a damaged block or, when salvaging, skips to the next whole one. Returns true if there is one.
+    fn skip_damaged(&mut self) -> Result<bool, ReadError> {
         if !self.salvage {
             self.ended = true;
-            return Err(Flaw::Damaged { at: self.at, saved: self.read });
+            return Err(ReadError::Damaged { at: self.at, events_before: self.read });
         }
-        // On to the next place where a whole block stands.
         self.drop_front(1);
         loop {
-            self.fill(BLOCK_HEAD + MOST_RAW / 8)?;
+            self.fill(BLOCK_HEADER_LEN + MAX_BLOCK_LEN / 8)?;
             let found = self.bytes.windows(BLOCK_MAGIC.len()).position(|w| w == BLOCK_MAGIC);
-            let Some(place) = found.filter(|p| self.bytes.len() - p >= BLOCK_HEAD) else {
+            let Some(offset) = found.filter(|p| self.bytes.len() - p >= BLOCK_HEADER_LEN) else {
                 self.end = Some(End::CutOff { at: self.at });
                 return Ok(false);
             };
-            self.drop_front(place);
-            let header = *self.bytes.first_chunk::<BLOCK_HEAD>().expect("as many bytes are there");
-            let whole =
-                block::head(&header).filter(|h| self.bytes.len() >= BLOCK_HEAD + h.stored).filter(|h| {
-                    block::events(h, &header, &self.bytes[BLOCK_HEAD..BLOCK_HEAD + h.stored]).is_some()
+            self.drop_front(offset);
+            let header_bytes = *self
+                .bytes
+                .first_chunk::<BLOCK_HEADER_LEN>()
+                .expect("the filter above leaves a whole header");
+            let whole = block::parse_header(&header_bytes)
+                .filter(|h| self.bytes.len() >= BLOCK_HEADER_LEN + h.stored_len)
+                .filter(|h| {
+                    block::decode_events(
+                        h,
+                        &header_bytes,
+                        &self.bytes[BLOCK_HEADER_LEN..BLOCK_HEADER_LEN + h.stored_len],
+                    )
+                    .is_some()
                 });
             match whole {
-                Some(head) => {
-                    let gap = Timed { at_us: head.first_us, event: Event::Gap { lost: 0 } };
+                Some(header) => {
+                    let gap = Timed { at_us: header.first_us, event: Event::Gap { lost: 0 } };
                     self.end = None;
-                    if head.count > 0 {
+                    if header.count > 0 {
                         self.block = vec![gap].into_iter();
                     }
                     return Ok(true);
@@ -168,7 +205,7 @@
 }
 
 impl<R: Read> Iterator for Reader<R> {
-    type Item = Result<Timed, Flaw>;
+    type Item = Result<Timed, ReadError>;
 
     fn next(&mut self) -> Option<Self::Item> {
         self.event().transpose()
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Recording while something runs, without ever waiting for the disk.
+//! Recording of a running process without waiting for the disk.
 
 use crate::event::{Event, Timed};
 use crate::write::Writer;
@@ -7,72 +7,77 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// Hands events to a thread that writes them. Where that does not keep up, events are left out and counted, and
-/// a [`Event::Gap`] stands in their place: planning is never held up by a recording.
+/// Passes events to a thread that writes them. If the thread does not keep up, events are dropped and counted, and an
+/// [`Event::Gap`] replaces them, so that a recording never delays planning.
 pub struct Recorder {
     to: SyncSender<Timed>,
+    /// Number of events dropped so far.
     lost: u64,
-    /// Of those, how many a gap tells of already.
-    told: u64,
+    /// Number of the dropped events that a gap accounts for.
+    reported: u64,
     thread: JoinHandle<io::Result<()>>,
 }
 
 impl Recorder {
-    /// Events that may wait to be written.
-    const WAITING: usize = 8192;
-    /// A block is written at least so often, so that little is lost with a crash.
-    const EVERY: Duration = Duration::from_secs(1);
+    /// Number of events that may wait to be written.
+    const QUEUE_LEN: usize = 8192;
+    /// Longest time between two blocks: a crash loses the events of this time.
+    const FLUSH_INTERVAL: Duration = Duration::from_secs(1);
 
+    /// Writes the header of a recording and starts the thread.
+    ///
     /// # Errors
     ///
-    /// The file's, for its first bytes.
+    /// Returns an error if the header cannot be written.
     pub fn new(file: impl Write + Send + 'static) -> io::Result<Recorder> {
-        let (to, from) = sync_channel(Self::WAITING);
+        let (to, from) = sync_channel(Self::QUEUE_LEN);
         let writer = Writer::new(file)?;
-        Ok(Recorder { to, lost: 0, told: 0, thread: std::thread::spawn(move || write(writer, &from)) })
+        Ok(Recorder { to, lost: 0, reported: 0, thread: std::thread::spawn(move || write(writer, &from)) })
     }
 
+    /// Records an event, or drops it if the queue is full.
     pub fn put(&mut self, timed: Timed) {
-        if self.lost > self.told {
-            let gap = Timed { at_us: timed.at_us, event: Event::Gap { lost: self.lost - self.told } };
+        if self.lost > self.reported {
+            let gap = Timed { at_us: timed.at_us, event: Event::Gap { lost: self.lost - self.reported } };
             if self.to.try_send(gap).is_err() {
                 self.lost += 1;
                 return;
             }
-            self.told = self.lost;
+            self.reported = self.lost;
         }
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = self.to.try_send(timed) {
             self.lost += 1;
         }
     }
 
-    /// Events that were left out so far.
+    /// Returns the number of events dropped so far.
     pub fn lost(&self) -> u64 {
         self.lost
     }
 
-    /// Ends the recording and waits until it is written.
+    /// Ends the recording and waits until the file is written.
     ///
     /// # Errors
     ///
-    /// The file's: the first that it met.
+    /// Returns the first error of writing the file.
     pub fn finish(self) -> io::Result<()> {
         drop(self.to);
         self.thread.join().unwrap_or_else(|_| Err(io::Error::other("the recording's thread panicked")))
     }
 }
 
+/// Writes events until the recorder ends.
 fn write(mut writer: Writer<impl Write>, from: &Receiver<Timed>) -> io::Result<()> {
-    let mut flushed = Instant::now();
+    let mut last_flush = Instant::now();
     loop {
-        match from.recv_timeout(Recorder::EVERY) {
+        match from.recv_timeout(Recorder::FLUSH_INTERVAL) {
             Ok(timed) => writer.put(timed)?,
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return writer.finish().map(drop),
         }
-        if flushed.elapsed() >= Recorder::EVERY {
+        if last_flush.elapsed() >= Recorder::FLUSH_INTERVAL {
             writer.flush()?;
-            flushed = Instant::now();
+            last_flush = Instant::now();
         }
     }
 }
--- a/crates/trace/src/work.rs
+++ b/crates/trace/src/work.rs
@@ -1,43 +1,58 @@
-//! Recordings made of recordings, and what one holds.
+//! Summaries, parts and merges of recordings.
 
 use crate::event::{Event, Timed};
-use crate::read::{End, Flaw, Reader};
+use crate::read::{End, ReadError, Reader};
 use crate::write::Writer;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{Read, Write};
 
-/// What a recording holds, in figures.
+/// Counts of what a recording holds.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Summary {
+    /// All events.
     pub events: u64,
+    /// Requests, repeats included.
     pub calls: u64,
+    /// Requests that are marked as repeats.
     pub repeats: u64,
-    /// Calls without a client's id: whether they are repeats can't be known.
-    pub anonymous: u64,
-    /// Calls that a planner was told of as counts.
+    /// Requests without a client's id. These may be repeats that are not marked.
+    pub without_client: u64,
+    /// Requests that proxies reported only as counts.
     pub counted: u64,
+    /// Requests by the index of their route, those reported as counts included.
     pub by_route: BTreeMap<u8, u64>,
+    /// Distinct proxies.
     pub proxies: usize,
+    /// Joins of proxies.
     pub joins: u64,
+    /// Leaves of proxies.
     pub lefts: u64,
+    /// Server lists, whole ones and changes.
     pub lists: u64,
-    /// Servers that calls or lists name.
+    /// Distinct servers of the lists.
     pub servers: usize,
+    /// Numbers of the planners whose recorders started.
     pub planners: BTreeSet<u64>,
+    /// Gaps.
     pub gaps: u64,
-    /// The longest time between two events that follow each other: quiet, or a clock set forward.
+    /// The longest time between two consecutive events, in microseconds. Nothing happened, or a clock was set forward.
     pub longest_silence_us: u64,
-    /// Events that lie before one that came earlier in the file.
+    /// Events with an earlier time than an event before them in the file.
     pub out_of_order: u64,
+    /// Time of the earliest event, in microseconds.
     pub first_us: Option<u64>,
+    /// Time of the latest event, in microseconds.
     pub last_us: Option<u64>,
+    /// The way in which the recording ends.
     pub end: Option<End>,
 }
 
+/// Reads a whole recording and returns its summary.
+///
 /// # Errors
 ///
-/// The recording's flaws.
-pub fn summary(mut reader: Reader<impl Read>) -> Result<Summary, Flaw> {
+/// Returns an error if the recording cannot be read.
+pub fn summary(mut reader: Reader<impl Read>) -> Result<Summary, ReadError> {
     let (mut s, mut proxies, mut servers) = (Summary::default(), BTreeSet::new(), BTreeSet::new());
     while let Some(Timed { at_us, event }) = reader.event()? {
         s.events += 1;
@@ -49,7 +64,7 @@
             Event::Call(call) => {
                 s.calls += 1;
                 s.repeats += u64::from(call.repeat);
-                s.anonymous += u64::from(call.client.is_none());
+                s.without_client += u64::from(call.client.is_none());
                 *s.by_route.entry(call.route).or_default() += 1;
                 proxies.insert(call.proxy);
             }
@@ -76,17 +91,18 @@
     Ok(s)
 }
 
-/// Writes what lies from `from_us` to before `to_us`, times counted from `from_us` on. What was in force before
-/// (the list, who was joined, the settings) comes first, so that the part can be replayed alone.
+/// Writes the events of the half-open interval from `from_us` to `to_us` as a recording that starts at `from_us`. The
+/// state at `from_us` (the settings, the list, the joined proxies) comes first, so that the part can be replayed alone.
+/// Returns the number of events written.
 ///
 /// # Errors
 ///
-/// The recording's flaws, and the new file's.
+/// Returns an error if the recording cannot be read or the part cannot be written.
 pub fn cut<W: Write>(
     mut reader: Reader<impl Read>,
     to: W,
     (from_us, to_us): (u64, u64),
-) -> Result<u64, Flaw> {
+) -> Result<u64, ReadError> {
     let mut writer = Writer::new(to)?;
     let (mut began, mut lists, mut joined) = (vec![], Vec::<Event>::new(), BTreeMap::new());
     let (mut opened, mut count) = (false, 0);
@@ -101,8 +117,8 @@
         if at_us >= from_us {
             if !opened {
                 opened = true;
-                let standing = std::mem::take(&mut began).into_iter().chain(std::mem::take(&mut lists));
-                for event in standing.chain(std::mem::take(&mut joined).into_values()) {
+                let state = std::mem::take(&mut began).into_iter().chain(std::mem::take(&mut lists));
+                for event in state.chain(std::mem::take(&mut joined).into_values()) {
                     put(&mut writer, 0, event)?;
                 }
             }
@@ -126,23 +142,24 @@
     Ok(count)
 }
 
-/// Merges recordings of one day by time. Each one's `shift_us` is added to its times: recorders' clocks differ.
-/// Calls that two of them have (same time, route, key, client and proxy) come once.
+/// Merges recordings of one day by time. Each recording comes with an offset in microseconds that is added to its times,
+/// because the clocks of recorders differ. A request with the same time and the same fields in several recordings is
+/// written once. Returns the numbers of events written and of duplicates dropped.
 ///
 /// # Errors
 ///
-/// Any recording's flaws, and the new file's.
-pub fn merge<R: Read>(mut parts: Vec<(Reader<R>, i64)>, to: impl Write) -> Result<(u64, u64), Flaw> {
+/// Returns an error if a recording cannot be read or the merged one cannot be written.
+pub fn merge<R: Read>(mut parts: Vec<(Reader<R>, i64)>, to: impl Write) -> Result<(u64, u64), ReadError> {
     let mut writer = Writer::new(to)?;
     let mut heads: Vec<Option<Timed>> = vec![];
-    let next = |(reader, shift): &mut (Reader<R>, i64)| -> Result<Option<Timed>, Flaw> {
+    let next = |(reader, shift): &mut (Reader<R>, i64)| -> Result<Option<Timed>, ReadError> {
         Ok(reader.event()?.map(|t| Timed { at_us: t.at_us.saturating_add_signed(*shift), ..t }))
     };
     for part in &mut parts {
         heads.push(next(part)?);
     }
-    let (mut count, mut doubled) = (0, 0);
-    // Calls at the last instant, against those that come again from another recorder.
+    let (mut count, mut duplicates) = (0, 0);
+    // Time and requests of the current instant, to drop duplicates of other recorders.
     let mut instant: (u64, Vec<Event>) = (0, vec![]);
     loop {
         let at = |i: &usize| heads[*i].as_ref().map(|t| t.at_us);
@@ -156,7 +173,7 @@
         }
         if matches!(timed.event, Event::Call(_)) {
             if instant.1.contains(&timed.event) {
-                doubled += 1;
+                duplicates += 1;
                 continue;
             }
             instant.1.push(timed.event.clone());
@@ -165,5 +182,5 @@
         writer.put(timed)?;
     }
     writer.finish()?;
-    Ok((count, doubled))
+    Ok((count, duplicates))
 }
--- a/crates/trace/src/write.rs
+++ b/crates/trace/src/write.rs
@@ -1,33 +1,39 @@
-//! Writing a recording as it happens.
+//! The writer of recordings.
 
 use crate::block::{self, MAGIC, VERSION};
 use crate::event::{Event, Timed};
 use std::io::{self, Write};
 
-/// Holds one block's events at a time; a block is written once it is full, or when it is asked for.
+/// Writes a recording. The writer holds the events of one block and writes the block when it is full or flushed.
 pub struct Writer<W: Write> {
     to: W,
     block: Vec<Timed>,
+    /// Approximate size of `block` before compression, in bytes.
     size: usize,
+    /// Number of events written in earlier blocks.
     total: u64,
 }
 
 impl<W: Write> Writer<W> {
-    /// About so many bytes of events make a block: small enough that little is lost with the last one.
-    const BLOCK: usize = 64 << 10;
+    /// Approximate size of a block before compression, in bytes. Small, so that a truncated recording loses little.
+    const BLOCK_LEN: usize = 64 << 10;
 
+    /// Writes the header of a recording.
+    ///
     /// # Errors
     ///
-    /// The file's.
+    /// Returns an error if the header cannot be written.
     pub fn new(mut to: W) -> io::Result<Self> {
         to.write_all(MAGIC)?;
         to.write_all(&VERSION.to_be_bytes())?;
         Ok(Writer { to, block: Vec::new(), size: 0, total: 0 })
     }
 
+    /// Adds an event, and writes the block if it is full.
+    ///
     /// # Errors
     ///
-    /// The file's. What was in the block that could not be written is lost.
+    /// Returns an error if the block cannot be written. Its events are lost.
     pub fn put(&mut self, timed: Timed) -> io::Result<()> {
         self.size += match &timed.event {
             Event::Call(_) => 24,
@@ -36,18 +42,18 @@
             _ => 16,
         };
         self.block.push(timed);
-        if self.size >= Self::BLOCK { self.flush() } else { Ok(()) }
+        if self.size >= Self::BLOCK_LEN { self.flush() } else { Ok(()) }
     }
 
-    /// Writes what there is as a block of its own, so that it is readable from here on.
+    /// Writes the events held as a block, so that they are readable from now on.
     ///
     /// # Errors
     ///
-    /// The file's.
+    /// Returns an error if the block cannot be written.
     pub fn flush(&mut self) -> io::Result<()> {
         if !self.block.is_empty() {
             let mut out = Vec::new();
-            block::write(&mut out, &self.block, 0);
+            block::append_block(&mut out, &self.block, 0);
             self.total += self.block.len() as u64;
             self.block.clear();
             self.size = 0;
@@ -56,15 +62,15 @@
         self.to.flush()
     }
 
-    /// Ends the recording: a reader knows by the last block that nothing is missing after it.
+    /// Writes the end block, which tells readers that the recording is complete.
     ///
     /// # Errors
     ///
-    /// The file's.
+    /// Returns an error if the end block cannot be written.
     pub fn finish(mut self) -> io::Result<W> {
         self.flush()?;
         let mut out = Vec::new();
-        block::write(&mut out, &[], self.total);
+        block::append_block(&mut out, &[], self.total);
         self.to.write_all(&out)?;
         self.to.flush()?;
         Ok(self.to)
--- a/crates/trace/tests/fixtures.rs
+++ b/crates/trace/tests/fixtures.rs
@@ -1,7 +1,6 @@
-//! A recording and keyed hashes stored by an earlier build: they open, hold the same and encode to the same bytes.
+//! A recording and keyed hashes stored by an earlier build: they decode to the same events and encode to the same bytes.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_trace::*;
 use rstest::rstest;
@@ -17,7 +16,7 @@
     Listed { server, number, zone: "east".into(), phase, started_ms: 1_700_000_000_123 }
 }
 
-/// One event of every kind, in the order of the fixture; times are in microseconds and run backwards once.
+/// Returns one event of every kind in the order of the fixture. Times are in microseconds; one precedes the time before.
 fn events() -> Vec<Timed> {
     let all = [Phase::Gone, Phase::Ready, Phase::Draining];
     let entries = all.into_iter().zip(1..).map(|(phase, n)| listed(n, phase)).collect();
@@ -52,7 +51,7 @@
 
 #[rstest]
 fn keyed_hashes_are_the_stored_ones() {
-    let cloak = Cloak::new(b"a fixed key");
-    assert_eq!(cloak.text("10.0.0.1:8080"), "42fef9b843bc5db6");
-    assert_eq!(cloak.number(11), 4_875_364_764_931_957_614);
+    let anonymizer = Anonymizer::new(b"a fixed key");
+    assert_eq!(anonymizer.hash_text("10.0.0.1:8080"), "42fef9b843bc5db6");
+    assert_eq!(anonymizer.hash_number(11), 4_875_364_764_931_957_614);
 }
--- a/crates/trace/tests/trace.rs
+++ b/crates/trace/tests/trace.rs
@@ -1,7 +1,6 @@
-//! Recordings whole, cut off at any byte, damaged at any byte, cut, merged and imported.
+//! Recordings that are whole, truncated at any byte, damaged at any byte, cut, merged and imported.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_trace::*;
 use proptest::prelude::*;
@@ -20,11 +19,11 @@
     Timed { at_us, event: Event::Call(call) }
 }
 
-fn listed(n: u32, phase: Phase) -> Listed {
-    Listed { server: format!("127.0.0.1:{n}"), number: n, zone: "east".into(), phase, started_ms: 0 }
+fn listed(number: u32, phase: Phase) -> Listed {
+    Listed { server: format!("127.0.0.1:{number}"), number, zone: "east".into(), phase, started_ms: 0 }
 }
 
-/// A day of several blocks, with events a little out of order.
+/// Returns a day of several blocks with events slightly out of order.
 fn day(calls: u64) -> Vec<Timed> {
     let mut events = vec![
         Timed { at_us: 0, event: Event::Began { planner: 9, unix_ms: 5, settings: "{ }".into() } },
@@ -47,17 +46,17 @@
     writer.finish().unwrap()
 }
 
-fn read(bytes: &[u8], salvage: bool) -> (Vec<Timed>, Result<Option<End>, Flaw>) {
+fn read(bytes: &[u8], salvage: bool) -> (Vec<Timed>, Result<Option<End>, ReadError>) {
     let mut reader = match Reader::new(bytes, salvage) {
         Ok(reader) => reader,
-        Err(flaw) => return (vec![], Err(flaw)),
+        Err(error) => return (vec![], Err(error)),
     };
     let mut events = vec![];
     loop {
         match reader.event() {
             Ok(Some(e)) => events.push(e),
             Ok(None) => return (events, Ok(reader.end())),
-            Err(flaw) => return (events, Err(flaw)),
+            Err(error) => return (events, Err(error)),
         }
     }
 }
@@ -66,7 +65,7 @@
 #[case::none(0)]
 #[case::one_block(100)]
 #[case::many_blocks(20_000)]
-fn what_is_written_is_read(#[case] calls: u64) {
+fn written_events_are_read_back(#[case] calls: u64) {
     let events = day(calls);
     let (back, end) = read(&written(&events), false);
     assert_eq!((back.len(), end.unwrap()), (events.len(), Some(End::Whole)));
@@ -74,14 +73,14 @@
 }
 
 #[rstest]
-fn a_day_is_compact() {
+fn a_recording_takes_less_than_20_bytes_an_event() {
     let events = day(20_000);
     let bytes = written(&events).len();
     assert!(bytes < 20 * events.len(), "{bytes} bytes for {} events", events.len());
 }
 
 #[rstest]
-fn cut_off_anywhere_it_is_readable_up_to_its_last_whole_block() {
+fn a_truncated_recording_is_readable_up_to_its_last_whole_block() {
     let events = day(9_000);
     let bytes = written(&events);
     let mut last = 0;
@@ -91,34 +90,34 @@
         assert!(back.len() >= last && back == events[..back.len()], "{length}");
         last = back.len();
     }
-    assert!(last > 6_000, "only {last} events are there at the end");
+    assert!(last > 6_000, "only {last} events are readable at the end");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn one_altered_byte_is_found_and_the_rest_is_saved(at in 10usize..60_000, to in any::<u8>()) {
+    fn one_altered_byte_is_detected_and_other_blocks_are_salvaged(at in 10usize..60_000, to in any::<u8>()) {
         let events = day(5_000);
         let mut bytes = written(&events);
         let at = at % bytes.len();
         prop_assume!(at >= 10 && bytes[at] != to);
         bytes[at] = to;
-        let (before, flaw) = read(&bytes, false);
+        let (before, error) = read(&bytes, false);
         prop_assert!(before == events[..before.len()]);
         prop_assert!(
-            matches!(flaw, Err(Flaw::Damaged { .. } | Flaw::Missing { .. }) | Ok(Some(End::CutOff { .. }))),
-            "{flaw:?}"
+            matches!(error, Err(ReadError::Damaged { .. } | ReadError::Missing { .. }) | Ok(Some(End::CutOff { .. }))),
+            "{error:?}"
         );
         let (saved, _) = read(&bytes, true);
         let whole: Vec<&Timed> = saved.iter().filter(|e| !matches!(e.event, Event::Gap { .. })).collect();
         prop_assert!(whole.len() + 3_000 >= events.len(), "{} of {} saved", whole.len(), events.len());
-        // All that is saved was written, in the order in which it was.
+        // The salvaged events are among the written ones, in the same order.
         let mut written = events.iter();
         prop_assert!(whole.iter().all(|e| written.any(|w| w == *e)));
     }
 
     #[test]
-    fn no_bytes_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
         let mut file = b"GREBEDAY\0\x01blk\n".to_vec();
         file.extend(&bytes);
         let _ = (read(&file, true), read(&bytes, false));
@@ -129,13 +128,13 @@
 #[case::foreign(b"not a recording at all".to_vec(), "this is no recording")]
 #[case::empty(vec![], "this is no recording")]
 #[case::a_later_version(b"GREBEDAY\x00\x07".to_vec(), "version 7; this program reads version 2")]
-fn what_is_no_recording_is_named(#[case] bytes: Vec<u8>, #[case] says: &str) {
-    let flaw = read(&bytes, false).1.unwrap_err().to_string();
-    assert!(flaw.contains(says), "{flaw}");
+fn a_file_that_cannot_be_read_is_rejected_with_the_reason(#[case] bytes: Vec<u8>, #[case] says: &str) {
+    let error = read(&bytes, false).1.unwrap_err().to_string();
+    assert!(error.contains(says), "{error}");
 }
 
 #[rstest]
-fn a_part_has_what_was_in_force_before_it() {
+fn a_part_begins_with_the_state_before_it() {
     let events = day(2_000);
     let mut part = vec![];
     let whole = written(&events);
@@ -143,13 +142,13 @@
     cut(reader, &mut part, (1_500_000, 1_600_000)).unwrap();
     let (back, end) = read(&part, false);
     assert_eq!(end.unwrap(), Some(End::Whole));
-    let standing: Vec<&Event> = back.iter().take_while(|e| e.at_us == 0).map(|e| &e.event).collect();
-    // Proxy 2 has left by then.
+    let state: Vec<&Event> = back.iter().take_while(|e| e.at_us == 0).map(|e| &e.event).collect();
+    // Proxy 2 left before the part begins.
     assert!(matches!(
-        standing[..],
+        state[..],
         [Event::Began { .. }, Event::List { .. }, Event::Joined { proxy: 1, .. }, ..]
     ));
-    assert!(!standing.iter().any(|e| matches!(e, Event::Joined { proxy: 2, .. })));
+    assert!(!state.iter().any(|e| matches!(e, Event::Joined { proxy: 2, .. })));
     let calls = back.iter().filter(|e| matches!(e.event, Event::Call(_))).count();
     assert_eq!((calls, back.last().unwrap().at_us < 100_000), (100, true));
 }
@@ -158,7 +157,7 @@
 fn two_planners_recordings_of_one_day_are_merged_by_time() {
     let (a, b): (Vec<Timed>, Vec<Timed>) =
         (0..100).map(|i| call(1000 * i, i, 1)).partition(|e| e.at_us % 3000 > 0);
-    // The second recorder's clock is 700 us ahead, and it has ten calls that the first has too.
+    // The second recorder's clock is 700 us ahead, and the second recording repeats ten requests of the first.
     let late = |e: &Timed| Timed { at_us: e.at_us + 700, ..e.clone() };
     let mut second: Vec<Timed> = b.iter().chain(&a[..10]).map(late).collect();
     second.sort_by_key(|e| e.at_us);
@@ -173,13 +172,13 @@
 }
 
 #[rstest]
-fn a_summary_counts_what_cannot_be_known() {
+fn a_summary_counts_requests_without_client() {
     let mut events = day(100);
     if let Event::Call(c) = &mut events[10].event {
         c.client = None;
     }
     let s = summary(Reader::new(&written(&events)[..], false).unwrap()).unwrap();
-    assert_eq!((s.calls, s.anonymous, s.proxies, s.joins, s.lefts, s.servers), (100, 1, 2, 2, 1, 1));
+    assert_eq!((s.calls, s.without_client, s.proxies, s.joins, s.lefts, s.servers), (100, 1, 2, 2, 1, 1));
     assert_eq!((s.end, s.by_route[&0]), (Some(End::Whole), 34));
 }
 
@@ -209,11 +208,11 @@
 #[rstest]
 #[case::csv(Form::Csv, CSV)]
 #[case::json_lines(Form::JsonLines, LINES)]
-fn rows_become_calls(#[case] form: Form, #[case] text: &str) {
+fn rows_are_imported_as_requests(#[case] form: Form, #[case] text: &str) {
     let mut file = vec![];
-    let told = import(text.as_bytes(), form, &mapping(), None, &mut file).unwrap();
-    let expected = Imported { calls: 3, repeats: 1, proxies: 2, anonymous: 1, out_of_order: 1 };
-    assert_eq!(told, expected);
+    let imported = import(text.as_bytes(), form, &mapping(), None, &mut file).unwrap();
+    let expected = Imported { calls: 3, repeats: 1, proxies: 2, without_client: 1, out_of_order: 1 };
+    assert_eq!(imported, expected);
     let (events, _) = read(&file, false);
     let Event::Call(first) = &events[0].event else { panic!("{events:?}") };
     assert_eq!((events[1].at_us, first.key, first.work_us, first.importance), (5000, 7, Some(2500), 1.0));
@@ -230,16 +229,16 @@
 )]
 #[case::no_work("t,what,host,work\n1,read,a,much\n", "line 2: field \"work\": \"much\" is no whole number")]
 #[case::a_short_row("t,what,host\n1,read\n", "line 2: CSV error")]
-fn bad_rows_are_named(#[case] text: &str, #[case] says: &str) {
+fn invalid_rows_are_rejected_by_line_and_field(#[case] text: &str, #[case] says: &str) {
     let bad = import(text.as_bytes(), Form::Csv, &mapping(), None, vec![]).unwrap_err().to_string();
     assert!(bad.starts_with(says), "{bad}");
 }
 
 #[rstest]
-fn under_a_cloak_the_same_thing_has_the_same_hash_by_one_key_alone() {
+fn anonymized_values_have_equal_hashes_only_under_one_key() {
     let keys = |secret: &[u8]| -> Vec<(u64, Option<u64>)> {
         let mut file = vec![];
-        import(CSV.as_bytes(), Form::Csv, &mapping(), Some(&Cloak::new(secret)), &mut file).unwrap();
+        import(CSV.as_bytes(), Form::Csv, &mapping(), Some(&Anonymizer::new(secret)), &mut file).unwrap();
         let calls = read(&file, false).0.into_iter();
         calls
             .map(|e| match e.event {
@@ -253,7 +252,7 @@
     assert_ne!(keys(b"one")[0].0, 7);
 }
 
-/// A disk that takes its time, and then no more at all.
+/// A disk that takes 150 ms for each write.
 struct Slow(std::sync::Arc<std::sync::Mutex<Vec<u8>>>);
 
 impl std::io::Write for Slow {
@@ -268,12 +267,12 @@
 }
 
 #[rstest]
-fn a_disk_that_does_not_keep_up_costs_events_and_they_are_counted() {
+fn events_are_dropped_and_counted_when_the_disk_does_not_keep_up() {
     let file = std::sync::Arc::default();
     let mut recorder = Recorder::new(Slow(std::sync::Arc::clone(&file))).unwrap();
     let all = 200_000;
     (0..all).for_each(|i| recorder.put(call(i, i, 1)));
-    // Time for the disk to take what waits, so that the gap itself is told.
+    // Lets the disk take the queued events, so that the gap itself is written.
     std::thread::sleep(std::time::Duration::from_millis(800));
     recorder.put(call(all, all, 1));
     recorder.finish().unwrap();
