--- a/crates/cli/benches/replaying.rs
+++ b/crates/cli/benches/replaying.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_replay::{Job, Recorded};
+use grebespool_replay::{Job, RecordedDay};
 use grebespool_settings::{Day, Span};
 use grebespool_simulation::{PlannedBy, model};
 use grebespool_trace::{Call, Event, Timed, Writer};
@@ -80,9 +80,9 @@
     writer.finish().unwrap();
     let stored = std::fs::metadata(&path).unwrap().len();
     let began = Instant::now();
-    let recorded = Recorded::read(&path, false, &day).unwrap();
+    let recorded = RecordedDay::read(&path, false, &day).unwrap();
     let read = began.elapsed().as_secs_f64();
-    let day = recorded.found.beside(&day);
+    let day = recorded.stats.without_recorded_troubles(&day);
     let outcome =
         Job { day: &day, seed: 1, by: PlannedBy::Planner, recorded: Some(&recorded) }.run().unwrap();
     println!(
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -40,7 +40,7 @@
     Simulation(#[from] grebespool_simulation::Unplayable),
     /// Variants cannot be compared.
     #[error(transparent)]
-    Replay(#[from] grebespool_replay::Unswept),
+    Replay(#[from] grebespool_replay::ExperimentError),
     /// Recordings cannot be merged.
     #[error(transparent)]
     Merge(grebespool_trace::ReadError),
--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -3,7 +3,7 @@
 use crate::error::CommandError;
 use crate::simulated_days::{describe, progress_bar, read_day, read_recording, thread_count};
 use clap::Args;
-use grebespool_replay::{Experiment, Kept, Replays, SweptDay, Variant};
+use grebespool_replay::{Experiment, ExperimentDay, Replays, RunStore, Variant};
 use grebespool_settings::Sweep;
 use std::fs;
 use std::path::PathBuf;
@@ -36,21 +36,21 @@
     let experiment = Experiment { name: sweep.name, days, seeds };
     // Runs of another build are done again: what it decides may differ.
     let program = std::env::current_exe().and_then(fs::read)?;
-    let kept = Kept::open(&arguments.out)?;
-    if kept.damaged > 0 {
-        eprintln!("{} lines of runs.jsonl are cut off or damaged; their runs are done again", kept.damaged);
+    let store = RunStore::open(&arguments.out)?;
+    if store.damaged > 0 {
+        eprintln!("{} lines of runs.jsonl are cut off or damaged; their runs are done again", store.damaged);
     }
     let bar = progress_bar(runs);
-    let swept = experiment.run(&kept, &program, thread_count(arguments.threads), &|| bar.inc(1))?;
+    let result = experiment.run(&store, &program, thread_count(arguments.threads), &|| bar.inc(1))?;
     bar.finish_and_clear();
-    experiment.write(&arguments.out, &swept)?;
+    experiment.write(&arguments.out, &result)?;
     print!("{}", fs::read_to_string(arguments.out.join("index.md"))?);
-    println!("\n{} runs done, {} kept from before", swept.done, swept.kept);
-    let rules_kept = swept.days.iter().all(|day| day.1.kept());
+    println!("\n{} runs done, {} kept from before", result.done, result.reused);
+    let rules_kept = result.days.iter().all(|day| day.1.rules_kept());
     Ok(if rules_kept { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-fn sweep_days(arguments: &ExperimentArguments, sweep: &Sweep) -> Result<Vec<SweptDay>, CommandError> {
+fn sweep_days(arguments: &ExperimentArguments, sweep: &Sweep) -> Result<Vec<ExperimentDay>, CommandError> {
     let mut days = vec![];
     for day in &sweep.days {
         let mut variants = vec![];
@@ -70,7 +70,7 @@
             None => None,
         };
         let about = describe(&variants[0].day, sweep.seeds, recorded.as_ref());
-        days.push(SweptDay { name: day.name.clone(), about, variants, recorded });
+        days.push(ExperimentDay { name: day.name.clone(), about, variants, recorded });
     }
     Ok(days)
 }
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -3,7 +3,7 @@
 use crate::error::CommandError;
 use crate::simulated_days::{describe, progress_bar, read_day, read_recording, thread_count};
 use clap::Args;
-use grebespool_replay::{Recorded, Replays, Variant, replay as run, write_report};
+use grebespool_replay::{RecordedDay, Replays, Variant, replay as run, write_report};
 use std::fs;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -56,7 +56,7 @@
     };
     let replays = run_variants(arguments, &variants, recorded.as_ref())?;
     print_report(arguments, &variants, recorded.as_ref(), &replays)?;
-    Ok(if replays.kept() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if replays.rules_kept() { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
 /// The day as it is, then one variant for each settings file, then those that name their values.
@@ -87,7 +87,7 @@
 fn run_variants(
     arguments: &ReplayArguments,
     variants: &[Variant],
-    recorded: Option<&Recorded>,
+    recorded: Option<&RecordedDay>,
 ) -> Result<Replays, CommandError> {
     let first_seed = variants[0].day.seed;
     let seeds: Vec<u64> = (0..arguments.seeds).map(|offset| first_seed + offset).collect();
@@ -102,7 +102,7 @@
 fn print_report(
     arguments: &ReplayArguments,
     variants: &[Variant],
-    recorded: Option<&Recorded>,
+    recorded: Option<&RecordedDay>,
     replays: &Replays,
 ) -> Result<(), CommandError> {
     let day = &variants[0].day;
--- a/crates/cli/src/simulated_days.rs
+++ b/crates/cli/src/simulated_days.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CommandError;
 use crate::rehearse::BAD_DAY;
-use grebespool_replay::{Recorded, Variant};
+use grebespool_replay::{RecordedDay, Variant};
 use grebespool_settings::{Day, Deployment};
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
@@ -35,9 +35,9 @@
     file: &Path,
     salvage: bool,
     variants: &mut [Variant],
-) -> Result<Recorded, CommandError> {
-    let recorded = Recorded::read(file, salvage, &variants[0].day).map_err(CommandError::file(file))?;
-    let recorded_deployment = match &recorded.found.site {
+) -> Result<RecordedDay, CommandError> {
+    let recorded = RecordedDay::read(file, salvage, &variants[0].day).map_err(CommandError::file(file))?;
+    let recorded_deployment = match &recorded.stats.settings {
         Some(text) => Some(Deployment::parse(text, &format!("{}: the settings in it", file.display()))?),
         None => None,
     };
@@ -45,13 +45,13 @@
         if let Some(deployment) = &recorded_deployment {
             variant.day.deployment.within(deployment, &variant.name)?;
         }
-        variant.day = recorded.found.beside(&variant.day);
+        variant.day = recorded.stats.without_recorded_troubles(&variant.day);
     }
     Ok(recorded)
 }
 
 /// The lines at the head of a report.
-pub(crate) fn describe(day: &Day, seeds: u64, recorded: Option<&Recorded>) -> Vec<String> {
+pub(crate) fn describe(day: &Day, seeds: u64, recorded: Option<&RecordedDay>) -> Vec<String> {
     let mut lines = vec![format!(
         "{}: {} servers, {} proxies, {} s, {} troubles, {seeds} seeds. Simulated: the real engine and module, \
          modelled servers.",
@@ -61,7 +61,7 @@
         day.length.0.as_secs_f64(),
         day.troubles.len(),
     )];
-    lines.extend(recorded.map(|recorded| recorded.found.lines()).unwrap_or_default());
+    lines.extend(recorded.map(|recorded| recorded.stats.lines()).unwrap_or_default());
     lines
 }
 
--- a/crates/replay/src/chart.rs
+++ b/crates/replay/src/chart.rs
@@ -1,4 +1,4 @@
-//! Charts, as SVG that opens on its own.
+//! Charts as self-contained SVG.
 
 use crate::compare::gain;
 use crate::run::{Replayed, Replays};
@@ -7,11 +7,13 @@
 use plotters::prelude::*;
 use std::io;
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+/// The result of drawing with plotters.
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
+/// Draws a chart and returns it as SVG text.
 fn svg(
     size: (u32, u32),
-    draw: impl FnOnce(&DrawingArea<SVGBackend<'_>, Shift>) -> Drawn,
+    draw: impl FnOnce(&DrawingArea<SVGBackend<'_>, Shift>) -> DrawResult,
 ) -> io::Result<String> {
     let mut text = String::new();
     {
@@ -23,12 +25,13 @@
     Ok(text)
 }
 
+/// Returns the mean; 0 if there are no values.
 pub(crate) fn mean(values: impl Iterator<Item = f64>) -> f64 {
-    let (sum, n) = values.fold((0.0, 0.0), |(s, n), v| (s + v, n + 1.0));
-    if n > 0.0 { sum / n } else { 0.0 }
+    let (sum, count) = values.fold((0.0, 0.0), |(sum, count), value| (sum + value, count + 1.0));
+    if count > 0.0 { sum / count } else { 0.0 }
 }
 
-/// Service through the day, a line a variant, mean over seeds; the baselines thin.
+/// Draws the service level over the day, as the mean over seeds: a line for each variant, thinner for the baselines.
 pub(crate) fn course(replays: &Replays) -> io::Result<String> {
     let all: Vec<(&Replayed, u32)> = (replays.variants.iter().map(|r| (r, 2)))
         .chain([(&replays.evenly, 1), (&replays.best, 1), (&replays.rationed, 1)])
@@ -63,7 +66,7 @@
     })
 }
 
-/// Each variant's difference to the first with its interval.
+/// Draws the gain of each variant over the first, with its confidence interval.
 pub(crate) fn gains(replays: &Replays) -> io::Result<String> {
     let rows: Vec<(String, f64, f64)> = replays.variants[1..]
         .iter()
@@ -86,8 +89,8 @@
             .disable_y_axis()
             .x_label_formatter(&|x| format!("{x:+.3}"))
             .draw()?;
-        let none = [(0.0, 0.0), (0.0, rows.len() as f64)];
-        chart.draw_series(LineSeries::new(none, BLACK))?;
+        let zero_line = [(0.0, 0.0), (0.0, rows.len() as f64)];
+        chart.draw_series(LineSeries::new(zero_line, BLACK))?;
         for (i, (name, mean, margin)) in rows.iter().enumerate() {
             let y = rows.len() as f64 - i as f64 - 0.65;
             let color = Palette99::pick(i + 1).to_rgba();
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,19 +1,17 @@
-//! A day replayed under other settings: every variant with every seed, on all cores, compared seed by seed.
+//! Replays of a day under several settings in the model: each variant runs with each seed, on all cores, and variants are
+//! compared seed by seed.
 //!
-//! What comes out does not depend on how many cores there are: each run is the model's, alone, and runs are put
-//! together by their places.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! Results do not depend on the number of cores: each run is a single-threaded simulation, and results are ordered by job.
 
 mod chart;
 mod compare;
 mod experiment;
-mod past;
+mod recorded;
 mod report;
 mod run;
 
-pub use compare::{Gain, gain, gain_of};
-pub use experiment::{Experiment, Kept, Swept, SweptDay, Unswept};
-pub use past::{Found, Recorded};
+pub use compare::{Gain, gain, paired_gain};
+pub use experiment::{Experiment, ExperimentDay, ExperimentError, ExperimentResult, RunStore};
+pub use recorded::{RecordedDay, RecordingStats};
 pub use report::write_report;
 pub use run::{Job, Outcome, Replayed, Replays, Variant, replay, run_all};
--- a/crates/replay/src/past.rs
+++ b/crates/replay/src/recorded.rs
@@ -1,4 +1,4 @@
-//! Recorded days, as the model follows them: read as a stream, in the order of time, one block held.
+//! Recorded days as inputs of the model: a stream of events in the order of time, with one block in memory at a time.
 
 use grebespool_settings::{Day, Trouble, What};
 use grebespool_simulation::{FirstCall, Past, PastEntry, Recording};
@@ -12,91 +12,116 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Events in the order of time, out of a recording that has them nearly so. What comes after something later was
-/// given already is given at that time: a clock was set back, and its true time can't be known.
-struct Sorted<I> {
+/// Sorts the events of a recording, which are slightly out of order, by time. An event that comes after a later one was
+/// returned gets the time of that one: a clock was set back, and the true time is unknown.
+struct SortedEvents<I> {
     from: I,
-    waiting: BTreeMap<(u64, u64), Event>,
+    /// Events to return, by time in microseconds and the order of reading.
+    pending: BTreeMap<(u64, u64), Event>,
+    /// Number of events added to `pending` so far.
     read: u64,
-    newest: u64,
-    given: u64,
-    set_back: u64,
-    over: bool,
+    /// Latest time read so far, in microseconds.
+    newest_us: u64,
+    /// Time of the last event returned, in microseconds.
+    returned_us: u64,
+    /// Number of events that got a later time than recorded.
+    moved: u64,
+    from_ended: bool,
 }
 
-impl<I: Iterator<Item = Result<Timed, ReadError>>> Sorted<I> {
-    /// Events wait so long for earlier ones.
+impl<I: Iterator<Item = Result<Timed, ReadError>>> SortedEvents<I> {
+    /// Time that an event waits for earlier ones, in microseconds of the recording.
     const WAIT_US: u64 = 5_000_000;
-    const MOST: usize = 1 << 16;
+    /// Largest number of pending events.
+    const MAX_PENDING: usize = 1 << 16;
 
     fn new(from: I) -> Self {
-        Sorted { from, waiting: BTreeMap::new(), read: 0, newest: 0, given: 0, set_back: 0, over: false }
+        SortedEvents {
+            from,
+            pending: BTreeMap::new(),
+            read: 0,
+            newest_us: 0,
+            returned_us: 0,
+            moved: 0,
+            from_ended: false,
+        }
     }
 
-    /// Puts one in that follows from another.
-    fn put(&mut self, at_us: u64, event: Event) {
+    /// Adds an event, either read or derived from another.
+    fn insert(&mut self, at_us: u64, event: Event) {
         self.read += 1;
-        self.waiting.insert((at_us, self.read), event);
+        self.pending.insert((at_us, self.read), event);
     }
 
+    /// Returns the next event in the order of time; `None` at the end.
     fn next(&mut self) -> Result<Option<Timed>, ReadError> {
-        while !self.over {
-            let first = self.waiting.first_key_value().map(|(k, _)| k.0);
-            if first.is_some_and(|f| f + Self::WAIT_US <= self.newest) || self.waiting.len() >= Self::MOST {
+        while !self.from_ended {
+            let first = self.pending.first_key_value().map(|(k, _)| k.0);
+            if first.is_some_and(|f| f + Self::WAIT_US <= self.newest_us)
+                || self.pending.len() >= Self::MAX_PENDING
+            {
                 break;
             }
             match self.from.next().transpose()? {
                 Some(timed) => {
-                    self.newest = self.newest.max(timed.at_us);
-                    self.put(timed.at_us, timed.event);
+                    self.newest_us = self.newest_us.max(timed.at_us);
+                    self.insert(timed.at_us, timed.event);
                 }
-                None => self.over = true,
+                None => self.from_ended = true,
             }
         }
-        let Some(((at, _), event)) = self.waiting.pop_first() else { return Ok(None) };
-        self.set_back += u64::from(at < self.given);
-        self.given = self.given.max(at);
-        Ok(Some(Timed { at_us: self.given, event }))
+        let Some(((at, _), event)) = self.pending.pop_first() else { return Ok(None) };
+        self.moved += u64::from(at < self.returned_us);
+        self.returned_us = self.returned_us.max(at);
+        Ok(Some(Timed { at_us: self.returned_us, event }))
     }
 }
 
-/// What of a recording can be replayed, and what of it cannot be known.
+/// Counts of what a recording holds, of what is replayed and of what is unknown.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Found {
-    /// First calls that are replayed.
+pub struct RecordingStats {
+    /// First attempts, which are replayed.
     pub calls: u64,
-    /// Left out: clients come again by what becomes of their calls.
+    /// Repeats, which are not replayed: the model's clients retry by the outcome of their requests.
     pub repeats: u64,
-    /// Without a client's id: may be repeats, and are replayed as first calls.
-    pub anonymous: u64,
-    /// Told by proxies as counts only: their times within a cycle, keys and clients are not known.
+    /// Requests without a client's id. These are replayed as first attempts and may be repeats.
+    pub without_client: u64,
+    /// Requests that proxies reported only as counts. Their keys, clients and times within a cycle are unknown.
     pub counted: u64,
-    /// Of a route that no caller of the day has.
-    pub unstated: u64,
+    /// Requests of a route that the day has no callers for. These are not replayed.
+    pub without_route: u64,
+    /// Gaps.
     pub gaps: u64,
-    /// Events that lay far before one that had come: a clock was set back.
+    /// Events far earlier than an event before them, because a clock was set back.
     pub set_back: u64,
     /// The longest time without any event.
     pub longest_silence: Duration,
+    /// Server lists, whole ones and changes.
     pub lists: u64,
-    /// Entries of servers that go, or drain, without ever having been listed.
+    /// Entries that remove or drain a server that was never listed.
     pub never_listed: u64,
+    /// Joins of proxies.
     pub joins: u64,
+    /// Leaves of proxies.
     pub lefts: u64,
+    /// Numbers of the planners whose recorders started.
     pub planners: BTreeSet<u64>,
+    /// Time of the last event.
     pub last: Duration,
-    /// The settings in force, as the recorder had them.
-    pub site: Option<String>,
+    /// The recorded settings as JSON, if the recording has them.
+    pub settings: Option<String>,
+    /// True if the recording is truncated.
     pub cut_off: bool,
-    opening: Option<Vec<PastEntry>>,
-    /// Which of the day's proxies stands for a recorded one.
+    /// The first whole list.
+    initial_list: Option<Vec<PastEntry>>,
+    /// Index of the day's proxy that replays each recorded proxy.
     proxies: BTreeMap<u32, usize>,
-    /// By a recorded proxy, when it first joined.
+    /// Time of the first join of each recorded proxy, in microseconds.
     first_joins: BTreeMap<u32, u64>,
 }
 
-impl Found {
-    /// What a page says of it.
+impl RecordingStats {
+    /// Returns the lines of a report on the recording.
     pub fn lines(&self) -> Vec<String> {
         let mut lines = vec![format!(
             "Recorded: {} first calls over {:.1} s, {} lists, {} joins, {} leaves, {} planners.",
@@ -113,9 +138,9 @@
             }
         };
         say(self.repeats, "repeats left out: clients come again by what becomes of their calls.");
-        say(self.anonymous, "calls had no client: whether they are repeats can't be known.");
+        say(self.without_client, "calls had no client: whether they are repeats can't be known.");
         say(self.counted, "calls were told as counts: their exact times, keys and clients can't be known.");
-        say(self.unstated, "calls of routes that the day has no callers for were left out.");
+        say(self.without_route, "calls of routes that the day has no callers for were left out.");
         say(self.gaps, "gaps: what happened in them can't be known.");
         say(self.set_back, "events lay before what had already happened (a clock set back) and happen late.");
         say(self.never_listed, "entries of servers that were never listed were passed over.");
@@ -131,9 +156,9 @@
         lines
     }
 
-    /// The day without those troubles that the recording itself tells of, lasting as long as the recording.
-    pub fn beside(&self, day: &Day) -> Day {
-        let told = |t: &Trouble| match t.what {
+    /// Returns the day with the length of the recording and without the troubles of kinds that the recording contains.
+    pub fn without_recorded_troubles(&self, day: &Day) -> Day {
+        let is_recorded = |t: &Trouble| match t.what {
             What::Burst { .. } => self.calls > 0,
             What::Deploy { .. }
             | What::Replaced { .. }
@@ -153,28 +178,31 @@
         };
         let mut day = day.clone();
         day.length.0 = Duration::from_secs(self.last.as_secs() + 1);
-        day.troubles.retain(|t| !told(t) && t.at.0 < day.length.0);
+        day.troubles.retain(|t| !is_recorded(t) && t.at.0 < day.length.0);
         day
     }
 }
 
-/// A recording that is read anew for each run.
+/// A recorded day. The file is read again for each run.
 #[derive(Debug)]
-pub struct Recorded {
+pub struct RecordedDay {
     path: PathBuf,
     salvage: bool,
-    pub found: Found,
+    /// Counts of what the recording holds.
+    pub stats: RecordingStats,
+    /// The report cycle of the day's deployment.
     cycle: Duration,
-    /// By route: whether the day has callers of it, their work and keys.
+    /// Work and number of keys of the callers of each route; `None` if the day has no callers of it.
     routes: Vec<Option<(Duration, u64)>>,
 }
 
-type Events = Sorted<Reader<BufReader<File>>>;
+type Events = SortedEvents<Reader<BufReader<File>>>;
 
 fn open(path: &Path, salvage: bool) -> Result<Reader<BufReader<File>>, ReadError> {
     Reader::new(BufReader::new(File::open(path)?), salvage)
 }
 
+/// Converts a recorded entry of a list that was sent at `unix_ms`.
 fn entry(e: &Listed, unix_ms: u64) -> PastEntry {
     PastEntry {
         server: e.server.clone(),
@@ -189,19 +217,19 @@
     }
 }
 
-impl Recorded {
-    /// Reads a recording once, to see whether it is whole and what it holds. Its proxies are put in the places of
-    /// the day's: those of their zone in their order, or by their numbers where zones were not recorded.
+impl RecordedDay {
+    /// Reads a recording once, to validate and summarize it. Each recorded proxy is assigned to one of the day's proxies:
+    /// in order among those of its zone, or by its number if no zone was recorded or the day has no proxy there.
     ///
     /// # Errors
     ///
-    /// The recording's flaws.
-    pub fn read(path: &Path, salvage: bool, day: &Day) -> Result<Recorded, ReadError> {
+    /// Returns an error if the recording cannot be read.
+    pub fn read(path: &Path, salvage: bool, day: &Day) -> Result<RecordedDay, ReadError> {
         let route = |r: usize| day.callers.iter().find(|c| c.route == r).map(|c| (c.work.0, c.keys));
-        let mut recorded = Recorded {
+        let mut recorded = RecordedDay {
             path: path.into(),
             salvage,
-            found: Found::default(),
+            stats: RecordingStats::default(),
             cycle: day.deployment.reports.cycle.0,
             routes: (0..day.deployment.routes.len()).map(route).collect(),
         };
@@ -209,20 +237,21 @@
         Ok(recorded)
     }
 
-    /// Stands for all that the recording holds.
+    /// Returns a checksum of the file.
     ///
     /// # Errors
     ///
-    /// The file's.
-    pub fn sum(&self) -> Result<[u8; 32], ReadError> {
+    /// Returns an error if the file cannot be read.
+    pub fn checksum(&self) -> Result<[u8; 32], ReadError> {
         let mut hasher = blake3::Hasher::new();
         hasher.update_reader(File::open(&self.path)?)?;
         Ok(*hasher.finalize().as_bytes())
     }
 
+    /// Reads the whole recording and sets `stats`.
     fn scan(&mut self, day: &Day) -> Result<(), ReadError> {
-        let mut events: Events = Sorted::new(open(&self.path, self.salvage)?);
-        let (mut f, mut listed) = (Found::default(), BTreeSet::new());
+        let mut events: Events = SortedEvents::new(open(&self.path, self.salvage)?);
+        let (mut f, mut listed) = (RecordingStats::default(), BTreeSet::new());
         let (mut zones, mut last) = (BTreeMap::<u32, String>::new(), None);
         while let Some(Timed { at_us, event }) = events.next()? {
             let before = last.replace(at_us).unwrap_or(at_us);
@@ -234,10 +263,10 @@
                 }
                 Event::Came { proxy, route, calls } => {
                     zones.entry(proxy).or_default();
-                    if self.stated(route).is_some() {
+                    if self.callers_of(route).is_some() {
                         (f.counted, f.calls) = (f.counted + u64::from(calls), f.calls + u64::from(calls));
                     } else {
-                        f.unstated += u64::from(calls);
+                        f.without_route += u64::from(calls);
                     }
                 }
                 Event::List { base, now_ms, entries, .. } => {
@@ -247,8 +276,8 @@
                         f.never_listed += u64::from(!known && base != 0 && e.phase != Phase::Ready);
                         listed.insert(e.server.clone());
                     }
-                    if base == 0 && f.opening.is_none() {
-                        f.opening = Some(entries.iter().map(|e| entry(e, now_ms)).collect());
+                    if base == 0 && f.initial_list.is_none() {
+                        f.initial_list = Some(entries.iter().map(|e| entry(e, now_ms)).collect());
                     }
                 }
                 Event::Joined { proxy, zone, .. } => {
@@ -265,74 +294,77 @@
                 }
                 Event::Began { planner, settings, .. } => {
                     f.planners.insert(planner);
-                    f.site = f.site.or(Some(settings).filter(|s| !s.is_empty()));
+                    f.settings = f.settings.or(Some(settings).filter(|s| !s.is_empty()));
                 }
                 Event::PlannerLost { .. } => {}
                 Event::Gap { .. } => f.gaps += 1,
             }
         }
         f.last = Duration::from_micros(last.unwrap_or(0));
-        f.set_back = events.set_back;
+        f.set_back = events.moved;
         f.cut_off = matches!(events.from.end(), Some(End::CutOff { .. }));
-        f.proxies = places(&zones, day);
-        self.found = f;
+        f.proxies = assign_proxies(&zones, day);
+        self.stats = f;
         Ok(())
     }
 
-    fn stated(&self, route: u8) -> Option<(Duration, u64)> {
+    /// Returns the work and the number of keys of a route's callers; `None` if the day has no callers of it.
+    fn callers_of(&self, route: u8) -> Option<(Duration, u64)> {
         self.routes.get(usize::from(route)).copied().flatten()
     }
 
-    fn count(&self, f: &mut Found, call: &Call) {
-        if self.stated(call.route).is_none() {
-            f.unstated += 1;
+    /// Counts a recorded request.
+    fn count(&self, f: &mut RecordingStats, call: &Call) {
+        if self.callers_of(call.route).is_none() {
+            f.without_route += 1;
         } else if call.repeat {
             f.repeats += 1;
         } else {
             f.calls += 1;
-            f.anonymous += u64::from(call.client.is_none());
+            f.without_client += u64::from(call.client.is_none());
         }
     }
 
-    /// The recording from its beginning.
+    /// Opens the recording at its start, as the input of a run.
     ///
     /// # Errors
     ///
-    /// The file's.
+    /// Returns an error if the file cannot be opened or is not a recording.
     pub fn begin(&self) -> Result<Recording<'_>, ReadError> {
-        let mut events: Events = Sorted::new(open(&self.path, self.salvage)?);
-        let f = &self.found;
-        // Who had not joined when the recording began was without the planner; who never joined, always.
+        let mut events: Events = SortedEvents::new(open(&self.path, self.salvage)?);
+        let f = &self.stats;
+        // A proxy is without a planner until its first join; one that never joined is so for the whole recording.
         let apart = f.proxies.iter().filter(|(p, _)| f.first_joins.get(p).is_none_or(|at| *at > 0));
         let apart = if f.joins > 0 { apart.map(|p| *p.1).collect() } else { BTreeSet::new() };
         let next = move || -> Result<Option<(Duration, Past)>, Box<dyn std::error::Error + Send + Sync>> {
             while let Some(timed) = events.next()? {
                 let at = Duration::from_micros(timed.at_us);
-                if let Some(past) = self.past(timed, &mut events) {
-                    return Ok(Some((at, past)));
+                if let Some(input) = self.input(timed, &mut events) {
+                    return Ok(Some((at, input)));
                 }
             }
             Ok(None)
         };
-        Ok(Recording { opening: f.opening.clone(), apart, next: Box::new(next) })
+        Ok(Recording { opening: f.initial_list.clone(), apart, next: Box::new(next) })
     }
 
-    fn past(&self, timed: Timed, events: &mut Events) -> Option<Past> {
-        let place = |proxy: &u32| self.found.proxies.get(proxy).copied();
+    /// Converts a recorded event into an input of the model. Counted requests are added to `events` one by one.
+    fn input(&self, timed: Timed, events: &mut Events) -> Option<Past> {
+        let proxy_index = |proxy: &u32| self.stats.proxies.get(proxy).copied();
         Some(match timed.event {
             Event::Call(call) if !call.repeat => {
-                let (work, _) = self.stated(call.route)?;
+                let (work, _) = self.callers_of(call.route)?;
                 Past::Call(FirstCall {
                     due: Duration::from_micros(timed.at_us),
                     route: call.route,
                     key: call.key,
                     work: call.work_us.map_or(work, |us| Duration::from_micros(us.into())),
-                    proxy: place(&call.proxy)?,
+                    proxy: proxy_index(&call.proxy)?,
                 })
             }
             Event::Came { proxy, route, calls } => {
-                // They came within the cycle that was told of, and are put as evenly into the next.
-                let (_, keys) = self.stated(route)?;
+                // The requests arrived within the cycle that ends here. The model gets them evenly over the next one.
+                let (_, keys) = self.callers_of(route)?;
                 let seed = timed.at_us << 20 ^ u64::from(proxy) << 4 ^ u64::from(route);
                 let mut rng = Pcg64Mcg::seed_from_u64(seed);
                 let cycle = self.cycle.as_micros() as u64;
@@ -347,8 +379,8 @@
                         work_us: None,
                         repeat: false,
                     };
-                    let after = cycle * (2 * i + 1) / (2 * u64::from(calls));
-                    events.put(timed.at_us + after, Event::Call(call));
+                    let offset_us = cycle * (2 * i + 1) / (2 * u64::from(calls));
+                    events.insert(timed.at_us + offset_us, Event::Call(call));
                 }
                 return None;
             }
@@ -356,8 +388,8 @@
                 let entries = entries.iter().map(|e| entry(e, now_ms)).collect();
                 Past::List { version, base, entries }
             }
-            Event::Joined { proxy, .. } => Past::Joined { proxy: place(&proxy)? },
-            Event::Left { proxy } => Past::Left { proxy: place(&proxy)? },
+            Event::Joined { proxy, .. } => Past::Joined { proxy: proxy_index(&proxy)? },
+            Event::Left { proxy } => Past::Left { proxy: proxy_index(&proxy)? },
             Event::Began { planner, .. } => Past::PlannerBegan { planner },
             Event::PlannerLost { planner } => Past::PlannerLost { planner },
             Event::Call(_) | Event::Gap { .. } => return None,
@@ -365,23 +397,24 @@
     }
 }
 
-/// `zones`: each recorded proxy's, empty where it was not told.
-fn places(zones: &BTreeMap<u32, String>, day: &Day) -> BTreeMap<u32, usize> {
-    let homes: Vec<&str> =
+/// Returns the index of the day's proxy for each recorded proxy. `zones` has the zone of each recorded proxy, which is
+/// empty if it was not recorded.
+fn assign_proxies(zones: &BTreeMap<u32, String>, day: &Day) -> BTreeMap<u32, usize> {
+    let zone_of: Vec<&str> =
         day.proxies.iter().flat_map(|k| std::iter::repeat_n(k.zone.as_str(), k.count)).collect();
-    let mut taken: BTreeMap<&str, usize> = BTreeMap::new();
-    let mut places = BTreeMap::new();
+    let mut assigned: BTreeMap<&str, usize> = BTreeMap::new();
+    let mut indices = BTreeMap::new();
     for (proxy, zone) in zones {
-        let of_zone: Vec<usize> = (0..homes.len()).filter(|p| homes[*p] == zone).collect();
-        let place = match of_zone.len() {
-            0 => *proxy as usize % homes.len(),
+        let of_zone: Vec<usize> = (0..zone_of.len()).filter(|p| zone_of[*p] == zone).collect();
+        let index = match of_zone.len() {
+            0 => *proxy as usize % zone_of.len(),
             n => {
-                let next = taken.entry(zone).or_default();
+                let next = assigned.entry(zone).or_default();
                 *next += 1;
                 of_zone[(*next - 1) % n]
             }
         };
-        places.insert(*proxy, place);
+        indices.insert(*proxy, index);
     }
-    places
+    indices
 }
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,6 +1,6 @@
-//! Runs, dealt to all cores and put together by their places.
+//! Runs of the model, distributed over threads, with their outcomes in the order of the jobs.
 
-use crate::past::Recorded;
+use crate::recorded::RecordedDay;
 use grebespool_invariants::Verdict;
 use grebespool_server_model::ServiceLevel;
 use grebespool_settings::Day;
@@ -9,40 +9,50 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// A day under some settings.
+/// A day under the settings of a variant.
 pub struct Variant {
+    /// Name of the variant in reports.
     pub name: String,
+    /// The day, with the variant's settings.
     pub day: Day,
 }
 
-/// One run that is to be done.
+/// The inputs of one run.
 pub struct Job<'a> {
+    /// The day to simulate.
     pub day: &'a Day,
+    /// The seed, in place of the day's.
     pub seed: u64,
+    /// The planner, or the baseline in place of one.
     pub by: PlannedBy,
-    pub recorded: Option<&'a Recorded>,
+    /// The recording to replay, if any.
+    pub recorded: Option<&'a RecordedDay>,
 }
 
-/// What one run came to.
+/// The outcome of one run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
+    /// The seed of the run.
     pub seed: u64,
+    /// The service level and its parts.
     pub service: ServiceLevel,
-    /// Rules that were broken, with the first breach.
+    /// The rules that were broken, each with its first violation.
     pub broken: Vec<(String, String)>,
-    /// The model's events.
+    /// Number of events that the model processed.
     pub events: u64,
 }
 
 impl Job<'_> {
+    /// Simulates the run.
+    ///
     /// # Errors
     ///
-    /// A deployment of a kind that nothing is decided for; a recording that cannot be read.
+    /// Returns an error if the deployment is not supported or the recording cannot be read.
     pub fn run(&self) -> Result<Outcome, Unplayable> {
         let mut day = self.day.clone();
         day.seed = self.seed;
-        let recording = self.recorded.map(Recorded::begin).transpose();
-        let recording = recording.map_err(|flaw| Unplayable::Past(flaw.into()))?;
+        let recording = self.recorded.map(RecordedDay::begin).transpose();
+        let recording = recording.map_err(|error| Unplayable::Past(error.into()))?;
         let played = model(&day, self.by, recording, &mut |_, _| {})?;
         let broken = |v: &Verdict| {
             let first = v.first.as_ref()?;
@@ -57,12 +67,12 @@
     }
 }
 
-/// Does all jobs on so many threads; the outcomes are in the jobs' order. `done` is told of each as it is over, by
-/// its place.
+/// Runs all jobs on `threads` threads and returns their outcomes in the order of the jobs. `done` is called after each
+/// run with the index of the job.
 ///
 /// # Errors
 ///
-/// The first job's, in their order, that could not be done.
+/// Returns the error of the first job, in their order, that failed.
 pub fn run_all(
     jobs: &[Job<'_>],
     threads: usize,
@@ -90,44 +100,55 @@
     results.into_inner().unwrap_or_else(PoisonError::into_inner).into_iter().flatten().collect()
 }
 
-/// A variant's outcomes, a seed after another.
+/// The outcomes of a variant or a baseline.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Replayed {
+    /// Name of the variant or baseline.
     pub name: String,
+    /// The outcomes, in the order of the seeds.
     pub outcomes: Vec<Outcome>,
 }
 
-/// A day under several settings, and what it is compared with.
+/// The outcomes of a day under several variants, and of the baselines that they are compared with.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Replays {
-    /// The first is the one that the others are compared with.
+    /// The variants. The others are compared with the first.
     pub variants: Vec<Replayed>,
-    /// Even weights on the first variant's day.
+    /// The baseline of even weights, on the first variant's day.
     pub evenly: Replayed,
-    /// Each call to where it is done first, by perfect knowledge, on the first variant's day.
+    /// The baseline of perfect knowledge, on the first variant's day: each request goes to the server that completes it
+    /// first.
     pub best: Replayed,
-    /// The same, where what does not fit is turned away by importance.
+    /// The same as `best`, with requests beyond the capacity rejected by priority weight.
     pub rationed: Replayed,
 }
 
 impl Replays {
-    /// What each day is compared with.
+    /// Number of baselines.
     pub const BASELINES: usize = 3;
+    /// Name of the baseline of even weights.
     pub const EVENLY: &str = "even weights, no planner";
+    /// Name of the baseline of perfect knowledge.
     pub const BEST: &str = "least loaded, knowing all";
+    /// Name of the baseline of perfect knowledge that rejects requests beyond the capacity.
     pub const RATIONED: &str = "least loaded and rationed, knowing all";
 
-    /// The runs that a comparison needs: each variant with each seed, then the baselines.
-    pub fn jobs<'a>(variants: &'a [Variant], seeds: &[u64], recorded: Option<&'a Recorded>) -> Vec<Job<'a>> {
-        let of = |day: &'a Day, by| seeds.iter().map(move |seed| Job { day, seed: *seed, by, recorded });
-        let planned = variants.iter().flat_map(|v| of(&v.day, PlannedBy::Planner));
+    /// Returns the jobs of a comparison: each variant with each seed, then each baseline with each seed.
+    pub fn jobs<'a>(
+        variants: &'a [Variant],
+        seeds: &[u64],
+        recorded: Option<&'a RecordedDay>,
+    ) -> Vec<Job<'a>> {
+        let with_seeds =
+            |day: &'a Day, by| seeds.iter().map(move |seed| Job { day, seed: *seed, by, recorded });
+        let planned = variants.iter().flat_map(|v| with_seeds(&v.day, PlannedBy::Planner));
         let first = variants.iter().take(1);
-        let by = [PlannedBy::Evenly, PlannedBy::Nobody, PlannedBy::Rationed];
-        let compared = first.flat_map(|v| by.into_iter().flat_map(move |by| of(&v.day, by)));
+        let baselines = [PlannedBy::Evenly, PlannedBy::Nobody, PlannedBy::Rationed];
+        let compared = first.flat_map(|v| baselines.into_iter().flat_map(move |by| with_seeds(&v.day, by)));
         planned.chain(compared).collect()
     }
 
-    /// Puts the outcomes of [`Replays::jobs`] together.
+    /// Groups the outcomes of [`Replays::jobs`] by variant and baseline.
     pub fn of(names: &[&str], outcomes: Vec<Outcome>) -> Replays {
         let seeds = outcomes.len() / (names.len() + Self::BASELINES);
         let mut outcomes = outcomes.into_iter();
@@ -138,27 +159,28 @@
         Replays { variants, evenly, best, rationed: next(Self::RATIONED) }
     }
 
-    pub fn kept(&self) -> bool {
+    /// Returns true if no variant broke a rule.
+    pub fn rules_kept(&self) -> bool {
         self.variants.iter().all(|r| r.outcomes.iter().all(|o| o.broken.is_empty()))
     }
 }
 
-/// Runs every variant with each of `seeds`, and the baselines, on `threads` threads. `done` is told how many runs
-/// are over.
+/// Runs each variant and each baseline with each of `seeds`, on `threads` threads. `done` is called after each run with
+/// the number of runs done.
 ///
 /// # Errors
 ///
-/// A deployment of a kind that nothing is decided for; a recording that cannot be read.
+/// Returns an error if a deployment is not supported or the recording cannot be read.
 pub fn replay(
     variants: &[Variant],
     seeds: &[u64],
-    recorded: Option<&Recorded>,
+    recorded: Option<&RecordedDay>,
     threads: usize,
     done: &(dyn Fn(usize) + Sync),
 ) -> Result<Replays, Unplayable> {
-    let over = AtomicUsize::new(0);
+    let runs_done = AtomicUsize::new(0);
     let jobs = Replays::jobs(variants, seeds, recorded);
-    let outcomes = run_all(&jobs, threads, &|_, _| done(over.fetch_add(1, Ordering::Relaxed) + 1))?;
+    let outcomes = run_all(&jobs, threads, &|_, _| done(runs_done.fetch_add(1, Ordering::Relaxed) + 1))?;
     let names: Vec<&str> = variants.iter().map(|v| v.name.as_str()).collect();
     Ok(Replays::of(&names, outcomes))
 }
--- a/crates/replay/tests/fixtures.rs
+++ b/crates/replay/tests/fixtures.rs
@@ -1,9 +1,8 @@
-//! A small recording kept as a fixture replays to exactly the figures and the report that were stored with it.
+//! A small stored recording replays to exactly the stored figures and report.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_replay::{Kept, Recorded, Replays, Variant, replay, write_report};
+use grebespool_replay::{RecordedDay, Replays, RunStore, Variant, replay, write_report};
 use grebespool_settings::Day;
 use rstest::rstest;
 use std::path::{Path, PathBuf};
@@ -20,13 +19,13 @@
     Variant { name: name.into(), day }
 }
 
-/// The stored recording under two settings and two seeds.
+/// Replays the stored recording under two settings and two seeds.
 fn replayed() -> Replays {
     let variants = [
         variant("recorded settings", &["length=\"6s\"", "troubles=[]"]),
         variant("reports every 2 s", &["length=\"6s\"", "troubles=[]", "deployment.reports.cycle=\"2s\""]),
     ];
-    let recorded = Recorded::read(&fixture("recording.bin"), false, &variants[0].day).unwrap();
+    let recorded = RecordedDay::read(&fixture("recording.bin"), false, &variants[0].day).unwrap();
     replay(&variants, &[1, 2], Some(&recorded), 2, &|_| {}).unwrap()
 }
 
@@ -52,5 +51,5 @@
 fn stored_runs_of_a_sweep_are_read_without_a_damaged_line() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::copy(fixture("runs.jsonl"), folder.path().join("runs.jsonl")).unwrap();
-    assert_eq!(Kept::open(folder.path()).unwrap().damaged, 0);
+    assert_eq!(RunStore::open(folder.path()).unwrap().damaged, 0);
 }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -1,10 +1,10 @@
-//! Variants over seeds: the same on any number of threads, compared in pairs, broken rules caught and told.
+//! Variants over seeds: equal results on any number of threads, paired comparison and reports of broken rules.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_replay::{
-    Experiment, Gain, Kept, Recorded, SweptDay, Unswept, Variant, gain_of, replay, write_report,
+    Experiment, ExperimentDay, ExperimentError, Gain, RecordedDay, RunStore, Variant, paired_gain, replay,
+    write_report,
 };
 use grebespool_settings::{Day, Deployment, What, deployment_text};
 use grebespool_simulation::Past;
@@ -25,13 +25,13 @@
 #[case::plain(&[(0.90, 0.95), (0.80, 0.86), (0.85, 0.90)], 0.0533, Some(0.0143), false)]
 #[case::noise(&[(0.9, 0.95), (0.9, 0.85), (0.9, 0.92)], 0.0067, Some(0.1274), true)]
 #[case::one_seed(&[(0.5, 0.9)], 0.4, None, true)]
-fn gains_are_paired_and_noise_is_called_so(
+fn gains_are_paired_and_noise_is_detected(
     #[case] pairs: &[(f64, f64)],
     #[case] mean: f64,
     #[case] margin: Option<f64>,
     #[case] noise: bool,
 ) {
-    let found: Gain = gain_of(pairs);
+    let found: Gain = paired_gain(pairs);
     assert!((found.mean - mean).abs() < 1e-3, "{found:?}");
     assert!((found.margin.unwrap_or(-1.0) - margin.unwrap_or(-1.0)).abs() < 1e-3, "{found:?}");
     assert_eq!(found.is_noise(), noise);
@@ -43,13 +43,13 @@
 #[case::no_such_field("deployment.colour=1", "colour")]
 #[case::out_of_bounds("deployment.proxies.try_factor=-1", "expected a number from 0 to 100")]
 #[case::a_site_not_planned_for("deployment.slices=4", "not planned for yet")]
-fn values_that_cannot_be_are_refused(#[case] value: &str, #[case] says: &str) {
+fn invalid_values_are_rejected_with_the_reason(#[case] value: &str, #[case] says: &str) {
     let bad = Day::parse_with(BAD, "the bad day", None, &[value.into()]).unwrap_err().to_string();
     assert!(bad.contains(says), "{bad}");
 }
 
 #[rstest]
-fn variants_over_seeds_are_the_same_on_any_threads_and_a_broken_rule_is_told() {
+fn replays_are_equal_on_any_number_of_threads_and_report_a_broken_rule() {
     let variants = [
         variant("as it is", &["length=\"24s\"", "troubles=[]"]),
         variant(
@@ -70,11 +70,11 @@
     let one = replay(&variants, &seeds, None, 1, &|_| {}).unwrap();
     let four = replay(&variants, &seeds, None, 4, &|_| {}).unwrap();
     assert_eq!(one, four);
-    let seen = &one.variants;
-    assert!(seen[1].outcomes[0].service.overall < seen[0].outcomes[0].service.overall - 0.02);
-    assert!(seen[0].outcomes.iter().all(|o| o.broken.is_empty()));
-    assert!(seen[2].outcomes.iter().any(|o| o.broken.iter().any(|b| b.0.starts_with('3'))));
-    assert!(!one.kept());
+    let outcomes = &one.variants;
+    assert!(outcomes[1].outcomes[0].service.overall < outcomes[0].outcomes[0].service.overall - 0.02);
+    assert!(outcomes[0].outcomes.iter().all(|o| o.broken.is_empty()));
+    assert!(outcomes[2].outcomes.iter().any(|o| o.broken.iter().any(|b| b.0.starts_with('3'))));
+    assert!(!one.rules_kept());
     let folder = tempfile::tempdir().unwrap();
     write_report(folder.path(), "a day", &["about it".into()], &one).unwrap();
     let page = std::fs::read_to_string(folder.path().join("report.md")).unwrap();
@@ -82,7 +82,7 @@
     assert!(std::fs::read_to_string(folder.path().join("course.svg")).unwrap().contains("<svg"));
     assert_eq!(std::fs::read_to_string(folder.path().join("runs.csv")).unwrap().lines().count(), 13);
     let whole = std::fs::read_to_string(folder.path().join("report.html")).unwrap();
-    assert_eq!(whole.matches("<svg").count(), 2, "the page has its charts in itself");
+    assert_eq!(whole.matches("<svg").count(), 2, "the page embeds its charts");
     assert!(whole.contains("least loaded, knowing all") && !whole.contains("src="));
     let again = tempfile::tempdir().unwrap();
     write_report(again.path(), "a day", &["about it".into()], &four).unwrap();
@@ -97,7 +97,7 @@
     Timed { at_us, event: Event::Call(call) }
 }
 
-fn told(at_us: u64, event: Event) -> Timed {
+fn timed(at_us: u64, event: Event) -> Timed {
     Timed { at_us, event }
 }
 
@@ -109,45 +109,48 @@
     file
 }
 
-fn pasts(recorded: &Recorded) -> Vec<(Duration, Past)> {
+fn inputs(recorded: &RecordedDay) -> Vec<(Duration, Past)> {
     let mut recording = recorded.begin().unwrap();
     std::iter::from_fn(|| (recording.next)().unwrap()).collect()
 }
 
 #[rstest]
-fn only_first_calls_of_stated_routes_are_replayed() {
+fn only_first_attempts_of_routes_with_callers_are_replayed() {
     let day = variant("", &[]).day;
     let file = written(vec![
         call(5_000, 0, Some(1), false, 40),
         call(5_000, 0, Some(1), true, 40),
         call(5_000, 1, None, false, 40),
         call(5_000, 9, Some(2), false, 40),
-        told(6_000, Event::Gap { lost: 3 }),
-        told(9_000_000, Event::Came { proxy: 40, route: 2, calls: 4 }),
-        told(9_000_000, Event::Came { proxy: 40, route: 9, calls: 7 }),
+        timed(6_000, Event::Gap { lost: 3 }),
+        timed(9_000_000, Event::Came { proxy: 40, route: 2, calls: 4 }),
+        timed(9_000_000, Event::Came { proxy: 40, route: 9, calls: 7 }),
     ]);
-    let recorded = Recorded::read(file.path(), false, &day).unwrap();
-    let f = &recorded.found;
-    assert_eq!((f.calls, f.repeats, f.anonymous, f.unstated, f.gaps, f.counted), (6, 1, 1, 8, 1, 4));
+    let recorded = RecordedDay::read(file.path(), false, &day).unwrap();
+    let f = &recorded.stats;
+    assert_eq!(
+        (f.calls, f.repeats, f.without_client, f.without_route, f.gaps, f.counted),
+        (6, 1, 1, 8, 1, 4)
+    );
     assert!(f.lines().iter().any(|l| l.contains("can't be known")), "{:?}", f.lines());
-    let calls = pasts(&recorded);
+    let calls = inputs(&recorded);
     assert_eq!(calls.len(), 6);
     let Past::Call(first) = &calls[0].1 else { panic!("{calls:?}") };
     assert_eq!((first.proxy, first.work), (40 % 12, day.callers[0].work.0));
     let spread: Vec<u64> = calls[2..].iter().map(|c| (c.0.as_millis() as u64) - 9_000).collect();
-    assert_eq!(spread, [62, 187, 312, 437], "counted calls lie evenly in a cycle of 500 ms");
+    assert_eq!(spread, [62, 187, 312, 437], "counted requests are spread evenly over a cycle of 500 ms");
 }
 
 #[rstest]
-fn events_come_in_the_order_of_time_and_a_clock_set_back_is_told() {
+fn events_are_sorted_by_time_and_a_clock_set_back_is_counted() {
     let day = variant("", &[]).day;
     let at = |ms: u64| call(ms * 1000, 0, Some(ms), false, 1);
     let file = written(vec![at(100), at(50), at(9_000), at(8_000), at(30_000), at(1_000), at(31_000)]);
-    let recorded = Recorded::read(file.path(), false, &day).unwrap();
-    let times: Vec<u128> = pasts(&recorded).iter().map(|p| p.0.as_millis()).collect();
+    let recorded = RecordedDay::read(file.path(), false, &day).unwrap();
+    let times: Vec<u128> = inputs(&recorded).iter().map(|p| p.0.as_millis()).collect();
     assert_eq!(times, [50, 100, 8_000, 9_000, 9_000, 30_000, 31_000]);
-    assert_eq!(recorded.found.set_back, 1);
-    assert_eq!(recorded.found.longest_silence, Duration::from_secs(21));
+    assert_eq!(recorded.stats.set_back, 1);
+    assert_eq!(recorded.stats.longest_silence, Duration::from_secs(21));
 }
 
 fn listed(server: &str, phase: Phase) -> Listed {
@@ -155,28 +158,32 @@
 }
 
 #[rstest]
-fn a_recording_tells_of_its_own_troubles_and_the_day_of_the_others() {
+fn troubles_that_the_recording_contains_are_removed_from_the_day() {
     let day = variant("", &[]).day;
     let joined = |proxy, zone: &str| Event::Joined { proxy, zone: zone.into(), bare: true };
     let list = |base, entries| Event::List { version: base + 1, base, now_ms: 1_000, entries };
     let file = written(vec![
-        told(0, Event::Began { planner: 7, unix_ms: 0, settings: String::new() }),
-        told(10, list(0, vec![listed("a", Phase::Ready), listed("b", Phase::Ready)])),
-        told(1_000, joined(3, "west")),
-        told(1_500, joined(9, "west")),
-        told(2_000, joined(1, "east")),
+        timed(0, Event::Began { planner: 7, unix_ms: 0, settings: String::new() }),
+        timed(10, list(0, vec![listed("a", Phase::Ready), listed("b", Phase::Ready)])),
+        timed(1_000, joined(3, "west")),
+        timed(1_500, joined(9, "west")),
+        timed(2_000, joined(1, "east")),
         call(5_000, 0, Some(1), false, 2),
-        told(7_000_000, list(1, vec![listed("never", Phase::Gone), listed("a", Phase::Draining)])),
-        told(9_500_000, Event::Left { proxy: 3 }),
+        timed(7_000_000, list(1, vec![listed("never", Phase::Gone), listed("a", Phase::Draining)])),
+        timed(9_500_000, Event::Left { proxy: 3 }),
     ]);
-    let recorded = Recorded::read(file.path(), false, &day).unwrap();
-    let f = &recorded.found;
+    let recorded = RecordedDay::read(file.path(), false, &day).unwrap();
+    let f = &recorded.stats;
     assert_eq!((f.lists, f.joins, f.lefts, f.never_listed, f.planners.len()), (2, 3, 1, 1, 1));
-    let beside = f.beside(&day);
-    assert_eq!(beside.length.0, Duration::from_secs(10));
-    assert!(beside.troubles.iter().all(|t| matches!(t.what, What::Silent { .. })), "{:?}", beside.troubles);
-    // The day's proxies 0 to 5 are east, 6 to 11 west; 2 never joined and has no zone.
-    let left: Vec<_> = pasts(&recorded)
+    let replayed_day = f.without_recorded_troubles(&day);
+    assert_eq!(replayed_day.length.0, Duration::from_secs(10));
+    assert!(
+        replayed_day.troubles.iter().all(|t| matches!(t.what, What::Silent { .. })),
+        "{:?}",
+        replayed_day.troubles
+    );
+    // The day's proxies 0 to 5 are in zone east, 6 to 11 in west. Proxy 2 never joined and has no recorded zone.
+    let left: Vec<_> = inputs(&recorded)
         .into_iter()
         .filter_map(|p| match p.1 {
             Past::Joined { proxy } | Past::Left { proxy } => Some(proxy),
@@ -197,7 +204,7 @@
 #[case::a_cheaper_head("deployment.channel.head=1", "channel.head: 1 is beyond")]
 #[case::more_connections("deployment.servers.least_connections=201", "least_connections: 201 is beyond")]
 #[case::other_zones("deployment.zones=[\"east\", \"west\", \"north\"]", "are not the recorded site's")]
-fn settings_that_the_recorded_site_rules_out_are_refused(#[case] value: &str, #[case] says: &str) {
+fn settings_beyond_the_recorded_deployment_are_rejected(#[case] value: &str, #[case] says: &str) {
     let site = deployment_text(&variant("", &[]).day.deployment);
     let site = Deployment::parse(&site, "the recording").unwrap();
     assert!(variant("", &["deployment.channel.most_waiting=4000"]).day.deployment.within(&site, "x").is_ok());
@@ -213,39 +220,39 @@
         ]
     };
     let day =
-        |name: &str| SweptDay { name: name.into(), about: vec![], variants: variants(), recorded: None };
+        |name: &str| ExperimentDay { name: name.into(), about: vec![], variants: variants(), recorded: None };
     Experiment { name: "sweep".into(), days: vec![day("one"), day("two")], seeds: vec![1, 2] }
 }
 
 #[rstest]
-fn an_interrupted_sweep_goes_on_and_comes_to_the_same() {
+fn an_interrupted_sweep_resumes_with_the_same_result() {
     let folder = tempfile::tempdir().unwrap();
     let experiment = sweep("deployment.reports.cycle=\"2s\"");
     let run = |program: &[u8]| {
-        let kept = Kept::open(folder.path()).unwrap();
-        let swept = experiment.run(&kept, program, 2, &|| {}).unwrap();
-        experiment.write(folder.path(), &swept).unwrap();
-        (swept, kept.damaged)
+        let store = RunStore::open(folder.path()).unwrap();
+        let result = experiment.run(&store, program, 2, &|| {}).unwrap();
+        experiment.write(folder.path(), &result).unwrap();
+        (result, store.damaged)
     };
     let (whole, _) = run(b"program");
-    // Two days of the same text share their runs only once they are kept.
-    assert_eq!(whole.kept + whole.done, 20);
+    // Two days of the same text share their runs only once these are stored.
+    assert_eq!(whole.reused + whole.done, 20);
     let index = std::fs::read(folder.path().join("index.html")).unwrap();
     let report = std::fs::read(folder.path().join("two/report.html")).unwrap();
-    // Cut off in the middle of its fifth line, as by a crash.
+    // Truncates the file in the middle of its fifth line, as a crash does.
     let runs = folder.path().join("runs.jsonl");
     let text = std::fs::read_to_string(&runs).unwrap();
     let fourth = text.match_indices('\n').nth(3).unwrap().0;
     std::fs::write(&runs, &text[..fourth + 40]).unwrap();
     let (again, damaged) = run(b"program");
-    assert!(damaged == 1 && again.kept >= 4 && again.done > 0, "{damaged} {} {}", again.kept, again.done);
+    assert!(damaged == 1 && again.reused >= 4 && again.done > 0, "{damaged} {} {}", again.reused, again.done);
     assert_eq!(again.days, whole.days);
     assert_eq!(std::fs::read(folder.path().join("index.html")).unwrap(), index);
     assert_eq!(std::fs::read(folder.path().join("two/report.html")).unwrap(), report);
     let (third, _) = run(b"program");
-    assert_eq!((third.kept, third.done, &third.days), (20, 0, &whole.days));
+    assert_eq!((third.reused, third.done, &third.days), (20, 0, &whole.days));
     let (other, _) = run(b"another");
-    assert_eq!(other.kept, 0, "runs of another program are not taken for its own");
-    let _first = Kept::open(folder.path()).unwrap();
-    assert!(matches!(Kept::open(folder.path()), Err(Unswept::Taken(_))));
+    assert_eq!(other.reused, 0, "runs of another program are not reused");
+    let _first = RunStore::open(folder.path()).unwrap();
+    assert!(matches!(RunStore::open(folder.path()), Err(ExperimentError::Locked(_))));
 }
