--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -13,7 +13,7 @@
 pub(crate) enum CommandError {
     /// A settings, day or sweep file cannot be used; the text names the file and the place.
     #[error(transparent)]
-    Settings(#[from] grebespool_settings::Bad),
+    Settings(#[from] grebespool_settings::SettingsError),
     /// Another file cannot be used.
     #[error("{}: {cause}", path.display())]
     File { path: PathBuf, cause: Cause },
@@ -93,7 +93,7 @@
     #[error(
         "{0}\nA plan needs what there is and what is asked: a day file, as settings state no capacities."
     )]
-    NoCapacities(grebespool_settings::Bad),
+    NoCapacities(grebespool_settings::SettingsError),
     /// The accounts of a fleet's singleton tasks cannot be read.
     #[error("the accounts: {0}")]
     Accounts(io::Error),
--- a/crates/cli/src/simulated_days.rs
+++ b/crates/cli/src/simulated_days.rs
@@ -43,7 +43,7 @@
     };
     for variant in variants {
         if let Some(deployment) = &recorded_deployment {
-            variant.day.deployment.within(deployment, &variant.name)?;
+            variant.day.deployment.check_supported_by(deployment, &variant.name)?;
         }
         variant.day = recorded.stats.without_recorded_troubles(&variant.day);
     }
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -207,8 +207,19 @@
 fn settings_beyond_the_recorded_deployment_are_rejected(#[case] value: &str, #[case] says: &str) {
     let site = deployment_text(&variant("", &[]).day.deployment);
     let site = Deployment::parse(&site, "the recording").unwrap();
-    assert!(variant("", &["deployment.channel.most_waiting=4000"]).day.deployment.within(&site, "x").is_ok());
-    let bad = variant("", &[value]).day.deployment.within(&site, "the variant").unwrap_err().to_string();
+    assert!(
+        variant("", &["deployment.channel.most_waiting=4000"])
+            .day
+            .deployment
+            .check_supported_by(&site, "x")
+            .is_ok()
+    );
+    let bad = variant("", &[value])
+        .day
+        .deployment
+        .check_supported_by(&site, "the variant")
+        .unwrap_err()
+        .to_string();
     assert!(bad.contains(says), "{bad}");
 }
 
--- a/crates/settings/src/deployment.rs
+++ b/crates/settings/src/deployment.rs
@@ -1,6 +1,9 @@
-//! What a deployment states, and what a planner of it listens to.
+//! Settings of a deployment and of its planners.
+//!
+//! The names of these types, variants and fields are keys of files, and the Debug form of a deployment is hashed into the
+//! key of a sweep's run (`replay`): none of them may be renamed.
 
-use crate::read::{Bad, field, nickel, parse, read};
+use crate::read::{SettingsError, field, nickel, parse, read};
 use grebespool::host;
 use grebespool_controller::{ControllerConfig, Incarnation, Limits};
 use ipnet::IpNet;
@@ -10,7 +13,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// A span as the records have it: a number and its unit.
+/// A duration, written as a number with its unit: `us`, `ms`, `s` or `min`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd)]
 pub struct Span(pub Duration);
 
@@ -30,218 +33,323 @@
     }
 }
 
+/// The rule for repeating requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum Repeats {
+    /// A request may run twice.
     Freely,
+    /// Servers of a group drop repeats within a window, by the key of the request.
     Marked,
+    /// A request must not run twice.
     Never,
 }
 
+/// The servers that drop repeats of each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum Group {
+    /// All servers.
     All,
+    /// The servers of a zone.
     Zone,
+    /// The servers of a cell.
     Cell,
 }
 
+/// A route, and what its requests need.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Route {
+    /// Name of the route in reports.
     pub name: String,
+    /// Priority weight: the worth of an answered request relative to other routes.
     pub importance: f64,
+    /// Latency objective.
     pub slo: Span,
+    /// Longest time that a client waits for an answer.
     pub time_limit: Span,
+    /// The rule for repeating requests.
     pub repeats: Repeats,
+    /// The servers that drop repeats, if `repeats` is `Marked`.
     pub group: Group,
+    /// Time since the first attempt for which repeats are dropped.
     pub window: Span,
+    /// True if requests may go only to servers in the proxy's zone.
     pub stays_local: bool,
 }
 
+/// The proxies of a deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Proxies {
+    /// Number of proxies of the deployment, joined or not.
     pub expected: usize,
+    /// Largest number of proxies known by name.
     pub most: usize,
+    /// Joins that one proxy may make within the window of the channel.
     pub joins: usize,
+    /// True if proxies obey admission levels.
     pub levels: bool,
+    /// Timeout of an attempt that another may follow, as a multiple of the latency objective.
     pub try_factor: f64,
 }
 
+/// The servers of a deployment.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Servers {
+    /// Largest number of listed servers.
     pub most: usize,
+    /// Connections that the smallest server accepts.
     pub least_connections: f64,
+    /// Time after its start when a server is warm.
     pub warm_up: Span,
+    /// True if a removal from the list is final.
     pub gone_binds: bool,
 }
 
+/// The limits of the control channel to proxies.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Channel {
+    /// Weight entries per second.
     pub lines_per_s: f64,
+    /// Weight entries that may be queued.
     pub most_waiting: f64,
+    /// Cost of a message beyond its entries, in entries.
     pub head: f64,
+    /// Messages to one proxy within the window; 0 for no limit.
     pub most_messages: usize,
+    /// The window of `most_messages` and of the joins of a proxy.
     pub window: Span,
+    /// Longest time from the channel to a proxy.
     pub worst_transit: Span,
 }
 
+/// A metric in a load report.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum Figure {
+    /// Requests in progress.
     Busy,
+    /// Requests that wait.
     Pending,
+    /// Utilization of the processor, from 0 to 1.
     CpuShare,
+    /// Service time in milliseconds.
     ServiceMs,
+    /// Answers per second.
     AnsweredPerS,
+    /// Errors per second.
     ErrorsPerS,
+    /// A metric that is not used.
     Other,
 }
 
+/// The reports of servers and proxies.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Reports {
+    /// Metrics in the servers' answers, in this order.
     pub fields: Vec<Figure>,
+    /// Interval between the reports of a proxy.
     pub cycle: Span,
+    /// True if servers may be probed.
     pub probing: bool,
 }
 
-/// How the loss of a whole site is watched for.
+/// The settings for detecting the loss of a whole site.
 #[derive(Debug, Clone, Deserialize)]
 pub struct SiteWatch {
+    /// True if the loss of a whole zone is detected and handled as one event.
     pub watched: bool,
+    /// Age beyond which a report says nothing of a zone.
     pub window: Span,
+    /// Time for which a verdict must hold before it takes effect.
     pub confirm: Span,
+    /// Target utilization of servers while a zone is lost.
     pub fill: f64,
+    /// Time after which a zone without losses counts as stable again.
     pub calm: Span,
 }
 
-/// What a deployment is like, whoever plans for it.
+/// The properties of a deployment, independent of the planner.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Deployment {
+    /// Names of the zones.
     pub zones: Vec<String>,
+    /// The routes.
     pub routes: Vec<Route>,
+    /// Number of key ranges. Only 0 is supported.
     pub slices: usize,
+    /// The proxies.
     pub proxies: Proxies,
+    /// The servers.
     pub servers: Servers,
+    /// The control channel.
     pub channel: Channel,
+    /// The reports of servers and proxies.
     pub reports: Reports,
+    /// The detection of lost sites.
     pub sites: SiteWatch,
 }
 
+/// The way in which the planner gets the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum ListMode {
+    /// Changes are pushed.
     Pushed,
+    /// Changes are polled.
     Asked,
 }
 
-/// Where the planner listens, to whom, and how patient it is with them.
+/// The address that a planner listens at, with limits for those that connect.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Listen {
+    /// Address to listen at.
     pub address: SocketAddr,
+    /// Networks that may connect.
     allowed: Vec<IpNet>,
+    /// File of the key that proxies and planners share.
     pub key_file: PathBuf,
+    /// Time after which a stream that has not joined is closed.
     pub handshake: Span,
+    /// Largest number of streams that have not joined.
     pub unjoined: usize,
+    /// Time after which a silent proxy is disconnected.
     pub silence: Span,
+    /// Time after which a proxy that leaves bytes unread or updates unacknowledged is disconnected.
     pub stall: Span,
+    /// Bytes that may be queued for one proxy.
     pub stall_bytes: usize,
 }
 
-/// Where the server list is.
+/// The source of the server list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ListSource {
+    /// Address of the server list.
     pub address: SocketAddr,
+    /// The way in which changes arrive.
     pub mode: ListMode,
+    /// Longest time between two polls, if the list is polled.
     pub ask_within: Span,
+    /// Wait before the list is dialed again.
     pub redial: Span,
+    /// Time after which a poll has failed.
     pub patience: Span,
 }
 
-/// A settings file, to be taken apart by what starts a planner.
+/// The contents of a settings file of a planner.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Planned {
+    /// The deployment.
     pub deployment: Deployment,
+    /// The address for proxies.
     pub listen: Listen,
+    /// The source of the server list.
     pub list: ListSource,
+    /// Time after which a probe has failed.
     pub probe_limit: Span,
-    /// Where several controllers serve the fleet.
+    /// This controller among its peers, if several controllers serve the fleet.
     pub members: Option<Members>,
 }
 
-/// Another controller.
+/// Another controller of the fleet.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PeerSeat {
+    /// Name of the controller.
     pub name: String,
+    /// Address where other members reach it.
     pub address: SocketAddr,
 }
 
-/// Accounts of periods, written by one member at a time.
+/// The accounts of requests by period, written by one member at a time.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Accounts {
+    /// Folder of the accounts, which all members can reach.
     pub folder: PathBuf,
+    /// Length of a period.
     pub period: Span,
+    /// Time from the end of a period until its account is written.
     pub slack: Span,
 }
 
-/// Editions that members agree on.
+/// The configuration versions that members agree on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Agree {
+    /// Time since the last renewal for which a member acts by a configuration version.
     pub lease: Span,
+    /// Interval between two renewals.
     pub renew: Span,
+    /// Largest share of the capacity that one version may withdraw unless it is forced.
     pub most_withdrawn: f64,
 }
 
-/// Work on behalf of the fleet that its members share out.
+/// The singleton tasks of a fleet, which its members share.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Duties {
+    /// Time since the last renewal for which a member holds a task.
     pub lease: Span,
+    /// Interval between two renewals.
     pub renew: Span,
+    /// The accounts, if they are written.
     pub accounts: Option<Accounts>,
+    /// The configuration versions, if members agree on them.
     pub agree: Option<Agree>,
 }
 
-/// This controller among those that follow each other.
+/// This controller as a member of a fleet of controllers.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Members {
+    /// Name of the fleet, the same for all members.
     pub fleet: String,
+    /// Name of this member.
     pub name: String,
+    /// Address where other members reach this one.
     pub address: SocketAddr,
+    /// Address to listen at for members, if it differs.
     pub listen: Option<SocketAddr>,
+    /// Folder of this member's state.
     pub folder: PathBuf,
+    /// File of the keys that members share, a line each: the first seals, all are accepted.
     pub key_file: PathBuf,
+    /// The other members of a new fleet.
     pub peers: Vec<PeerSeat>,
+    /// Interval between the leader's heartbeats.
     pub beat: Span,
+    /// Time after which a leader that no majority answered sends no more updates.
     pub lease: Span,
+    /// Largest relative error of a clock.
     pub drift: f64,
+    /// Interval between snapshots.
     pub remember: Span,
+    /// Age beyond which learned weights are dropped.
     pub weights_kept: Span,
+    /// The singleton tasks, if there are any.
     pub duties: Option<Duties>,
 }
 
 impl Deployment {
-    /// Reads the deployment out of a settings file's text, as a recording has it.
+    /// Reads a deployment from the JSON text that a recording contains. Errors call the text `name`.
     ///
     /// # Errors
     ///
-    /// What is wrong, by line and field.
-    pub fn parse(text: &str, name: &str) -> Result<Deployment, Bad> {
+    /// Returns an error with line and field if the text is invalid.
+    pub fn parse(text: &str, name: &str) -> Result<Deployment, SettingsError> {
         #[derive(Deserialize)]
         struct Site {
             deployment: Deployment,
         }
-        let value = serde_json::from_str(text).map_err(|e| Bad::Record(format!("{name}: {e}")))?;
+        let value = serde_json::from_str(text).map_err(|e| SettingsError::Record(format!("{name}: {e}")))?;
         let Site { deployment } = parse(&nickel(&value), name, "Site")?;
         deployment.check(Path::new(name))?;
         Ok(deployment)
     }
 
-    /// Whether a site that states `site` could run this. What the site's channel, proxies and servers are able to
-    /// do is no matter of settings. `name` stands for these settings in what is said.
+    /// Checks that a recorded deployment could run these settings: settings cannot change what its channel, proxies and
+    /// servers are capable of. Errors call these settings `name`.
     ///
     /// # Errors
     ///
-    /// The first field that it could not, with both values.
-    pub fn within(&self, site: &Deployment, name: &str) -> Result<(), Bad> {
-        let (c, s) = (&self.channel, &site.channel);
+    /// Returns the first field beyond the recorded deployment, with both values.
+    pub fn check_supported_by(&self, recorded: &Deployment, name: &str) -> Result<(), SettingsError> {
+        let (c, s) = (&self.channel, &recorded.channel);
         let unlimited = |messages: usize| if messages == 0 { usize::MAX } else { messages };
         let messages = |c: &Channel| unlimited(c.most_messages) as f64 / c.window.0.as_secs_f64();
-        let zones = self.zones == site.zones;
+        let same_zones = self.zones == recorded.zones;
         let numbers = [
             ("channel.lines_per_s", c.lines_per_s > s.lines_per_s, c.lines_per_s, s.lines_per_s),
             ("channel.most_waiting", c.most_waiting > s.most_waiting, c.most_waiting, s.most_waiting),
@@ -254,9 +362,9 @@
             ),
             (
                 "servers.least_connections",
-                self.servers.least_connections > site.servers.least_connections,
+                self.servers.least_connections > recorded.servers.least_connections,
                 self.servers.least_connections,
-                site.servers.least_connections,
+                recorded.servers.least_connections,
             ),
         ];
         let bad = |of: &str, why: String| Err(field(Path::new(name), &format!("deployment.{of}"), why));
@@ -265,23 +373,26 @@
                 return bad(of, format!("{wanted} is beyond what the recorded site allows, {allowed}"));
             }
         }
-        if self.proxies.levels && !site.proxies.levels {
+        if self.proxies.levels && !recorded.proxies.levels {
             return bad("proxies.levels", "the recorded site's proxies obey no levels".into());
         }
-        if !zones {
-            return bad("zones", format!("{:?} are not the recorded site's {:?}", self.zones, site.zones));
+        if !same_zones {
+            return bad(
+                "zones",
+                format!("{:?} are not the recorded site's {:?}", self.zones, recorded.zones),
+            );
         }
         Ok(())
     }
 }
 
 impl Planned {
-    /// Reads a settings file; relative paths in it are from its folder.
+    /// Reads a settings file. Relative paths in it start at its folder.
     ///
     /// # Errors
     ///
-    /// What is wrong, by file, line and field.
-    pub fn read(path: &Path) -> Result<Planned, Bad> {
+    /// Returns an error with file, line and field if the file is invalid.
+    pub fn read(path: &Path) -> Result<Planned, SettingsError> {
         let mut planned: Planned = read(path, "Settings")?;
         planned.deployment.check(path)?;
         if let Some(folder) = path.parent() {
@@ -302,7 +413,7 @@
 }
 
 impl Members {
-    fn check(&self, path: &Path) -> Result<(), Bad> {
+    fn check(&self, path: &Path) -> Result<(), SettingsError> {
         let bad = |of: &str, why: String| Err(field(path, &format!("members.{of}"), why));
         if self.lease.0 < self.beat.0 * 3 {
             let why = format!("{:?} is shorter than three beats of {:?}", self.lease.0, self.beat.0);
@@ -342,6 +453,7 @@
 }
 
 impl Listen {
+    /// Creates settings that allow connections from this machine only.
     pub fn new(address: SocketAddr, key_file: PathBuf, stall: Duration, silence: Duration) -> Listen {
         let allowed = ["127.0.0.0/8", "::1/128"].map(|n| n.parse().expect("a network"));
         Listen {
@@ -356,12 +468,12 @@
         }
     }
 
-    /// Lets nobody connect but from these networks.
+    /// Allows connections from these networks only.
     pub fn allow_only(&mut self, networks: &[IpNet]) {
         self.allowed = networks.to_vec();
     }
 
-    /// The networks that may connect.
+    /// Returns the networks that may connect.
     pub fn allowed(&self) -> Allowed {
         let mut allowed = Allowed { v4: IpRange::new(), v6: IpRange::new() };
         for net in &self.allowed {
@@ -376,14 +488,14 @@
     }
 }
 
-/// Who may connect, as sets of networks.
+/// The networks that may connect.
 pub struct Allowed {
     v4: IpRange<ipnet::Ipv4Net>,
     v6: IpRange<ipnet::Ipv6Net>,
 }
 
 impl Allowed {
-    /// An IPv4 address that comes in an IPv6 one counts as the former.
+    /// Returns true if an address may connect. An IPv4-mapped IPv6 address counts as an IPv4 address.
     pub fn holds(&self, ip: IpAddr) -> bool {
         match ip.to_canonical() {
             IpAddr::V4(ip) => self.v4.contains(&ip),
@@ -393,19 +505,21 @@
 }
 
 impl ListSource {
+    /// Creates a source with short waits, as rehearsals need.
     pub fn new(address: SocketAddr, mode: ListMode, ask_within: Span) -> ListSource {
         let (redial, patience) = (Span(Duration::from_millis(200)), Span(Duration::from_secs(3)));
         ListSource { address, mode, ask_within, redial, patience }
     }
 
-    /// How long the list may go unasked, where it has to be asked.
+    /// Returns the longest time between two polls; `None` if changes are pushed.
     pub fn ask_within(&self) -> Option<Duration> {
         (self.mode == ListMode::Asked).then_some(self.ask_within.0)
     }
 }
 
 impl Deployment {
-    pub(crate) fn check(&self, path: &Path) -> Result<(), Bad> {
+    /// Checks what the records of the file format cannot express.
+    pub(crate) fn check(&self, path: &Path) -> Result<(), SettingsError> {
         let bad = |name: &str, why: String| Err(field(path, &format!("deployment.{name}"), why));
         for (i, zone) in self.zones.iter().enumerate() {
             if self.zones[..i].contains(zone) {
@@ -444,27 +558,29 @@
         Ok(())
     }
 
+    /// Returns the routes in the controller's terms.
     pub fn routes(&self) -> Vec<host::Route> {
-        let group = |g| match g {
+        let scope = |g| match g {
             Group::All => host::DeduplicationScope::All,
             Group::Zone => host::DeduplicationScope::Zone,
             Group::Cell => host::DeduplicationScope::Cell,
         };
-        let effect = |r: &Route| match r.repeats {
+        let idempotency = |r: &Route| match r.repeats {
             Repeats::Freely => host::Idempotency::Idempotent,
-            Repeats::Marked => host::Idempotency::Keyed { scope: group(r.group), window: r.window.0 },
+            Repeats::Marked => host::Idempotency::Keyed { scope: scope(r.group), window: r.window.0 },
             Repeats::Never => host::Idempotency::NonIdempotent,
         };
         let route = |r: &Route| host::Route {
             priority_weight: r.importance,
             latency_objective: r.slo.0,
-            idempotency: effect(r),
+            idempotency: idempotency(r),
             zone_local: r.stays_local,
         };
         self.routes.iter().map(route).collect()
     }
 
-    pub fn plane(&self) -> host::ProxyCapabilities {
+    /// Returns the capabilities of the proxies in the controller's terms.
+    pub fn proxy_capabilities(&self) -> host::ProxyCapabilities {
         host::ProxyCapabilities {
             zones: self.zones.len(),
             slices: self.slices,
@@ -479,11 +595,13 @@
         }
     }
 
-    pub fn graces(&self) -> host::Timeouts {
+    /// Returns the timeouts of servers in the controller's terms.
+    pub fn timeouts(&self) -> host::Timeouts {
         host::Timeouts { warm_up: self.servers.warm_up.0, removal_is_final: self.servers.gone_binds }
     }
 
-    pub fn pace(&self) -> host::ControlChannelLimits {
+    /// Returns the limits of the control channel in the controller's terms.
+    pub fn channel_limits(&self) -> host::ControlChannelLimits {
         let c = &self.channel;
         host::ControlChannelLimits {
             entries_per_s: c.lines_per_s,
@@ -495,7 +613,9 @@
         }
     }
 
-    pub fn sight(&self, ask_within: Option<Duration>) -> host::Observability {
+    /// Returns what the controller can observe. `endpoint_poll_interval` is the longest time between two polls of the
+    /// endpoint list; `None` if changes are pushed.
+    pub fn observability(&self, endpoint_poll_interval: Option<Duration>) -> host::Observability {
         let field = |f: &Figure| match f {
             Figure::Busy => host::LoadMetric::InFlight,
             Figure::Pending => host::LoadMetric::Pending,
@@ -509,36 +629,36 @@
             metrics: self.reports.fields.iter().map(field).collect(),
             report_interval: self.reports.cycle.0,
             health_checks: self.reports.probing,
-            endpoint_poll_interval: ask_within,
+            endpoint_poll_interval,
         }
     }
 
-    /// How the loss of a whole zone is watched for; unset where it is not.
+    /// Returns the parameters for detecting the loss of a zone; `None` if it is not watched for.
     pub fn watch(&self) -> Option<grebespool_controller::FailoverParameters> {
         let slo = self.routes.iter().map(|r| r.slo.0).min().unwrap_or(Duration::from_secs(1));
-        let pacing = grebespool_controller::RampParameters {
+        let ramp = grebespool_controller::RampParameters {
             warm_up: self.servers.warm_up.0,
             propagation: self.channel.worst_transit.0 + self.reports.cycle.0,
             late_wait_seconds: 0.4 * slo.as_secs_f64(),
         };
         let sites = &self.sites;
         let (window, confirm, calm) = (sites.window.0, sites.confirm.0, sites.calm.0);
-        // Where nothing may be probed, only calls can show that a site is back.
-        let trickle = if self.reports.probing { 0.0 } else { 0.02 };
+        // If servers may not be probed, only requests can show that a site has recovered.
+        let failed_weight = if self.reports.probing { 0.0 } else { 0.02 };
         let fill = sites.fill;
         sites.watched.then_some(grebespool_controller::FailoverParameters {
             evidence_window: window,
             confirmation: confirm,
             stability_period: calm,
-            failed_weight: trickle,
+            failed_weight,
             max_utilization: fill,
-            ramp: pacing,
+            ramp,
         })
     }
 
-    /// What a controller of this deployment is created with. `ack_timeout`: how long a proxy may leave updates
-    /// unacknowledged. `endpoint_poll_interval`: how long the endpoint list may go without a poll; `None` where changes
-    /// are pushed.
+    /// Returns the configuration of a controller. `ack_timeout` is the time for which a proxy may leave updates
+    /// unacknowledged. `endpoint_poll_interval` is the longest time between two polls of the endpoint list; `None` if
+    /// changes are pushed.
     pub fn controller_config(
         &self,
         incarnation: Incarnation,
@@ -551,10 +671,10 @@
             limits: Limits { servers, proxies, joins, ack_timeout },
             zones: self.zones.clone(),
             routes: self.routes(),
-            capabilities: self.plane(),
-            timeouts: self.graces(),
-            channel: self.pace(),
-            observability: self.sight(endpoint_poll_interval),
+            capabilities: self.proxy_capabilities(),
+            timeouts: self.timeouts(),
+            channel: self.channel_limits(),
+            observability: self.observability(endpoint_poll_interval),
         }
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,9 @@
-//! Settings and day files: typed records with defaults, constraints and units, written in Nickel
-//! (`docs/design/controller.md` weighs it). One Rust type for each concern.
+//! Settings files and day files: typed records with defaults, constraints and units in Nickel, whose choice
+//! `docs/design/controller.md` explains. Each concern has its own Rust type.
 //!
-//! [`Planned::read`] reads what a planner is started with, [`Day::read`] a day to rehearse. What is wrong is
-//! named by file, line and field; what cannot be said in the records' own words (a route that no caller may
-//! have, a zone that is not stated) is checked here and named by field.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! [`Planned::read`] reads the settings of a planner, [`Day::read`] a day to rehearse. Errors name file, line and field.
+//! Constraints that the records cannot express (a route without callers, an unknown zone) are checked in Rust and named
+//! by field.
 
 mod day;
 mod deployment;
@@ -16,5 +14,5 @@
 pub use day::*;
 pub use deployment::*;
 pub use experiment::*;
-pub use read::{Bad, show};
+pub use read::{SettingsError, show};
 pub use text::{deployment_text, member_text, settings_text};
--- a/crates/settings/src/text.rs
+++ b/crates/settings/src/text.rs
@@ -1,4 +1,6 @@
-//! A settings file for a deployment that is held as a value, for those who start a planner of it.
+//! Settings files written from values, for tools that start planners.
+//!
+//! `format!("{:?}")` writes variants under their names, which the records of the file format expect.
 
 use crate::deployment::{Deployment, ListSource, Span};
 use crate::read::nickel;
@@ -8,11 +10,13 @@
 use std::time::Duration;
 
 impl Span {
+    /// Formats the duration in microseconds, as settings files accept it.
     fn text(&self) -> String {
         format!("{}us", self.0.as_micros())
     }
 }
 
+/// Returns a deployment as JSON.
 fn deployment_value(deployment: &Deployment) -> Value {
     let d = deployment;
     let route = |r: &crate::Route| {
@@ -47,13 +51,13 @@
     })
 }
 
-/// A deployment as JSON, which is read as a settings file's part or a day's.
+/// Returns a deployment as JSON text, which is valid as a part of a settings or day file.
 pub fn deployment_text(deployment: &Deployment) -> String {
     json!({ "deployment": deployment_value(deployment) }).to_string()
 }
 
-/// The text of a settings file. `stall`: how long a proxy may leave
-/// bytes untaken or orders unconfirmed.
+/// Returns the text of a settings file. `stall` is the time for which a proxy may leave bytes unread or updates
+/// unacknowledged.
 pub fn settings_text(deployment: &Deployment, list: &ListSource, key_file: &Path, stall: Duration) -> String {
     let text = json!({
         "deployment": deployment_value(deployment),
@@ -70,9 +74,10 @@
     nickel(&text)
 }
 
-/// The text of a controller's settings file among others of a fleet: where they reach it, and where it listens.
-/// `folder`, `accounts`: its state's, and the accounts' that are all members'. `peers`: names and addresses of the others.
-#[expect(clippy::too_many_arguments, reason = "each part takes its own few settings; none holds them all")]
+/// Returns the text of a settings file of one of several controllers. `address` is where other members reach it, `listen`
+/// where it listens for them. `folder` is for its own state, `accounts` for the accounts of all members. `peers` has the
+/// names and addresses of the other members.
+#[expect(clippy::too_many_arguments, reason = "no type of this crate holds all of these values")]
 pub fn member_text(
     deployment: &Deployment,
     list: &ListSource,
@@ -85,7 +90,7 @@
 ) -> String {
     let peers: Vec<Value> =
         peers.iter().map(|(name, address)| json!({ "name": name, "address": address.to_string() })).collect();
-    // Accounts of short periods, so that a rehearsal sees many.
+    // Short periods, so that a rehearsal has many of them.
     let accounts = json!({ "folder": accounts, "period": "400ms", "slack": "300ms" });
     let members = json!({
         "members": {
--- a/crates/settings/tests/files.rs
+++ b/crates/settings/tests/files.rs
@@ -1,7 +1,6 @@
-//! Files that are right, and files that are wrong: the field, the line, and what was expected.
+//! Valid files are read back; errors of invalid files name the field, the line and what was expected.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_settings::{Day, Planned, Sweep, settings_text, show};
 use rstest::rstest;
@@ -38,7 +37,11 @@
 #[case::slices("proxies = {", "slices = 12, proxies = {", &["deployment.slices", "not planned for yet"])]
 #[case::a_queue_that_holds_nothing("most_waiting = 18000", "most_waiting = 10, head = 20",
     &["deployment.channel.most_waiting", "no message fits"])]
-fn bad_settings_are_named(#[case] from: &str, #[case] to: &str, #[case] says: &[&str]) {
+fn invalid_settings_are_rejected_by_line_and_field(
+    #[case] from: &str,
+    #[case] to: &str,
+    #[case] says: &[&str],
+) {
     let (_folder, file) = altered("serve.ncl", from, to);
     let said = Planned::read(&file).unwrap_err().to_string();
     for part in says {
@@ -60,7 +63,7 @@
 #[case::more_servers_than_there_are("'Silent { servers = 2 }", "'Frozen { servers = 12 }", &["troubles[0]", "takes 12 servers; the day has 11"])]
 #[case::more_proxies_than_there_are("'Unmarked { proxies = 2 }", "'Unmarked { proxies = 13 }", &["troubles[15]", "takes 13 proxies; the day has 12"])]
 #[case::a_share("share = 0.6", "share = 6", &["expected a number from 0 to 1"])]
-fn bad_days_are_named(#[case] from: &str, #[case] to: &str, #[case] says: &[&str]) {
+fn invalid_days_are_rejected_by_field(#[case] from: &str, #[case] to: &str, #[case] says: &[&str]) {
     let (_folder, file) = altered("bad-day.ncl", from, to);
     let said = Day::read(&file).unwrap_err().to_string();
     for part in says {
@@ -69,13 +72,13 @@
 }
 
 #[rstest]
-fn a_file_that_is_not_there_is_named() {
+fn a_missing_file_is_named() {
     let said = Planned::read(Path::new("no/such.ncl")).unwrap_err().to_string();
     assert!(said.starts_with("no/such.ncl cannot be read"), "{said}");
 }
 
 #[rstest]
-fn what_is_shown_reads_the_same_again() {
+fn shown_settings_are_read_back() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("shown.json");
     std::fs::write(&file, show(&example("serve.ncl"), "Settings").unwrap()).unwrap();
@@ -84,7 +87,7 @@
 }
 
 #[rstest]
-fn the_text_of_a_deployment_reads_as_that_deployment() {
+fn a_written_deployment_is_read_back() {
     let day = Day::read(&example("bad-day.ncl")).unwrap();
     let list = Planned::read(&example("serve.ncl")).unwrap().list;
     let folder = tempfile::tempdir().unwrap();
@@ -102,7 +105,7 @@
 #[case::ipv6_loopback("::1", true)]
 #[case::elsewhere("10.0.0.1", false)]
 #[case::ipv6_elsewhere("2001:db8::1", false)]
-fn networks_are_held_to(#[case] ip: &str, #[case] holds: bool) {
+fn only_allowed_networks_may_connect(#[case] ip: &str, #[case] holds: bool) {
     let listen = Planned::read(&example("serve.ncl")).unwrap().listen;
     assert_eq!(listen.allowed().holds(ip.parse().unwrap()), holds);
 }
@@ -121,7 +124,7 @@
 #[case::no_value("variants = [{ name = \"a\", set = [\"fast\"] }]", &["expected path=value"])]
 #[case::no_seed("variants = [{ name = \"a\" }], seeds = 0", &["expected a whole number from 1"])]
 #[case::an_unknown_field("variants = [{ name = \"a\", colour = 1 }]", &["colour"])]
-fn bad_sweeps_are_named(#[case] part: &str, #[case] says: &[&str]) {
+fn invalid_sweeps_are_rejected_by_field(#[case] part: &str, #[case] says: &[&str]) {
     let said = sweep(&format!("{{ name = \"s\", days = [{{ name = \"d\" }}], {part} }}")).unwrap_err();
     for part in says {
         assert!(said.contains(part), "{part:?} is not in:\n{said}");
@@ -129,16 +132,16 @@
 }
 
 #[rstest]
-fn a_settings_file_takes_the_place_of_a_days_whole_deployment() {
+fn a_settings_file_replaces_the_whole_deployment_of_a_day() {
     let (settings, day) = (example("serve.ncl"), example("bad-day.ncl"));
     let (settings, day) = (settings.as_path(), day.as_path());
-    // Its routes are others, so callers of the third have none.
+    // The settings have two routes, so the day's callers of the third are invalid.
     let bad = Day::read_with(day, Some(settings), &[]).unwrap_err().to_string();
     assert!(bad.contains("callers[2].route") && bad.contains("2 routes"), "{bad}");
     let set = ["callers=[{zone=\"east\", route=0, rate=1, work=\"1ms\"}]".into()];
     let read = Day::read_with(day, Some(settings), &set).unwrap().deployment;
     let whole = Planned::read(settings).unwrap().deployment;
-    // Even what it leaves to its defaults: the day states messages a proxy, the settings do not.
+    // Defaults count too: the day limits the messages to a proxy, the settings do not.
     assert_eq!(format!("{read:?}"), format!("{whole:?}"));
     assert_eq!(read.channel.most_messages, 0);
 }
@@ -148,7 +151,7 @@
 #[case::shorter_than_a_change_of_the_lead("lease = \"2s\", renew = \"500ms\"", "twice members.lease")]
 #[case::accounts_without_a_folder("accounts = { period = \"1min\" }", "folder")]
 #[case::no_span("renew = 3", "expected a span")]
-fn bad_settings_of_duties_are_named(#[case] duties: &str, #[case] says: &str) {
+fn invalid_settings_of_duties_are_rejected_by_field(#[case] duties: &str, #[case] says: &str) {
     let members = format!(
         "listen = {{ address = \"127.0.0.1:7400\", key_file = \"fleet.key\" }},
          members = {{ fleet = \"f\", name = \"m0\", address = \"127.0.0.1:7500\", folder = \"state\",
