--- a/crates/cli/benches/replaying.rs
+++ b/crates/cli/benches/replaying.rs
@@ -1,8 +1,7 @@
-//! The model's pace and memory, and what a recording costs a running planner. All in one run: each measurement that
-//! looks at memory is a process of its own (this program again).
+//! Measures the speed and the memory of the model, with and without a recording, in one run. Each measurement is a process
+//! of its own (this program again), because it includes peak memory.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_replay::{Job, RecordedDay};
 use grebespool_settings::{Day, Span};
@@ -15,7 +14,7 @@
 
 const BAD: &str = include_str!("../../../examples/bad-day.ncl");
 
-/// A day of so many proxies and servers in two zones, with a rolling deploy and slow servers.
+/// Returns a day of two zones with a rolling deploy and slow servers.
 fn day(proxies: usize, servers: usize, calls_per_s: f64, seconds: u64) -> Day {
     let mut day = Day::parse(BAD, "the bad day").unwrap_or_else(|bad| panic!("{bad}"));
     day.length = Span(Duration::from_secs(seconds));
@@ -60,7 +59,7 @@
     );
 }
 
-/// Writes a recording of so many calls, and plays it.
+/// Writes a recording of `count` requests and replays it.
 fn many_calls(count: u64, folder: &Path) {
     let day = day(160, 160, 2000.0, 60);
     let path = folder.join("calls.trace");
@@ -95,7 +94,8 @@
     );
 }
 
-fn alone(arguments: &[&str]) {
+/// Runs this program again with other arguments.
+fn run_alone(arguments: &[&str]) {
     let program = std::env::current_exe().unwrap();
     assert!(Command::new(program).args(arguments).status().unwrap().success());
 }
@@ -114,14 +114,14 @@
         "| proxies x servers | calls/s | simulated s/s | calls/s of a core | events/s | service | rules | peak MiB |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
-    alone(&["pace", "12", "12", "150", "56"]);
-    alone(&["pace", "160", "160", "2000", "30"]);
-    alone(&["pace", "620", "474", "6000", "30"]);
+    run_alone(&["pace", "12", "12", "150", "56"]);
+    run_alone(&["pace", "160", "160", "2000", "30"]);
+    run_alone(&["pace", "620", "474", "6000", "30"]);
     let folder = tempfile::tempdir().unwrap();
     let to = folder.path().display().to_string();
     println!("\n| recorded calls | bytes each | read, s | calls/s of a core | service | peak MiB |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for count in ["100000", "1000000", "10000000"] {
-        alone(&["calls", count, &to]);
+        run_alone(&["calls", count, &to]);
     }
 }
--- a/crates/cli/benches/scale.rs
+++ b/crates/cli/benches/scale.rs
@@ -1,13 +1,16 @@
-//! A planner as a process of its own under many proxies and servers: joins all at once, a change until all who
-//! hold the server have it in force, CPU and memory. All sizes in one run, one after another.
+//! Measures a planner process with many proxies and servers: simultaneous joins, the time until a change is in force at
+//! all proxies that have the server, CPU and memory. All sizes are measured in one run, one after another.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
 use grebespool_emulator::{PlannerHost, ProcessHost};
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
-use grebespool_wire::*;
+use grebespool_wire::{
+    Challenge, Change, EndpointEntry, EndpointList, EndpointState, FleetKey, FrameDecoder, Hello,
+    MAX_BODY_BYTES, Message, PROTOCOL_VERSION, ProxyReport, Role, RouteLoad, ServerId, ServerLoad,
+    ServerMetrics, TableBinding, Transcript, Update, UpdateAck, WeightChange, Welcome,
+};
 use hdrhistogram::Histogram;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +26,7 @@
 const KEY: &[u8] = b"the key of a benchmark";
 const CHANGES: usize = 24;
 
-/// What all proxies tell: when each was bound, and when a removed line was in force.
+/// Observations of all proxies: when each was bound, and when the removal of an endpoint was in force.
 #[derive(Default)]
 struct Seen {
     bound: BTreeMap<usize, Instant>,
@@ -37,7 +40,7 @@
     let mut deployment = Planned::read(&example).unwrap_or_else(|bad| panic!("{bad}")).deployment;
     deployment.proxies.expected = proxies;
     deployment.servers.least_connections = 300.0;
-    // Fast enough that it is the program that is measured, not the stated pace.
+    // High limits, so that the program is measured and not its rate limit.
     (deployment.channel.lines_per_s, deployment.channel.most_waiting) = (1e6, 1e6);
     deployment.reports.probing = false;
     deployment
@@ -78,10 +81,15 @@
     }
 }
 
-/// Puts orders in force, notes what is of interest, and gives the mark to answer.
-fn obey(orders: &Update, number: usize, table: &mut BTreeSet<ServerId>, seen: &mut Seen) -> Option<u16> {
-    let mut mark = None;
-    for part in &orders.changes {
+/// Applies an update, records the observations and returns the token to acknowledge.
+fn apply_update(
+    update: &Update,
+    number: usize,
+    table: &mut BTreeSet<ServerId>,
+    seen: &mut Seen,
+) -> Option<u16> {
+    let mut token = None;
+    for part in &update.changes {
         match part {
             Change::BindTable(TableBinding { weights: lines, .. }) => {
                 seen.bound.entry(number).or_insert(Instant::now());
@@ -100,14 +108,14 @@
                 table.insert(*server);
                 seen.holders.entry(*server).or_default().insert(number);
             }
-            Change::RequestAck(m) => mark = Some(*m),
+            Change::RequestAck(m) => token = Some(*m),
             _ => {}
         }
     }
-    mark
+    token
 }
 
-/// A proxy that obeys and tells sums of what it holds every second.
+/// Runs a proxy that applies updates and reports loads every second.
 async fn proxy(number: usize, to: std::net::SocketAddr, seen: Rc<RefCell<Seen>>) {
     let mut socket = TcpStream::connect(to).await.unwrap();
     socket.set_nodelay(true).unwrap();
@@ -122,31 +130,31 @@
         applied: AppliedUpdate::default(),
         newest_term: 0,
     };
-    let mut dialled = handshake(&mut socket, &FleetKey::derive(KEY), nonce, &peer).await.unwrap();
+    let mut dialed = handshake(&mut socket, &FleetKey::derive(KEY), nonce, &peer).await.unwrap();
     let (mut from, mut to) = socket.into_split();
     let mut table = BTreeSet::new();
-    let mut told = 0;
-    // Not all in the same instant.
+    let mut report_number = 0;
+    // Spreads the reports of the proxies over a second.
     let mut sums = tokio::time::interval_at(
         Instant::now() + Duration::from_millis(1000 + number as u64 % 1000),
         Duration::from_secs(1),
     );
     loop {
         tokio::select! {
-            message = read_message(&mut from, &mut dialled.decoder) => {
-                let Ok(Message::Update(orders)) = message else { return };
-                let mark = obey(&orders, number, &mut table, &mut seen.borrow_mut());
+            message = read_message(&mut from, &mut dialed.decoder) => {
+                let Ok(Message::Update(update)) = message else { return };
+                let token = apply_update(&update, number, &mut table, &mut seen.borrow_mut());
                 let applied =
-                    Message::UpdateAck(UpdateAck { incarnation: orders.incarnation, stream: orders.stream, sequence: orders.sequence, token: mark});
+                    Message::UpdateAck(UpdateAck { incarnation: update.incarnation, stream: update.stream, sequence: update.sequence, token});
                 if to.write_all(&applied.to_frame()).await.is_err() {
                     return;
                 }
             }
             _ = sums.tick() => {
-                told += 1;
+                report_number += 1;
                 let line = |s: &ServerId| {
-                    let load = 0.3 + 0.1 * (s.number % 5) as f32 + 0.001 * (told % 9) as f32;
-                    let report = Some(ServerMetrics { incarnation: 1, sequence: told, values: vec![load, 0.0] });
+                    let load = 0.3 + 0.1 * (s.number % 5) as f32 + 0.001 * (report_number % 9) as f32;
+                    let report = Some(ServerMetrics { incarnation: 1, sequence: report_number, values: vec![load, 0.0] });
                     ServerLoad { server: *s, attempts: 1, dropped: 0, mean_latency_us: 40_000, metrics: report}
                 };
                 let met = table.iter().take(20).map(line).collect();
@@ -159,7 +167,7 @@
     }
 }
 
-/// CPU seconds used, and the most memory ever held, in MiB.
+/// Returns the CPU seconds used and the peak memory in MiB.
 fn usage(id: u32) -> (f64, f64) {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
@@ -170,6 +178,38 @@
     (ticks / 100.0, kib / 1024.0)
 }
 
+/// Drains servers one after another. Returns the times until proxies had the change in force, in microseconds, and the
+/// number of proxies that did not within 600 ms.
+async fn drain_servers(
+    ids: &[ServerId],
+    seen: &RefCell<Seen>,
+    changes: &mpsc::UnboundedSender<Message>,
+) -> (Histogram<u64>, usize) {
+    let mut took = Histogram::<u64>::new(3).unwrap();
+    let mut missed = 0;
+    for i in 0..CHANGES {
+        let server = ids[i * (ids.len() / CHANGES).max(1) % ids.len()];
+        let holders = seen.borrow().holders.get(&server).cloned().unwrap_or_default();
+        let sent_at = Instant::now();
+        let version = 2 + i as u64;
+        let drained = vec![entry(server, EndpointState::Draining)];
+        changes
+            .send(Message::EndpointList(EndpointList {
+                version,
+                base_version: version - 1,
+                now_ms: 1,
+                entries: drained,
+            }))
+            .unwrap();
+        sleep(Duration::from_millis(600)).await;
+        let seen = seen.borrow();
+        let gone: Vec<_> = seen.removed.iter().filter(|r| r.0 == server).collect();
+        missed += holders.len().saturating_sub(gone.len());
+        gone.iter().for_each(|r| took.record((r.2 - sent_at).as_micros() as u64).unwrap());
+    }
+    (took, missed)
+}
+
 async fn measure(proxies: usize, servers: usize, record: bool) {
     let folder = tempfile::tempdir().unwrap();
     let key_file = folder.path().join("key");
@@ -180,9 +220,9 @@
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.unwrap();
     let mode = ListMode::Pushed;
     let source = ListSource::new(listener.local_addr().unwrap(), mode, Span(Duration::from_secs(10)));
-    let (changes, told) = mpsc::unbounded_channel();
+    let (changes, report_number) = mpsc::unbounded_channel();
     let entries = ids.iter().map(|s| entry(*s, EndpointState::Ready)).collect();
-    spawn_local(serve_list(listener, entries, told));
+    spawn_local(serve_list(listener, entries, report_number));
     let program = PathBuf::from(env!("CARGO_BIN_EXE_grebespool-cli"));
     let trace = folder.path().join("day.trace").display().to_string();
     let recorded = ["--record", trace.as_str()];
@@ -207,28 +247,7 @@
     sleep(Duration::from_secs(4)).await;
     let (cpu, _) = usage(id);
     let from = Instant::now();
-    let mut took = Histogram::<u64>::new(3).unwrap();
-    let mut missed = 0;
-    for i in 0..CHANGES {
-        let server = ids[i * (servers / CHANGES).max(1) % servers];
-        let holders = seen.borrow().holders.get(&server).cloned().unwrap_or_default();
-        let told_at = Instant::now();
-        let version = 2 + i as u64;
-        let drained = vec![entry(server, EndpointState::Draining)];
-        changes
-            .send(Message::EndpointList(EndpointList {
-                version,
-                base_version: version - 1,
-                now_ms: 1,
-                entries: drained,
-            }))
-            .unwrap();
-        sleep(Duration::from_millis(600)).await;
-        let seen = seen.borrow();
-        let gone: Vec<_> = seen.removed.iter().filter(|r| r.0 == server).collect();
-        missed += holders.len().saturating_sub(gone.len());
-        gone.iter().for_each(|r| took.record((r.2 - told_at).as_micros() as u64).unwrap());
-    }
+    let (took, missed) = drain_servers(&ids, &seen, &changes).await;
     let (after, peak) = usage(id);
     let cpu = (after - cpu) / from.elapsed().as_secs_f64();
     let ms = |q: f64| took.value_at_quantile(q) as f64 / 1000.0;
@@ -250,7 +269,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     if std::env::args().any(|a| a == "recording") {
-        // In pairs, so that what else the machine does falls on both.
+        // Alternates, so that other load on the machine affects both alike.
         for i in 0..8 {
             println!("| {} ", if i % 2 == 0 { "without" } else { "recorded" });
             LocalSet::new().block_on(&runtime, measure(600, 545, i % 2 == 1));
--- a/crates/cli/benches/takeover.rs
+++ b/crates/cli/benches/takeover.rs
@@ -1,9 +1,7 @@
-//! Controllers that are killed again and again: how long a fleet is without a leader, until the first orders of the
-//! next, until all proxies are bound, and what that takes; what membership costs beside a lone planner; what a memory
-//! weighs. All in one run.
+//! Measures, in one run: kills of the leading controller, with the times until the next leader, its first updates and the
+//! binding of all proxies; the cost of membership compared with a single planner; and the size of a snapshot.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_cluster::Store;
 use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
@@ -13,7 +11,11 @@
     ProxyBinding, Snapshot,
 };
 use grebespool_settings::{Deployment, ListMode, ListSource, Planned, Span};
-use grebespool_wire::*;
+use grebespool_wire::{
+    Challenge, Change, EndpointEntry, EndpointList, EndpointPoll, EndpointState, FleetKey, FrameDecoder,
+    Hello, MAX_BODY_BYTES, Message, PROTOCOL_VERSION, Role, ServerId, TableBinding, Transcript, Update,
+    UpdateAck, Welcome,
+};
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -34,7 +36,7 @@
     let example = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/serve.ncl");
     let mut deployment = Planned::read(&example).unwrap_or_else(|bad| panic!("{bad}")).deployment;
     deployment.proxies.expected = PROXIES;
-    // Each proxy joins at every kill.
+    // Each proxy joins again after every kill.
     deployment.proxies.joins = 100;
     deployment.reports.probing = false;
     deployment
@@ -44,7 +46,7 @@
     ServerId { addr: ([127, 1, (n >> 8) as u8, n as u8], 9000).into(), number: n as u32 }
 }
 
-/// Serves the same list to whoever watches.
+/// Serves the same list to each planner.
 async fn serve_list(listener: TcpListener) {
     loop {
         let Ok((mut socket, _)) = listener.accept().await else { continue };
@@ -89,10 +91,10 @@
     }
 }
 
-/// What all proxies met of the newest epoch.
+/// Observations of all proxies in the newest term.
 #[derive(Default)]
 struct Seen {
-    epoch: Cell<u64>,
+    term: Cell<u64>,
     welcomed: Cell<Option<Instant>>,
     ordered: Cell<Option<Instant>>,
     bound: RefCell<BTreeMap<usize, Instant>>,
@@ -100,27 +102,50 @@
 }
 
 impl Seen {
-    fn of(&self, epoch: u64) -> bool {
-        if epoch > self.epoch.get() {
-            self.epoch.set(epoch);
+    /// Returns true if a term is the newest one. The first sight of a newer term resets the observations.
+    fn is_newest(&self, term: u64) -> bool {
+        if term > self.term.get() {
+            self.term.set(term);
             self.welcomed.take();
             self.ordered.take();
             self.bound.borrow_mut().clear();
             self.lines.set(0);
         }
-        epoch == self.epoch.get()
+        term == self.term.get()
+    }
+
+    /// Records the first update of the term and the binding of a proxy.
+    fn record_update(&self, number: usize, update: &Update) {
+        if self.is_newest(update.term) {
+            let now = Instant::now();
+            self.ordered.set(self.ordered.get().or(Some(now)));
+            for part in &update.changes {
+                if let Change::BindTable(TableBinding { weights: lines, .. }) = part {
+                    self.bound.borrow_mut().entry(number).or_insert(now);
+                    self.lines.set(self.lines.get() + lines.len());
+                }
+            }
+        }
     }
 }
 
-/// Follows whichever controller leads.
+/// Returns the acknowledgement of an update, with the token that the update requests.
+fn acknowledgement(update: &Update) -> Message {
+    let token =
+        update.changes.iter().find_map(|p| if let Change::RequestAck(m) = p { Some(*m) } else { None });
+    let Update { incarnation, stream, sequence, .. } = *update;
+    Message::UpdateAck(UpdateAck { incarnation, stream, sequence, token })
+}
+
+/// Runs a proxy that follows the leader.
 async fn proxy(number: usize, at: Vec<SocketAddr>, seen: Rc<Seen>) {
     let (name, zone) = (format!("p{number}"), if number.is_multiple_of(2) { "east" } else { "west" });
-    let (mut epoch, mut turn, mut dials) = (0, number, 0u64);
+    let (mut term, mut turn, mut dials) = (0, number, 0u64);
     loop {
         dials += 1;
         let nonce = ((number as u128) << 64 | u128::from(dials)).to_be_bytes();
         let to = at[turn % at.len()];
-        let dialled = async {
+        let dialed = async {
             let mut socket = TcpStream::connect(to).await?;
             socket.set_nodelay(true)?;
             let peer = Dialer {
@@ -130,59 +155,38 @@
                 calls_per_s: 5.0,
                 initial_table_only: dials == 1,
                 applied: AppliedUpdate::default(),
-                newest_term: epoch,
+                newest_term: term,
             };
             handshake(&mut socket, &FleetKey::derive(KEY), nonce, &peer).await.map(|d| (socket, d))
         };
-        let Ok(Ok((socket, mut dialled))) = timeout(Duration::from_millis(500), dialled).await else {
+        let Ok(Ok((socket, mut dialed))) = timeout(Duration::from_millis(500), dialed).await else {
             turn += 1;
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        if dialled.term < epoch {
+        if dialed.term < term {
             continue;
         }
-        epoch = dialled.term;
-        if seen.of(epoch) {
+        term = dialed.term;
+        if seen.is_newest(term) {
             seen.welcomed.set(seen.welcomed.get().or(Some(Instant::now())));
         }
         let (mut from, mut to) = socket.into_split();
-        while let Ok(message) = read_message(&mut from, &mut dialled.decoder).await {
-            let orders = match message {
-                Message::Update(orders) => orders,
+        while let Ok(message) = read_message(&mut from, &mut dialed.decoder).await {
+            let update = match message {
+                Message::Update(update) => update,
                 Message::Heartbeat => continue,
                 _ => break,
             };
-            if seen.of(orders.term) {
-                let now = Instant::now();
-                seen.ordered.set(seen.ordered.get().or(Some(now)));
-                for part in &orders.changes {
-                    if let Change::BindTable(TableBinding { weights: lines, .. }) = part {
-                        seen.bound.borrow_mut().entry(number).or_insert(now);
-                        seen.lines.set(seen.lines.get() + lines.len());
-                    }
-                }
-            }
-            let mark = orders
-                .changes
-                .iter()
-                .find_map(|p| if let Change::RequestAck(m) = p { Some(*m) } else { None });
-            let Update { incarnation: start, stream, sequence: seq, .. } = orders;
-            if to
-                .write_all(
-                    &Message::UpdateAck(UpdateAck { incarnation: start, stream, sequence: seq, token: mark })
-                        .to_frame(),
-                )
-                .await
-                .is_err()
-            {
+            seen.record_update(number, &update);
+            if to.write_all(&acknowledgement(&update).to_frame()).await.is_err() {
                 break;
             }
         }
     }
 }
 
-/// CPU seconds used by a process.
+/// Returns the CPU seconds used by a process.
 fn cpu(id: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap();
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap().split(' ').collect();
@@ -230,11 +234,11 @@
     );
     let (mut leader, mut first, mut bound, mut lines) = (waits(), waits(), waits(), waits());
     for i in 0..count {
-        let was = seen.epoch.get();
+        let was = seen.term.get();
         let at = Instant::now();
         fleet.kill();
         let all = async {
-            while seen.epoch.get() == was || seen.bound.borrow().len() < PROXIES {
+            while seen.term.get() == was || seen.bound.borrow().len() < PROXIES {
                 sleep(Duration::from_millis(1)).await;
             }
         };
@@ -244,7 +248,7 @@
         first.record(us(seen.ordered.get().unwrap())).unwrap();
         bound.record(us(*seen.bound.borrow().values().max().unwrap())).unwrap();
         lines.record(seen.lines.get() as u64).unwrap();
-        // The killed one comes back before the next.
+        // Restarts the killed controller before the next kill.
         fleet.start(&deployment(), &source, &key_file).unwrap();
         sleep(Duration::from_millis(900)).await;
     }
@@ -256,7 +260,7 @@
     row("lines in their tables", &lines, 1.0);
 }
 
-fn memories() {
+fn snapshots() {
     println!("\n| servers | proxies | memory, KiB | to bytes, ms | written and synced, ms (median of 20) |");
     println!("| --- | --- | --- | --- | --- |");
     for times in [1, 4] {
@@ -270,7 +274,7 @@
         };
         let weight = |n: usize| LearnedWeight { addr: server(n).addr, number: n as u32, weight: 1.1 };
         let held = |n: usize| AppliedOrders { proxy: format!("proxy-{n}"), sequence: n as u64 };
-        let memory = Snapshot {
+        let snapshot = Snapshot {
             term: 1,
             number: 1,
             list_version: 9,
@@ -289,7 +293,7 @@
         let mut size = 0;
         for number in 0..20 {
             let began = std::time::Instant::now();
-            let bytes = memory.encode().unwrap();
+            let bytes = snapshot.encode().unwrap();
             made.push(began.elapsed());
             size = bytes.len();
             let began = std::time::Instant::now();
@@ -312,5 +316,5 @@
     let count = std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(100);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new().block_on(&runtime, kills(count));
-    memories();
+    snapshots();
 }
--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -1,4 +1,4 @@
-//! `compare`: the same day on sockets and in the simulation, side by side.
+//! `compare`: plays the same days on sockets and in the model, and compares the results.
 
 use crate::error::CommandError;
 use crate::rehearse::{BAD_DAY, PlannerMode, planner_host};
@@ -53,11 +53,11 @@
 struct PlayedDays {
     on_sockets: Vec<ServiceLevel>,
     simulated: Vec<ServiceLevel>,
-    /// No rule was broken on any of them.
+    /// True if no rule was broken on any day.
     rules_kept: bool,
 }
 
-/// Mean, least and greatest value of a metric.
+/// Mean, minimum and maximum of a metric.
 struct Spread {
     mean: f64,
     min: f64,
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 ///
-/// The day cannot be used or breaks off.
+/// Returns an error if the day cannot be used or ends early.
 pub(crate) fn compare(arguments: &CompareArguments) -> Result<ExitCode, CommandError> {
     let day = match &arguments.day {
         Some(file) => Day::read(file),
@@ -131,7 +131,7 @@
     if value.abs() < 10.0 { format!("{value:.4}") } else { format!("{value:.0}") }
 }
 
-/// Whether the differences are within the tolerances and no rule was broken.
+/// Prints the differences. Returns true if they are within the tolerances and no rule was broken.
 fn print_differences(arguments: &CompareArguments, days: &PlayedDays) -> bool {
     let difference = |of: fn(&ServiceLevel) -> f64| {
         (Spread::of(&days.on_sockets, of).mean - Spread::of(&days.simulated, of).mean).abs()
--- a/crates/cli/src/duties.rs
+++ b/crates/cli/src/duties.rs
@@ -1,4 +1,4 @@
-//! `duties`: who does what on behalf of a fleet.
+//! `duties`: shows and moves the singleton tasks of a fleet.
 
 use crate::error::CommandError;
 use crate::members::{read_members, send_to_leader};
@@ -10,19 +10,19 @@
 
 #[derive(Subcommand)]
 pub(crate) enum DutiesCommand {
-    /// Say who owns which duty, since when, by which token, and which late owner was refused last
+    /// Show the owner of each duty, since when, by which token, and the late owner that was refused last
     Show { settings: PathBuf },
-    /// Have a member own a duty; the one that has it ends its step first
+    /// Move a duty to a member; its present owner ends its step first
     Move { settings: PathBuf, name: String, member: String },
-    /// Have nobody work on a duty for a while
+    /// Suspend a duty for a while
     Hold {
         settings: PathBuf,
         name: String,
-        /// In seconds; a hold ends by itself, at most a day later
+        /// Length of the suspension in seconds, at most a day
         #[arg(long = "for", default_value_t = 600.0, value_name = "SECONDS")]
         span: f64,
     },
-    /// End a hold, or the wish that a certain member has it
+    /// End a suspension, or the assignment to a certain member
     Release { settings: PathBuf, name: String },
 }
 
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// The settings or the time cannot be used, or the leader does not do what was asked.
+/// Returns an error if the settings or the time cannot be used, or if the leader rejects the request.
 pub(crate) fn duties(command: DutiesCommand) -> Result<ExitCode, CommandError> {
     let (settings, request) = match command {
         DutiesCommand::Show { settings } => (settings, Request::ShowTasks),
--- a/crates/cli/src/editions.rs
+++ b/crates/cli/src/editions.rs
@@ -1,4 +1,4 @@
-//! `editions`: what all members of a fleet go by.
+//! `editions`: shows and proposes the configuration versions that the members of a fleet agree on.
 
 use crate::error::CommandError;
 use crate::members::{read_members, send};
@@ -10,13 +10,13 @@
 
 #[derive(Subcommand)]
 pub(crate) enum EditionsCommand {
-    /// Say what this member holds, by what it acts at this moment, and who convenes
+    /// Show the editions that this member holds, those that it acts by now, and the convener
     Show {
         settings: PathBuf,
         #[arg(long)]
         json: bool,
     },
-    /// Propose the changes in a JSON file, on top of whatever stands; says the edition's number once it holds
+    /// Propose the changes in a JSON file, on top of the standing edition; prints the edition's number once it holds
     Propose {
         settings: PathBuf,
         changes: PathBuf,
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// The settings or the changes cannot be used, or the member does not do what was asked.
+/// Returns an error if the settings or the changes cannot be used, or if the member rejects the request.
 pub(crate) fn editions(command: EditionsCommand) -> Result<ExitCode, CommandError> {
     let (settings, json, request) = match command {
         EditionsCommand::Show { settings, json } => (settings, json, Request::ShowConfiguration),
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,14 +1,14 @@
-//! Why a command cannot do what it was asked. The text follows `grebespool: ` on standard error.
+//! The errors of commands. Their text follows `grebespool: ` on standard error.
 
 use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The error of another package, whose text says what is wrong.
+/// The error of another package, whose text describes the problem.
 type Cause = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, Error)]
 pub(crate) enum CommandError {
     /// A settings, day or sweep file cannot be used; the text names the file and the place.
@@ -17,7 +17,7 @@
     /// Another file cannot be used.
     #[error("{}: {cause}", path.display())]
     File { path: PathBuf, cause: Cause },
-    /// The system refuses something that is no file of the caller's.
+    /// A system call failed on something other than a file of the caller.
     #[error(transparent)]
     System(#[from] io::Error),
     /// An answer cannot be written as JSON.
@@ -48,7 +48,7 @@
     #[error("the recording: {0}")]
     Recording(io::Error),
     /// Settings without the part on members.
-    #[error("{}: members: the settings name none", settings.display())]
+    #[error("{}: members: missing; expected this controller's settings as a member", settings.display())]
     NoMembers { settings: PathBuf },
     /// The state folder was formed with other members than the settings name.
     #[error("{}: members: these are not the members that {} was formed with", settings.display(), folder.display())]
@@ -59,7 +59,7 @@
     /// A member cannot start.
     #[error(transparent)]
     MemberStart(#[from] grebespool_cluster::StartError),
-    /// The member's tasks have ended while it was in use.
+    /// The member's background tasks ended while the member was in use.
     #[error("the member has ended")]
     MemberEnded,
     /// A member does not answer.
@@ -68,11 +68,11 @@
     /// No leader is known to the member that was asked.
     #[error("no leader is known; nothing is changed without one")]
     NoLeader,
-    /// A member refuses what was asked, and says why.
+    /// A member rejected the request, with the reason.
     #[error("{0}")]
     Rejected(String),
     /// A member's answer is of another kind than the request.
-    #[error("it answered something else")]
+    #[error("the member sent an answer of another kind than the request")]
     UnexpectedAnswer,
     /// A file of changes to the configuration is malformed.
     #[error("{}: at {place}: {cause}", file.display())]
@@ -84,12 +84,12 @@
     #[error("{}: a key has at least {min} bytes; this has {length}", key_file.display())]
     ShortKey { key_file: PathBuf, min: usize, length: usize },
     /// The runtime cannot be set up.
-    #[error("no runtime: {0}")]
+    #[error("cannot start the runtime: {0}")]
     Runtime(io::Error),
-    /// An address cannot be listened at. `whom` is empty, or says for whom.
+    /// An address cannot be listened at. `whom` is empty, or names the clients of the address.
     #[error("cannot listen{whom} at {address}: {cause}")]
     Listen { whom: &'static str, address: SocketAddr, cause: io::Error },
-    /// A day whose capacities were needed is not one.
+    /// A file that has to state capacities is not a day file.
     #[error(
         "{0}\nA plan needs what there is and what is asked: a day file, as settings state no capacities."
     )]
@@ -103,12 +103,12 @@
 }
 
 impl CommandError {
-    /// A function that names the file in the error of whatever was done with it.
+    /// Returns a function that adds the file's path to an error.
     pub(crate) fn file<E: Into<Cause>>(path: &Path) -> impl Fn(E) -> CommandError + '_ {
         |cause| CommandError::File { path: path.to_path_buf(), cause: cause.into() }
     }
 
-    /// The value of an argument cannot be used.
+    /// Creates the error of an argument whose value cannot be used.
     pub(crate) fn argument(argument: impl Into<String>, problem: impl Into<String>) -> Self {
         CommandError::Argument { argument: argument.into(), problem: problem.into() }
     }
--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -1,4 +1,4 @@
-//! `experiment`: variants over days and seeds, simulated.
+//! `experiment`: simulates variants over days and seeds.
 
 use crate::error::CommandError;
 use crate::simulated_days::{describe, progress_bar, read_day, read_recording, thread_count};
@@ -13,7 +13,7 @@
 pub(crate) struct ExperimentArguments {
     /// The sweep: variants, days, seeds
     file: PathBuf,
-    /// Runs are kept and reports written here; one that was interrupted goes on
+    /// Folder for the runs and the reports; an interrupted sweep resumes here
     #[arg(long, value_name = "FOLDER")]
     out: PathBuf,
     #[arg(long)]
@@ -27,14 +27,14 @@
 ///
 /// # Errors
 ///
-/// The sweep, a day or a recording cannot be used, or the reports cannot be written.
+/// Returns an error if the sweep, a day or a recording cannot be used, or if the reports cannot be written.
 pub(crate) fn experiment(arguments: &ExperimentArguments) -> Result<ExitCode, CommandError> {
     let sweep = Sweep::read(&arguments.file)?;
     let days = sweep_days(arguments, &sweep)?;
     let seeds: Vec<u64> = (0..sweep.seeds).map(|offset| sweep.first_seed + offset).collect();
     let runs = sweep.days.len() * (sweep.variants.len() + Replays::BASELINES) * seeds.len();
     let experiment = Experiment { name: sweep.name, days, seeds };
-    // Runs of another build are done again: what it decides may differ.
+    // Runs of other builds are repeated, because the decisions of a build may differ.
     let program = std::env::current_exe().and_then(fs::read)?;
     let store = RunStore::open(&arguments.out)?;
     if store.damaged > 0 {
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,6 @@
 //! The command line `grebespool-cli`: parses arguments, runs one command, and turns its outcome into an exit code.
 //!
-//! Results go to standard output; the log, progress and errors to standard error.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! Results go to standard output. The log, progress and errors go to standard error.
 
 mod compare;
 mod duties;
@@ -56,10 +54,10 @@
         /// Listen here instead of at the address in the settings
         #[arg(long, value_name = "ADDRESS")]
         listen: Option<std::net::SocketAddr>,
-        /// Record in this new file what the planner hears, to be replayed
+        /// Record what the planner receives in this new file, to be replayed
         #[arg(long, value_name = "FILE")]
         record: Option<PathBuf>,
-        /// Put hashes keyed by this file's bytes in place of servers' addresses in the recording
+        /// Replace servers' addresses in the recording by hashes keyed by this file's bytes
         #[arg(long, value_name = "KEY_FILE", requires = "record")]
         cloak: Option<PathBuf>,
     },
@@ -78,22 +76,22 @@
         #[command(subcommand)]
         command: trace::TraceCommand,
     },
-    /// The controllers of a fleet: state folders, who leads, who takes part
+    /// The controllers of a fleet: state folders, the leader, the members
     Members {
         #[command(subcommand)]
         command: members::MembersCommand,
     },
-    /// Work that one of several controllers at a time does on behalf of all
+    /// Singleton tasks: work that one of several controllers at a time does for all
     Duties {
         #[command(subcommand)]
         command: duties::DutiesCommand,
     },
-    /// Editions of settings and lists that several controllers agree on
+    /// Configuration versions (editions) of settings and lists that several controllers agree on
     Editions {
         #[command(subcommand)]
         command: editions::EditionsCommand,
     },
-    /// What the loss of a whole site would mean
+    /// The effects of losing a whole site
     Sites {
         #[command(subcommand)]
         command: sites::SitesCommand,
@@ -113,7 +111,7 @@
 
 #[derive(Subcommand)]
 enum SettingsCommand {
-    /// Say what is wrong with a file; exit 0 if nothing is, else 2
+    /// Say what is wrong with a file; exit 0: nothing, 2: a fault
     Check {
         file: PathBuf,
         #[arg(long, value_enum, default_value = "settings")]
@@ -123,7 +121,7 @@
     Show { file: PathBuf },
 }
 
-/// The exit code of a command that cannot do what it was asked.
+/// The exit code of a command that fails.
 const EXIT_BAD_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
@@ -174,7 +172,7 @@
     Ok(())
 }
 
-/// A planner's log is for its operators; the other commands show their own progress.
+/// Returns the default filter of log lines. Operators read the log of a planner; other commands show their own progress.
 fn default_log_filter(command: &Command) -> &'static str {
     match command {
         Command::Serve { .. } | Command::Platform => "info",
@@ -187,7 +185,7 @@
     let env_filter = EnvFilter::try_new(filter)
         .map_err(|cause| CommandError::LogFilter { filter: filter.into(), cause })?;
     let log = tracing_subscriber::fmt().with_env_filter(env_filter).with_writer(std::io::stderr);
-    // Where the log's reader is gone, the formatter's own error messages could only end the service.
+    // If the reader of standard error is gone, the formatter's own error messages would end the service.
     let log = log.log_internal_errors(false);
     match cli.log_format {
         LogFormat::Json => log.json().init(),
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,4 +1,4 @@
-//! `members`: state folders, and what operators ask of the controllers of a fleet.
+//! `members`: creates state folders, and sends operators' requests to the controllers of a fleet.
 
 use crate::error::CommandError;
 use clap::Subcommand;
@@ -12,11 +12,11 @@
 
 #[derive(Subcommand)]
 pub(crate) enum MembersCommand {
-    /// Make this member's state for a new fleet of all that its settings name; once in a member's life
+    /// Create this member's state for a new fleet of all members in its settings; once in a member's life
     Form { settings: PathBuf },
-    /// Make this member's state, to be added to a fleet that runs
+    /// Create this member's state, to be added to a running fleet
     Join { settings: PathBuf },
-    /// Say who leads, since when, by which epoch, and who is missing
+    /// Show the leader, since when and by which epoch it leads, and which members are missing
     Show {
         settings: PathBuf,
         /// Ask the member at this address instead of the settings' own
@@ -25,24 +25,24 @@
         #[arg(long)]
         json: bool,
     },
-    /// Let the member that runs at ADDRESS take part; asked of the leader
+    /// Add the member that runs at ADDRESS; sent to the leader
     Add { settings: PathBuf, name: String, address: String },
-    /// Take a member out; asked of the leader
+    /// Remove a member; sent to the leader
     Remove { settings: PathBuf, name: String },
-    /// Have the leader leave the lead to another
+    /// Have the leader step down in favor of another member
     StepDown { settings: PathBuf },
 }
 
-/// The members' part of a settings file.
+/// Reads the members' part of a settings file.
 ///
 /// # Errors
 ///
-/// The file cannot be used, or has no such part.
+/// Returns an error if the file cannot be used or has no such part.
 pub(crate) fn read_members(file: &Path) -> Result<Members, CommandError> {
     Planned::read(file)?.members.ok_or_else(|| CommandError::NoMembers { settings: file.to_path_buf() })
 }
 
-/// Who takes part from the beginning, by a member's settings.
+/// Returns the initial membership of a new fleet by a member's settings.
 pub(crate) fn formed_membership(members: &Members) -> Membership {
     let own = (members.name.clone(), members.address.to_string());
     let peers = members.peers.iter().map(|peer| (peer.name.clone(), peer.address.to_string()));
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 ///
-/// The settings cannot be used, a state folder cannot be made, or a member does not do what was asked.
+/// Returns an error if the settings cannot be used, a state folder cannot be created or a member rejects the request.
 pub(crate) fn members(command: MembersCommand) -> Result<ExitCode, CommandError> {
     match command {
         MembersCommand::Form { settings } => form(&read_members(&settings)?)?,
@@ -101,11 +101,11 @@
     Ok(())
 }
 
-/// Sends a request to a member: the one at an address, or that of the settings.
+/// Sends a request to the member at `address`, or to the settings' own member if `address` is `None`.
 ///
 /// # Errors
 ///
-/// The key file cannot be used, or the member does not answer.
+/// Returns an error if the key file cannot be used or the member does not answer.
 pub(crate) fn send(
     members: &Members,
     address: Option<String>,
@@ -119,11 +119,11 @@
         .map_err(|cause| CommandError::Member { address, cause: cause.into() })
 }
 
-/// Asks the settings' own member who leads, sends the request to that one, and prints its answer.
+/// Asks the settings' own member for the leader, sends the request to the leader and prints the answer.
 ///
 /// # Errors
 ///
-/// No leader is known, or it does not do what was asked.
+/// Returns an error if no leader is known or the leader rejects the request.
 pub(crate) fn send_to_leader(members: &Members, request: &Request) -> Result<(), CommandError> {
     let address = match send(members, None, Request::ShowMember)? {
         Response::Status { leader: Some(leader), members, .. } => {
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `rehearse`: a day on loopback.
+//! `rehearse`: plays a day on loopback sockets.
 
 use crate::error::CommandError;
 use clap::{Args, ValueEnum};
@@ -16,21 +16,21 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The day that is played where no file is given.
+/// The day that is played if no file is given.
 pub(crate) const BAD_DAY: &str = include_str!("../../../examples/bad-day.ncl");
-/// How much of the grace for drains a stream may leave updates unconfirmed before the planner disconnects it.
+/// Share of the grace for drains for which a stream may leave updates unacknowledged before the planner disconnects it.
 const STALL_PART_OF_GRACE: f64 = 0.75;
-/// The least such time: no planner could keep to none at all.
+/// Lower bound of that time, because a planner cannot meet a bound close to zero.
 const MIN_STALL: Duration = Duration::from_millis(500);
-/// Controllers of a fleet, or planners that share nothing.
+/// Number of controllers of a fleet, or of planners that share nothing.
 const PLANNERS: usize = 3;
 
-/// What runs the planner of a day.
+/// The way in which the planners of a day run.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum PlannerMode {
     Process,
     Thread,
-    /// Three controllers, a process each; what befalls the planner befalls the one that leads
+    /// Three controllers, a process each; troubles of the planner affect the leader
     Fleet,
     /// Three planners that share nothing, a process each, in the zones in turn
     Several,
@@ -51,11 +51,11 @@
     record: Option<PathBuf>,
 }
 
-/// What runs the day's planner. `accounts`: where the members of a fleet write theirs.
+/// Creates the host of the day's planner. `accounts` is the folder for the accounts of a fleet.
 ///
 /// # Errors
 ///
-/// This program cannot be found, or a folder cannot be made.
+/// Returns an error if this program cannot be found or a folder cannot be created.
 pub(crate) fn planner_host(
     mode: PlannerMode,
     day: &Day,
@@ -75,7 +75,7 @@
 ///
 /// # Errors
 ///
-/// The day cannot be used or breaks off.
+/// Returns an error if the day cannot be used or ends early.
 pub(crate) fn rehearse(arguments: &RehearseArguments) -> Result<ExitCode, CommandError> {
     let mut day = match &arguments.day {
         Some(file) => Day::read(file),
@@ -109,7 +109,7 @@
     File::create(path).and_then(Recorder::new).map_err(CommandError::file(path))
 }
 
-/// Says what became of the fleet's singleton tasks. Whether each step took place once, by the latest lease holder.
+/// Prints an audit of the fleet's singleton tasks. Returns true if each step took place once, by the latest lease holder.
 fn print_singleton_tasks(accounts: &Path) -> Result<bool, CommandError> {
     let audit = audit_accounts(accounts).map_err(CommandError::Accounts)?;
     println!(
@@ -123,7 +123,7 @@
     Ok(audit.steps > 0 && audit.duplicates + audit.by_stale_holders + audit.missing == 0)
 }
 
-/// Shows the progress of a day: a bar on a terminal, else a line for each fault.
+/// Shows the progress of a day: a bar on a terminal, otherwise a line for each trouble.
 struct ProgressDisplay {
     bar: ProgressBar,
 }
@@ -183,7 +183,7 @@
 fn print_verdict(verdict: &Verdict) {
     let Verdict { rule, first, breaches, checked } = verdict;
     match first {
-        // A rule that nothing tested was not kept either.
+        // A rule without any check does not count as kept.
         None if *checked == 0 => println!("rule {rule}: not put to the test"),
         None => println!("rule {rule}: kept ({checked} checked)"),
         Some(breach) => {
--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,4 +1,4 @@
-//! `replay`: a day under other settings, simulated.
+//! `replay`: simulates a day under other settings.
 
 use crate::error::CommandError;
 use crate::simulated_days::{describe, progress_bar, read_day, read_recording, thread_count};
@@ -12,7 +12,7 @@
 pub(crate) struct ReplayArguments {
     /// A recording whose calls, lists and joins are replayed; the day's own callers call if left out
     trace: Option<PathBuf>,
-    /// The day: servers, proxies, rules, and troubles that the recording does not tell of; the built-in bad day if
+    /// The day: servers, proxies, rules, and troubles that the recording does not contain; the built-in bad day if
     /// left out
     #[arg(long)]
     day: Option<PathBuf>,
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// A day, a recording or a value cannot be used, or the report cannot be written.
+/// Returns an error if a day, a recording or a value cannot be used, or if the report cannot be written.
 pub(crate) fn replay(arguments: &ReplayArguments) -> Result<ExitCode, CommandError> {
     if arguments.seeds == 0 {
         return Err(CommandError::argument("--seeds 0", "at least one"));
@@ -59,7 +59,7 @@
     Ok(if replays.rules_kept() { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-/// The day as it is, then one variant for each settings file, then those that name their values.
+/// Returns the day as it is, then a variant for each settings file, then the variants given by values.
 fn variants(arguments: &ReplayArguments) -> Result<Vec<Variant>, CommandError> {
     let file = arguments.day.as_deref();
     let as_it_is = read_day(file, None, &arguments.set)?;
@@ -98,7 +98,7 @@
     Ok(replays)
 }
 
-/// Writes the report where that was asked for, and prints it.
+/// Writes the report to the given folder, if any, and prints it.
 fn print_report(
     arguments: &ReplayArguments,
     variants: &[Variant],
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: a planner until it is told to stop.
+//! `serve`: runs a planner until it is interrupted or terminated.
 
 use crate::error::CommandError;
 use crate::record::Recording;
@@ -24,16 +24,16 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Bytes of the shortest key that is accepted.
+/// Length of the shortest key that is accepted, in bytes.
 const MIN_KEY_LENGTH: usize = 16;
 
-/// An interrupt, or what service managers send.
-async fn told_to_stop() -> std::io::Result<()> {
+/// Waits for an interrupt or for the termination signal of service managers.
+async fn stop_requested() -> std::io::Result<()> {
     let mut terminated = signal(SignalKind::terminate())?;
     tokio::select! {
         stopped = tokio::signal::ctrl_c() => stopped,
@@ -41,19 +41,23 @@
     }
 }
 
-/// Runs until interrupted. Errors are bad input, or an address that cannot be had.
-pub fn serve(
+/// Runs a planner until it is interrupted or terminated.
+///
+/// # Errors
+///
+/// Returns an error if the settings, the key or the recording cannot be used, or if the address cannot be listened at.
+pub(crate) fn serve(
     file: &Path,
     listen: Option<SocketAddr>,
     record: Option<&Path>,
-    cloak: Option<&Path>,
+    anonymization_key: Option<&Path>,
 ) -> Result<ExitCode, CommandError> {
     let planned = Planned::read(file)?;
     let key_file = &planned.listen.key_file;
     let key = read_key(file, key_file)?;
-    let start = start_in(0);
+    let incarnation = incarnation_in_term(0);
     let recording = match record {
-        Some(path) => Recording::begin(path, cloak, start.id, &planned.deployment)?,
+        Some(path) => Recording::begin(path, anonymization_key, incarnation.id, &planned.deployment)?,
         None => Recording::none(),
     };
     let runtime =
@@ -66,26 +70,27 @@
         let began = Instant::now();
         let serving = async {
             match planned.members.clone() {
-                Some(members) => lead_or_follow(file, listener, planned, members, &key, &recording).await,
+                Some(members) => run_role(file, listener, planned, members, &key, &recording).await,
                 None => {
-                    let listener = told_open(listener)?;
-                    plan(file, listener, start, &planned, &key, PassThrough, recording.clone()).await
+                    let listener = announce(listener)?;
+                    run_planner(file, listener, incarnation, &planned, &key, PassThrough, recording.clone())
+                        .await
                 }
             }
         };
         tokio::select! {
             ended = serving => ended?,
-            stopped = told_to_stop() => stopped?,
+            stopped = stop_requested() => stopped?,
         }
         let lost = recording.finish(began.elapsed())?;
         if lost > 0 {
-            warn!(lost, "events are missing in the recording: its disk did not keep up");
+            warn!(lost, "cannot record every event because the disk does not keep up; leaving gaps");
         }
         Ok(ExitCode::SUCCESS)
     })
 }
 
-/// The key that proxies and planners share.
+/// Reads the key that proxies and planners share.
 fn read_key(settings: &Path, key_file: &Path) -> Result<Vec<u8>, CommandError> {
     let key = std::fs::read(key_file).map_err(|cause| CommandError::KeyFile {
         settings: settings.to_path_buf(),
@@ -99,19 +104,22 @@
     Ok(key)
 }
 
-fn start_in(term: u64) -> Incarnation {
+/// Returns a new incarnation of a planner in a term.
+fn incarnation_in_term(term: u64) -> Incarnation {
     Incarnation { id: rand::random::<u64>() | 1, seed: rand::random(), term }
 }
 
-/// For whoever starts it with port 0; standard output has nothing else.
-fn told_open(listener: std::net::TcpListener) -> std::io::Result<TcpListener> {
-    // Whoever started it may have gone since; that is no reason to stop.
+/// Prints the address on standard output, for the process that started this one with port 0. Nothing else is printed
+/// there, and other programs match the text.
+fn announce(listener: std::net::TcpListener) -> std::io::Result<TcpListener> {
+    // The reader of standard output may be gone, which does not stop the planner.
     let mut out = std::io::stdout();
     let _ = writeln!(out, "listening at {}", listener.local_addr()?).and_then(|()| out.flush());
     TcpListener::from_std(listener)
 }
 
-async fn plan(
+/// Serves proxies as a planner.
+async fn run_planner(
     file: &Path,
     listener: TcpListener,
     incarnation: Incarnation,
@@ -132,111 +140,110 @@
     serve_controller(listener, config, filter, observer).await.map_err(CommandError::file(file))
 }
 
-/// Lets orders out only while this controller may give them.
-struct Gate {
+/// Passes updates only while this controller holds the lease of its term.
+struct LeaderFilter {
     member: Member,
-    epoch: u64,
+    term: u64,
 }
 
-impl UpdateFilter for Gate {
+impl UpdateFilter for LeaderFilter {
     fn filter(&mut self, _: u32, update: Update) -> Option<Update> {
-        self.member.may_order(self.epoch).then_some(update)
+        self.member.may_order(self.term).then_some(update)
     }
 }
 
-/// What a controller that leads tells its member, beside what is recorded.
-struct Leading {
+/// Passes the events of a leading controller to its member and to the recording.
+struct LeaderObserver {
     member: Member,
-    epoch: u64,
-    number: u64,
-    every: Duration,
-    memory: Option<Box<Snapshot>>,
+    term: u64,
+    /// Number of the last snapshot in this term.
+    snapshot_number: u64,
+    snapshot_interval: Duration,
+    /// The snapshot that the controller starts from.
+    initial_snapshot: Option<Box<Snapshot>>,
     recording: Recording,
-    /// The zones' names, and each joined proxy's zone by its place among them.
+    /// Names of the zones.
     zones: Vec<String>,
-    at: BTreeMap<String, u16>,
+    /// Index of the zone of each joined proxy, by the proxy's name.
+    proxy_zones: BTreeMap<String, u16>,
 }
 
-impl Observer for Leading {
+impl Observer for LeaderObserver {
     fn endpoints_received(&mut self, now: Duration, list: &EndpointList) {
         self.recording.endpoints_received(now, list);
     }
     fn proxy_joined(&mut self, now: Duration, name: &str, zone: &str, initial_table_only: bool) {
         self.recording.proxy_joined(now, name, zone, initial_table_only);
         let zone = self.zones.iter().position(|z| z == zone).unwrap_or_default();
-        self.at.insert(name.into(), zone as u16);
+        self.proxy_zones.insert(name.into(), zone as u16);
     }
     fn proxy_left(&mut self, now: Duration, name: &str) {
         self.recording.proxy_left(now, name);
-        self.at.remove(name);
+        self.proxy_zones.remove(name);
     }
     fn calls_reported(&mut self, now: Duration, name: &str, routes: &[RouteLoad]) {
         self.recording.calls_reported(now, name, routes);
-        let zone = self.at.get(name).copied().unwrap_or_default();
-        for line in routes {
+        let zone = self.proxy_zones.get(name).copied().unwrap_or_default();
+        for load in routes {
             self.member.count_requests(
                 zone,
-                line.route,
-                Counts { requests: u64::from(line.calls), ..Counts::default() },
+                load.route,
+                Counts { requests: u64::from(load.calls), ..Counts::default() },
             );
         }
     }
     fn load_reported(&mut self, name: &str, servers: &[ServerLoad]) {
         let sum = |of: fn(&ServerLoad) -> u32| servers.iter().map(|load| u64::from(of(load))).sum();
-        let (tries, dropped) = (sum(|load| load.attempts), sum(|load| load.dropped));
-        let zone = self.at.get(name).copied().unwrap_or_default();
-        self.member.count_requests(
-            zone,
-            NO_ROUTE,
-            Counts { attempts: tries, unanswered: dropped, ..Counts::default() },
-        );
+        let (attempts, unanswered) = (sum(|load| load.attempts), sum(|load| load.dropped));
+        let zone = self.proxy_zones.get(name).copied().unwrap_or_default();
+        self.member.count_requests(zone, NO_ROUTE, Counts { attempts, unanswered, ..Counts::default() });
     }
     fn newer_term_seen(&mut self, term: u64) {
-        // Not from within the planner's own turn: standing down ends it.
+        // The call runs in a task of its own: stepping down ends the planner that calls this method.
         let member = self.member.clone();
         spawn_local(async move { member.term_seen(term) });
     }
     fn initial_snapshot(&mut self) -> Option<Snapshot> {
-        self.memory.take().map(|m| *m)
+        self.initial_snapshot.take().map(|snapshot| *snapshot)
     }
     fn snapshot_interval(&self) -> Option<Duration> {
-        Some(self.every)
+        Some(self.snapshot_interval)
     }
     fn site_requests(&mut self) -> Option<mpsc::UnboundedReceiver<ControllerSiteRequest>> {
         let mut requests = self.member.site_requests();
-        let (to, asks) = mpsc::unbounded_channel();
+        let (to_controller, site_requests) = mpsc::unbounded_channel();
         spawn_local(async move {
             while let Some(SiteRequest { request, response }) = requests.recv().await {
                 let query = match request {
-                    Request::Site { site, out, forced, dry_run: dry } => {
+                    Request::Site { site, out, forced, dry_run } => {
                         let order = if out { SiteOrder::TakeOut } else { SiteOrder::Restore };
-                        SiteQuery::Command { site, order, forced, dry_run: dry }
+                        SiteQuery::Command { site, order, forced, dry_run }
                     }
                     _ => SiteQuery::Show,
                 };
-                let (tell, told) = oneshot::channel();
-                if to.send(ControllerSiteRequest { query, answer: tell }).is_err() {
+                let (answer, answered) = oneshot::channel();
+                if to_controller.send(ControllerSiteRequest { query, answer }).is_err() {
                     return;
                 }
-                if let Ok(told) = told.await {
+                if let Ok(answer) = answered.await {
                     let _ = response
-                        .send(told.map_or_else(|why| Response::Rejected(why.to_string()), Response::Lines));
+                        .send(answer.map_or_else(|why| Response::Rejected(why.to_string()), Response::Lines));
                 }
             }
         });
-        Some(asks)
+        Some(site_requests)
     }
-    fn snapshot_taken(&mut self, mut memory: Snapshot) {
-        self.number += 1;
-        (memory.term, memory.number) = (self.epoch, self.number);
-        if let Err(why) = self.member.publish_snapshot(&memory) {
-            warn!(%why, "what is known cannot be kept for the next leader");
+    fn snapshot_taken(&mut self, mut snapshot: Snapshot) {
+        self.snapshot_number += 1;
+        (snapshot.term, snapshot.number) = (self.term, self.snapshot_number);
+        if let Err(why) = self.member.publish_snapshot(&snapshot) {
+            warn!(%why, "cannot publish the snapshot for the next leader; retrying with the next snapshot");
         }
     }
 }
 
-/// The work that the members share out, by their settings.
-fn fleetwork(members: &Members) -> Option<TaskSettings> {
+/// Returns the settings of the singleton tasks that the members share; `None` if there are none.
+fn task_settings(members: &Members) -> Option<TaskSettings> {
     let duties = members.duties.as_ref()?;
     let accounts = duties.accounts.as_ref();
     Some(TaskSettings {
@@ -264,76 +271,87 @@
     })
 }
 
-/// A controller among others: plans while it leads, and sends proxies on while it does not.
-async fn lead_or_follow(
+/// Starts this controller as a member of the fleet and returns its handle and its role. The member runs until `tasks` is
+/// dropped.
+async fn start_member(
     file: &Path,
-    listener: std::net::TcpListener,
-    planned: Planned,
-    members: Members,
-    key: &[u8],
-    recording: &Recording,
-) -> Result<(), CommandError> {
-    let (store, kept) = Store::open(&members.folder, fleet_id(&members.fleet))?;
-    if kept.membership.version.term == 0
-        && !kept.membership.voters.is_empty()
-        && kept.membership != crate::members::formed_membership(&members)
+    members: &Members,
+    tasks: &mut JoinSet<()>,
+) -> Result<(Member, watch::Receiver<Role>), CommandError> {
+    let (store, hard_state) = Store::open(&members.folder, fleet_id(&members.fleet))?;
+    if hard_state.membership.version.term == 0
+        && !hard_state.membership.voters.is_empty()
+        && hard_state.membership != crate::members::formed_membership(members)
     {
         let (settings, folder) = (file.to_path_buf(), members.folder.clone());
         return Err(CommandError::OtherMembers { settings, folder });
     }
-    let at = members.listen.unwrap_or(members.address);
-    let between = TcpListener::bind(at).await.map_err(|cause| CommandError::Listen {
+    let address = members.listen.unwrap_or(members.address);
+    let listener = TcpListener::bind(address).await.map_err(|cause| CommandError::Listen {
         whom: " for members",
-        address: at,
+        address,
         cause,
     })?;
-    let terms = ElectionParameters {
+    let election = ElectionParameters {
         heartbeat_interval: members.beat.0,
         lease: members.lease.0,
         clock_drift: members.drift,
     };
-    let mut tasks = JoinSet::new();
     let config = MemberConfig {
-        listener: between,
+        listener,
         name: members.name.clone(),
         store,
-        kept,
-        election: terms,
+        kept: hard_state,
+        election,
         key_file: members.key_file.clone(),
         weights_lifetime: members.weights_kept.0,
-        tasks: fleetwork(&members),
+        tasks: task_settings(members),
     };
-    let (member, mut roles) = run_member(config, &mut tasks)?;
-    drop(told_open(listener.try_clone()?)?);
+    Ok(run_member(config, tasks)?)
+}
+
+/// Runs a controller of a fleet: as a planner while it leads, and as a redirector of proxies while it follows.
+async fn run_role(
+    file: &Path,
+    listener: std::net::TcpListener,
+    planned: Planned,
+    members: Members,
+    key: &[u8],
+    recording: &Recording,
+) -> Result<(), CommandError> {
+    let mut tasks = JoinSet::new();
+    let (member, mut roles) = start_member(file, &members, &mut tasks).await?;
+    drop(announce(listener.try_clone()?)?);
     loop {
         let role = roles.borrow_and_update().clone();
-        let own = listener.try_clone().and_then(TcpListener::from_std)?;
-        let acting = async {
+        let role_listener = listener.try_clone().and_then(TcpListener::from_std)?;
+        let running = async {
             match role {
                 Role::Follower => {
-                    let known = member.clone();
-                    redirect_to_leader(own, move || known.leader()).await;
+                    let member = member.clone();
+                    redirect_to_leader(role_listener, move || member.leader()).await;
                     Ok(())
                 }
-                Role::Leader { term: epoch, snapshot: memory } => {
-                    let gate = Gate { member: member.clone(), epoch };
-                    let watch = Leading {
+                Role::Leader { term, snapshot } => {
+                    let filter = LeaderFilter { member: member.clone(), term };
+                    let observer = LeaderObserver {
                         member: member.clone(),
-                        epoch,
-                        number: 0,
-                        every: members.remember.0,
-                        memory,
+                        term,
+                        snapshot_number: 0,
+                        snapshot_interval: members.remember.0,
+                        initial_snapshot: snapshot,
                         recording: recording.clone(),
                         zones: planned.deployment.zones.clone(),
-                        at: BTreeMap::new(),
+                        proxy_zones: BTreeMap::new(),
                     };
-                    plan(file, own, start_in(epoch), &planned, key, gate, watch).await
+                    let incarnation = incarnation_in_term(term);
+                    run_planner(file, role_listener, incarnation, &planned, key, filter, observer).await
                 }
             }
         };
         tokio::select! {
-            ended = acting => return ended,
-            // A member that is not run any more would leave its proxies with a planner that may order nothing.
+            ended = running => return ended,
+            // Without its member's tasks, the planner may send no updates, and its proxies would stay with it.
             Some(ended) = tasks.join_next() => {
                 if let Err(error) = ended && error.is_panic() {
                     std::panic::resume_unwind(error.into_panic());
@@ -342,7 +360,7 @@
             }
             changed = roles.changed() => {
                 changed.map_err(|_| CommandError::MemberEnded)?;
-                info!(role = roles.borrow().name(), "changes its role");
+                info!(role = roles.borrow().name(), "changing the role");
             }
         }
     }
--- a/crates/cli/src/simulated_days.rs
+++ b/crates/cli/src/simulated_days.rs
@@ -1,4 +1,4 @@
-//! What `replay` and `experiment` share: days with values put in place, recordings fitted to them, and progress.
+//! Shared parts of `replay` and `experiment`: days with replaced values, recordings with matching days, and progress.
 
 use crate::error::CommandError;
 use crate::rehearse::BAD_DAY;
@@ -8,11 +8,11 @@
 use std::io::IsTerminal;
 use std::path::Path;
 
-/// The day of a file, or the built-in one, with another deployment and values put in place.
+/// Reads the day of a file, or the built-in one, and replaces its deployment and values.
 ///
 /// # Errors
 ///
-/// The day, the settings or a value cannot be used.
+/// Returns an error if the day, the settings or a value cannot be used.
 pub(crate) fn read_day(
     file: Option<&Path>,
     settings: Option<&Path>,
@@ -25,12 +25,12 @@
     Ok(day?)
 }
 
-/// Reads a recording for a day, and fits the variants to it: they last as long as it, without the faults that it holds
-/// itself, and within what its deployment allows.
+/// Reads a recording for a day and adapts the variants: they get the length of the recording and lose the troubles of
+/// kinds that it contains. The recorded deployment has to support the settings of each variant.
 ///
 /// # Errors
 ///
-/// The recording cannot be used, or a variant goes beyond its deployment.
+/// Returns an error if the recording cannot be used or a variant is beyond the recorded deployment.
 pub(crate) fn read_recording(
     file: &Path,
     salvage: bool,
@@ -50,7 +50,7 @@
     Ok(recorded)
 }
 
-/// The lines at the head of a report.
+/// Returns the lines at the head of a report.
 pub(crate) fn describe(day: &Day, seeds: u64, recorded: Option<&RecordedDay>) -> Vec<String> {
     let mut lines = vec![format!(
         "{}: {} servers, {} proxies, {} s, {} troubles, {seeds} seeds. Simulated: the real engine and module, \
@@ -65,12 +65,12 @@
     lines
 }
 
-/// Runs at a time: as many as asked for, or as there are cores.
+/// Returns the number of simultaneous runs: the given one, or the number of cores.
 pub(crate) fn thread_count(threads: Option<usize>) -> usize {
     threads.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, usize::from))
 }
 
-/// A bar for so many runs, where standard error is a terminal.
+/// Returns a progress bar for `runs` runs, hidden if standard error is not a terminal.
 pub(crate) fn progress_bar(runs: usize) -> ProgressBar {
     let is_shown = std::io::stderr().is_terminal();
     let bar = if is_shown { ProgressBar::new(runs as u64) } else { ProgressBar::hidden() };
--- a/crates/cli/src/site_plan.rs
+++ b/crates/cli/src/site_plan.rs
@@ -1,4 +1,4 @@
-//! What is left of a day's service without each of its sites, as text.
+//! Prints the service that remains when sites of a day are lost.
 
 use crate::error::CommandError;
 use grebespool_settings::Day;
@@ -7,27 +7,27 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Characters of a bar that stands for a full site.
+/// Length of the bar of a full site, in characters.
 const BAR_LENGTH: f64 = 40.0;
-/// Missing work a second below which nothing is missing.
+/// Missing work per second below which nothing counts as missing.
 const NEGLIGIBLE_WORK: f64 = 1e-9;
 
-/// How a plan is made and judged.
+/// Options of the plans and of their assessment.
 pub(crate) struct PlanOptions {
-    /// The part of the priority weight asked for that each site's loss must leave.
+    /// Smallest share of the requested priority weight that has to remain after the loss of a site.
     pub(crate) min_service: f64,
-    /// How full servers are filled at the most.
+    /// Largest utilization of servers.
     pub(crate) max_utilization: f64,
-    /// Whether two sites at a time are shown too.
+    /// True if the losses of two sites at a time are shown too.
     pub(crate) pairs: bool,
 }
 
-/// The sites of a day, and what is asked of them.
+/// The sites of a day with their capacity and demand.
 struct Sites {
     day: Day,
     capacities: Vec<SiteCapacity>,
     demands: Vec<RouteDemand>,
-    /// Work a second that is asked for.
+    /// Total demand, in seconds of work per second.
     demand: f64,
 }
 
@@ -44,7 +44,7 @@
         Sites { demands: demands.collect(), capacities, demand, day }
     }
 
-    /// None, each site, and each two of more than two.
+    /// Returns the losses to plan for: none, each site and, with `pairs`, each two of more than two sites.
     fn losses(&self, pairs: bool) -> Vec<BTreeSet<SiteId>> {
         let count = self.capacities.len();
         let mut losses = vec![BTreeSet::new()];
@@ -61,13 +61,14 @@
         plan_capacity(&self.capacities, &self.demands, lost, max_utilization)
     }
 
-    /// Work a second that a plan has no room for.
+    /// Returns the demand that a plan has no capacity for, in seconds of work per second.
     fn missing(&self, plan: &CapacityPlan) -> f64 {
         let placed = plan.utilization.iter().zip(&self.capacities).map(|(used, site)| used * site.capacity);
         (self.demand - placed.sum::<f64>()).max(0.0)
     }
 
-    /// The error, with names in place of the sites' numbers.
+    /// Returns the text of an error with the names of the sites in place of their numbers.
+    // The text of `PlanError` (site-failover) has to contain `site N ` for this.
     fn with_names(&self, error: &PlanError) -> String {
         let zones = self.day.deployment.zones.iter().enumerate();
         zones.fold(error.to_string(), |text, (site, name)| {
@@ -76,7 +77,7 @@
     }
 }
 
-/// What a zone's servers can do, and what each route asks there, both in work a second.
+/// Returns the capacity of a zone's servers and the demand of each route there, in seconds of work per second.
 fn site_capacity(day: &Day, zone: &str) -> SiteCapacity {
     let servers = day.servers.iter().filter(|server| server.zone == zone);
     let capacity = servers.map(|server| (server.count * server.cores) as f64 * server.speed).sum();
@@ -87,11 +88,11 @@
     SiteCapacity { capacity, demand }
 }
 
-/// Prints the plan of each loss. Exit code 1 where the loss of one site leaves less than the least service.
+/// Prints the plan of each loss. Returns exit code 1 if the loss of one site leaves less than the smallest service.
 ///
 /// # Errors
 ///
-/// The file is no day, or a site has no capacity.
+/// Returns an error if the file is not a day or a site has no capacity.
 pub(crate) fn print_plans(
     file: &Path,
     options: &PlanOptions,
--- a/crates/cli/src/sites.rs
+++ b/crates/cli/src/sites.rs
@@ -1,4 +1,4 @@
-//! `sites`: what the loss of each site would mean, and taking sites out of service.
+//! `sites`: plans for the loss of sites, and takes sites out of service.
 
 use crate::error::CommandError;
 use crate::members::{read_members, send_to_leader};
@@ -10,24 +10,24 @@
 
 #[derive(Subcommand)]
 pub(crate) enum SitesCommand {
-    /// Say for each site, and each two, what is left without it and what is throttled; exit 1: below the stated service
+    /// Show for each site, and each two, what is left without it and what is throttled; exit 1: below the stated service
     Plan {
-        /// A day file: its servers and callers tell what there is and what is asked
+        /// A day file: its servers and callers state the capacity and the demand
         day: PathBuf,
-        /// Importance let in over importance asked for that each site's loss must leave
+        /// Share of the requested importance that has to be let in after the loss of any site
         #[arg(long, default_value_t = 0.9, value_name = "PART")]
         service: f64,
-        /// How full servers are to be filled at the most
+        /// Largest utilization of servers
         #[arg(long, default_value_t = 0.9, value_name = "PART")]
         fill: f64,
-        /// Two sites at a time, too; they do not count for the exit code
+        /// Show two sites at a time, too; they do not count for the exit code
         #[arg(long)]
         pairs: bool,
-        /// A value put in place of the day's: deployment.routes=[...]
+        /// A value that replaces the day's: deployment.routes=[...]
         #[arg(long, value_name = "PATH=VALUE")]
         set: Vec<String>,
     },
-    /// Say what stands of each site; asked of the leader of several controllers
+    /// Show the state of each site; sent to the leader of several controllers
     Show { settings: PathBuf },
     /// Take a site out, for a drill or a repair; refused where that would throttle anything, unless forced
     Out {
@@ -35,11 +35,11 @@
         name: String,
         #[arg(long)]
         force: bool,
-        /// Only say what it would do
+        /// Only show what would be done
         #[arg(long)]
         dry_run: bool,
     },
-    /// Let a site that was taken out return by steps
+    /// Return a site that was taken out, in steps
     Back {
         settings: PathBuf,
         name: String,
@@ -52,7 +52,8 @@
 ///
 /// # Errors
 ///
-/// The day or the settings cannot be used, an argument is out of range, or the leader does not do what was asked.
+/// Returns an error if the day or the settings cannot be used, an argument is out of range or the leader rejects the
+/// request.
 pub(crate) fn sites(command: SitesCommand) -> Result<ExitCode, CommandError> {
     let (settings, request) = match command {
         SitesCommand::Plan { day, service, fill, pairs, set } => {
--- a/crates/cli/src/trace.rs
+++ b/crates/cli/src/trace.rs
@@ -1,4 +1,4 @@
-//! `trace`: recordings of days.
+//! `trace`: summarizes, cuts, merges and imports recordings of days.
 
 use crate::error::CommandError;
 use clap::{Args, Subcommand, ValueEnum};
@@ -10,14 +10,14 @@
 
 #[derive(Subcommand)]
 pub(crate) enum TraceCommand {
-    /// What a recording holds, in figures
+    /// Show what a recording holds, in figures
     Show {
         file: PathBuf,
         /// Read on after damaged blocks
         #[arg(long)]
         salvage: bool,
     },
-    /// Write a part of a recording as one of its own, with what was in force before
+    /// Write a part of a recording as a recording, with the state before the part
     Cut {
         file: PathBuf,
         to: PathBuf,
@@ -67,7 +67,7 @@
     /// That field's unit
     #[arg(long, value_enum, default_value = "ms")]
     unit: Unit,
-    /// The field with the route's name, or its place
+    /// The field with the route's name or index
     #[arg(long)]
     route: String,
     /// The routes in the settings' order with their importance: read=1,pay=3
@@ -85,12 +85,12 @@
     /// The field that is true or above 0 for a client's repeats
     #[arg(long)]
     repeat: Option<String>,
-    /// Put hashes keyed by this file's bytes in place of keys and clients
+    /// Replace keys and clients by hashes keyed by this file's bytes
     #[arg(long, value_name = "KEY_FILE")]
     cloak: Option<PathBuf>,
 }
 
-/// A silence that is reported, in microseconds.
+/// Shortest time without events that is reported, in microseconds.
 const MIN_SILENCE_REPORTED_US: u64 = 5_000_000;
 const US_PER_S: f64 = 1e6;
 const US_PER_MS: f64 = 1e3;
@@ -108,14 +108,14 @@
     if seconds.is_finite() && seconds >= 0.0 {
         return Ok((seconds * US_PER_S) as u64);
     }
-    Err(CommandError::Usage(format!("{seconds} is no time in a recording")))
+    Err(CommandError::Usage(format!("{seconds} is not a time in a recording; expected seconds from 0")))
 }
 
 /// Runs the command.
 ///
 /// # Errors
 ///
-/// A recording or a log cannot be used, or the new one cannot be written.
+/// Returns an error if a recording or a log cannot be read, or if the new recording cannot be written.
 pub(crate) fn trace(command: TraceCommand) -> Result<ExitCode, CommandError> {
     match command {
         TraceCommand::Show { file, salvage } => show(&file, salvage)?,
@@ -147,8 +147,8 @@
         let shift_us = shift_ms.get(position).copied().unwrap_or(0.0) * US_PER_MS;
         parts.push((open(file, false)?, shift_us as i64));
     }
-    let (count, doubled) = merge(parts, create(to)?).map_err(CommandError::Merge)?;
-    println!("{}: {count} events; {doubled} calls were in two recordings", to.display());
+    let (count, duplicates) = merge(parts, create(to)?).map_err(CommandError::Merge)?;
+    println!("{}: {count} events; {duplicates} calls were in two recordings", to.display());
     Ok(())
 }
 
@@ -202,11 +202,12 @@
     }
 }
 
-/// A route's name and its priority weight, from `NAME=WEIGHT`.
+/// Parses a route's name and priority weight from `NAME=WEIGHT`. The weight is 1 if it is left out.
 fn parse_route(text: &str) -> Result<(String, f32), CommandError> {
     let (name, weight) = text.split_once('=').unwrap_or((text, "1"));
-    let weight =
-        weight.parse().map_err(|_| CommandError::argument(format!("--routes {text:?}"), "no importance"))?;
+    let weight = weight
+        .parse()
+        .map_err(|_| CommandError::argument(format!("--routes {text:?}"), "expected NAME=IMPORTANCE"))?;
     Ok((name.to_string(), weight))
 }
 
--- a/crates/cli/tests/command.rs
+++ b/crates/cli/tests/command.rs
@@ -1,7 +1,6 @@
-//! The command line as it is called: exit codes, what is printed where.
+//! The program as a process: exit codes, standard output and standard error.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake};
 use grebespool_wire::{FleetKey, Message, ProxyReport, Role, RouteLoad};
@@ -38,13 +37,13 @@
 #[case::no_such_day(&["rehearse", "no-such-day.ncl"], 2)]
 #[case::no_such_settings(&["serve", "no-such.ncl"], 2)]
 #[case::a_filter_that_is_none(&["--log", "=,=", "settings", "check", "examples/serve.ncl"], 2)]
-fn exit_codes(#[case] arguments: &[&str], #[case] code: i32) {
+fn a_command_ends_with_its_exit_code(#[case] arguments: &[&str], #[case] code: i32) {
     let output = run(arguments);
     assert_eq!(output.status.code(), Some(code), "{}", String::from_utf8_lossy(&output.stderr));
-    assert_eq!(code == 2, output.stdout.is_empty(), "bad input is told on standard error alone");
+    assert_eq!(code == 2, output.stdout.is_empty(), "bad input prints to standard error only");
 }
 
-/// A short day with a deploy; `grace` says how long proxies may go on sending to what drains.
+/// Returns a short day with a deploy. `grace` is the time for which proxies may send requests to draining servers.
 fn short_day(grace: &str) -> String {
     let small = include_str!("../../emulator/tests/small.ncl");
     let slow =
@@ -58,20 +57,20 @@
 #[rstest]
 #[case::kept("2500ms", 0, "3 drains kept within the grace: kept")]
 #[case::broken("50ms", 1, "3 drains kept within the grace: BROKEN")]
-fn a_rehearsal_with_the_planner_as_a_process_tells_by_its_exit_code(
+fn a_rehearsal_reports_a_broken_rule_by_its_exit_code(
     #[case] grace: &str,
     #[case] code: i32,
-    #[case] says: &str,
+    #[case] expected: &str,
 ) {
     let (_folder, file) = written("day.ncl", &short_day(grace));
     let output = run(&["rehearse", &file]);
     let text = String::from_utf8_lossy(&output.stdout);
-    assert!(text.contains(says), "{text}\n{}", String::from_utf8_lossy(&output.stderr));
+    assert!(text.contains(expected), "{text}\n{}", String::from_utf8_lossy(&output.stderr));
     assert_eq!(output.status.code(), Some(code));
 }
 
 #[rstest]
-fn a_short_key_is_refused() {
+fn a_short_key_is_rejected() {
     let text =
         std::fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/serve.ncl"));
     let (folder, file) = written("serve.ncl", &text.unwrap());
@@ -82,7 +81,7 @@
 }
 
 #[rstest]
-fn a_log_becomes_a_recording_that_can_be_shown_and_replayed() {
+fn an_imported_log_can_be_shown_and_replayed() {
     let log = "ts,what,host,client\n0,read,a,1\n400,save,b,2\n900,read,a,1\n";
     let (folder, csv) = written("log.csv", log);
     let trace = folder.path().join("day.trace").display().to_string();
@@ -101,7 +100,7 @@
 
 const SERVE: &str = include_str!("../../../examples/serve.ncl");
 
-/// A planner as a process, told to record; gives its address.
+/// Starts a planner as a process that records, and returns the process and its address.
 fn recording_planner(folder: &Path, arguments: &[&str]) -> (Child, String) {
     let settings = folder.join("serve.ncl");
     std::fs::write(&settings, SERVE.replace("127.0.0.1:7401", "127.0.0.1:1")).unwrap();
@@ -120,7 +119,7 @@
 
 const KEY: &[u8] = b"the key of a recorded planner";
 
-/// Joins, tells that seven calls came, stays a little, and leaves.
+/// Joins, reports seven requests, stays for 300 ms and leaves.
 async fn visit(to: &str, name: &str, zone: &str) {
     let mut socket = TcpStream::connect(to).await.unwrap();
     let peer = Dialer {
@@ -140,7 +139,7 @@
 }
 
 #[rstest]
-fn a_running_planner_records_what_it_hears_and_that_can_be_replayed() {
+fn a_recording_of_a_running_planner_can_be_replayed() {
     let folder = tempfile::tempdir().unwrap();
     let (mut planner, address) = recording_planner(folder.path(), &["--record", "day.trace"]);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
@@ -155,7 +154,7 @@
     let text = String::from_utf8_lossy(&shown.stdout);
     assert!(text.contains("2 proxies, 2 joins, 2 leaves"), "{text}");
     assert!(text.contains("14 calls told as counts") && text.contains("whole"), "{text}");
-    // The site's own settings hold for what is replayed: the bad day has other routes and zones alike.
+    // Variants are checked against the recorded deployment, not the day's: both have the same zones, but other routes.
     let replayed = run(&["replay", &trace, "--seeds", "1", "--set", "deployment.channel.most_waiting=18001"]);
     let text = String::from_utf8_lossy(&replayed.stderr);
     assert!(text.contains("channel.most_waiting: 18001 is beyond"), "{text}");
@@ -171,7 +170,7 @@
 }
 
 #[rstest]
-fn a_recording_is_never_written_over_another() {
+fn a_recording_does_not_overwrite_an_existing_file() {
     let folder = tempfile::tempdir().unwrap();
     std::fs::write(folder.path().join("day.trace"), "kept").unwrap();
     let (mut planner, _) = recording_planner(folder.path(), &["--record", "day.trace"]);
@@ -180,7 +179,7 @@
 }
 
 #[rstest]
-fn a_sweep_is_run_reported_and_gone_on_with() {
+fn a_sweep_is_reported_and_reuses_its_runs() {
     let text = r#"{ name = "small", days = [{ name = "calm", set = ["length=\"3s\"", "troubles=[]"] }],
         variants = [{ name = "as it is" }, { name = "slow reports", set = ["deployment.reports.cycle=\"2s\""] }],
         seeds = 2 }"#;
@@ -195,7 +194,7 @@
 }
 
 #[rstest]
-fn a_day_on_sockets_and_in_the_model_comes_to_about_the_same() {
+fn a_day_on_sockets_and_in_the_model_gives_similar_results() {
     let small = include_str!("../../emulator/tests/small.ncl");
     let text = format!("({small}) & {{ troubles = [] }}").replace("length = \"11s\"", "length = \"5s\"");
     let (_folder, file) = written("day.ncl", &text);
@@ -217,9 +216,12 @@
 #[case::no_such_field(&["replay", "--set", "deployment.colour=1"], "colour")]
 #[case::no_seed(&["replay", "--seeds", "0"], "at least one")]
 #[case::a_part_that_is_none(&["trace", "cut", "Cargo.toml", "x", "--from", "5", "--until", "2"], "not before")]
-fn bad_recordings_and_variants_are_named(#[case] arguments: &[&str], #[case] says: &str) {
+fn invalid_recordings_and_variants_are_rejected_with_the_reason(
+    #[case] arguments: &[&str],
+    #[case] expected: &str,
+) {
     let output = run(arguments);
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8_lossy(&output.stderr);
-    assert!(text.contains(says), "{text}");
+    assert!(text.contains(expected), "{text}");
 }
--- a/crates/cli/tests/fleet/editions.rs
+++ b/crates/cli/tests/fleet/editions.rs
@@ -1,5 +1,5 @@
-//! Editions agreed on by three controllers as processes, while these are killed, stopped and run on. What each acts by is
-//! asked all the time over its own streams, and what they answered is checked.
+//! Configuration versions (editions) that three controllers as processes agree on, while the processes are killed, stopped
+//! and continued. Each controller is asked constantly for the version that it acts by, and the answers are checked.
 
 use crate::helpers::Fleet;
 use grebespool_cluster::transport::{AuthenticatedStream, Identity, Packet};
@@ -19,30 +19,30 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// One answer: whose, when it was asked for and when it came, and what it said.
+/// An answer of a member, with the times of the question and of the answer.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct Observation {
     member: usize,
     asked: Instant,
-    came: Instant,
-    acts: ActiveVersions,
+    answered: Instant,
+    active: ActiveVersions,
 }
 
-/// Once somebody acts by an edition alone, nobody acts by editions before it alone any more. What was asked after that
-/// answer had come was surely said later, whatever lay in buffers.
-fn contradictions(seen: &[Seen]) -> Vec<(Seen, Seen)> {
-    let mut by_came: Vec<&Seen> =
-        seen.iter().filter(|s| matches!(s.acts, ActiveVersions::Single(_))).collect();
-    by_came.sort_by_key(|s| s.came);
+/// Returns the pairs of answers that break the invariant: once a member acts by one version alone, no member acts by
+/// older versions only. A question sent after an answer arrived is certainly answered later, whatever buffers held.
+fn contradictions(observations: &[Observation]) -> Vec<(Observation, Observation)> {
+    let mut by_answer: Vec<&Observation> =
+        observations.iter().filter(|s| matches!(s.active, ActiveVersions::Single(_))).collect();
+    by_answer.sort_by_key(|s| s.answered);
     let mut found = vec![];
-    for later in seen {
-        let highest = match later.acts {
+    for later in observations {
+        let highest = match later.active {
             ActiveVersions::Single(n) | ActiveVersions::Joint(_, n) => n,
             ActiveVersions::Unleased => continue,
         };
-        let before = by_came.partition_point(|s| s.came < later.asked);
-        let alone = |s: &&&Seen| matches!(s.acts, ActiveVersions::Single(n) if n > highest);
-        found.extend(by_came[..before].iter().rev().find(alone).map(|first| (**first, *later)));
+        let before = by_answer.partition_point(|s| s.answered < later.asked);
+        let alone = |s: &&&Observation| matches!(s.active, ActiveVersions::Single(n) if n > highest);
+        found.extend(by_answer[..before].iter().rev().find(alone).map(|first| (**first, *later)));
     }
     found
 }
@@ -63,45 +63,46 @@
     }
 }
 
-/// Asks one member all the time, and has it propose now and then, on a thread of its own.
+/// Asks all members constantly and lets them propose changes, on two threads for each member.
 struct Watcher {
-    seen: Arc<Mutex<Vec<Seen>>>,
+    observations: Arc<Mutex<Vec<Observation>>>,
     stop: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Watcher {
     fn on(fleet: &Fleet) -> Watcher {
-        let (seen, stop) = (Arc::new(Mutex::new(vec![])), Arc::new(AtomicBool::new(false)));
+        let (observations, stop) = (Arc::new(Mutex::new(vec![])), Arc::new(AtomicBool::new(false)));
         let key_file = fleet.folder.path().join("members.key");
         let threads = (0..fleet.running.len()).flat_map(|member| {
             let address: SocketAddr = format!("127.0.0.1:{}", fleet.ports[2 * member + 1]).parse().unwrap();
             [false, true].map(|proposes| {
-                let of = (seen.clone(), stop.clone(), key_file.clone());
+                let of = (observations.clone(), stop.clone(), key_file.clone());
                 std::thread::spawn(move || watch(member, address, proposes, &of.0, &of.1, &of.2))
             })
         });
         let threads = threads.collect();
-        Watcher { seen, stop, threads }
+        Watcher { observations, stop, threads }
     }
 
     fn newest(&self) -> u64 {
-        let alone = |s: &Seen| if let ActiveVersions::Single(n) = s.acts { n } else { 0 };
-        self.seen.lock().unwrap().iter().map(alone).max().unwrap_or_default()
+        let alone = |s: &Observation| if let ActiveVersions::Single(n) = s.active { n } else { 0 };
+        self.observations.lock().unwrap().iter().map(alone).max().unwrap_or_default()
     }
 
-    /// Until all act by an edition of at least this number alone.
+    /// Waits until all members act by one version of at least this number alone.
     fn until_agreed(&self, least: u64, members: usize) {
         let began = Instant::now();
         loop {
             let since = Instant::now();
             std::thread::sleep(MS(150));
-            let seen = self.seen.lock().unwrap();
+            let observations = self.observations.lock().unwrap();
             let agrees = |m: usize| {
-                seen.iter()
+                observations
+                    .iter()
                     .rev()
                     .take_while(|s| s.asked > since)
-                    .any(|s| s.member == m && matches!(s.acts, ActiveVersions::Single(n) if n >= least))
+                    .any(|s| s.member == m && matches!(s.active, ActiveVersions::Single(n) if n >= least))
             };
             if (0..members).all(agrees) {
                 return;
@@ -109,17 +110,17 @@
             assert!(
                 began.elapsed() < Duration::from_secs(20),
                 "not all act by edition {least}: {:?}",
-                seen.last()
+                observations.last()
             );
         }
     }
 
-    fn end(mut self) -> Vec<Seen> {
+    fn end(mut self) -> Vec<Observation> {
         self.stop.store(true, Ordering::Relaxed);
         for thread in self.threads.drain(..) {
             thread.join().unwrap();
         }
-        self.seen.lock().unwrap().clone()
+        self.observations.lock().unwrap().clone()
     }
 }
 
@@ -127,7 +128,7 @@
     member: usize,
     address: SocketAddr,
     proposes: bool,
-    seen: &Mutex<Vec<Seen>>,
+    observations: &Mutex<Vec<Observation>>,
     stop: &AtomicBool,
     key_file: &Path,
 ) {
@@ -154,13 +155,18 @@
                     continue;
                 }
                 let asked = Instant::now();
-                // One that is stopped answers when it runs on: that is what is to be seen.
+                // The timeout is long, because the answer of a stopped member after its continuation matters most.
                 let Ok(Ok(Response::Configuration(shown))) =
                     timeout(MS(8000), ask(&mut sealed, Request::ShowConfiguration)).await
                 else {
                     break;
                 };
-                seen.lock().unwrap().push(Seen { member, asked, came: Instant::now(), acts: shown.active });
+                observations.lock().unwrap().push(Observation {
+                    member,
+                    asked,
+                    answered: Instant::now(),
+                    active: shown.active,
+                });
                 tokio::time::sleep(MS(4)).await;
             }
         }
@@ -180,13 +186,13 @@
 ]"#;
 
 #[rstest]
-fn editions_are_proposed_shown_and_refused_with_place_and_cause() {
+fn editions_are_proposed_shown_and_rejected_with_place_and_cause() {
     let mut fleet = Fleet::new(3);
     fleet.form_three();
     fleet.leader(&[0, 1, 2]);
     write(&fleet, "racks.json", RACKS);
-    fleet.done(&["editions", "propose", "m1.ncl", "racks.json"], "edition 1 holds");
-    for (text, force, says) in [
+    fleet.run_until_ok(&["editions", "propose", "m1.ncl", "racks.json"], "edition 1 holds");
+    for (text, force, expected) in [
         (
             "[{\"limit\": [\"power.reserve\", {\"mist\": 3}]}]",
             false,
@@ -213,17 +219,18 @@
         write(&fleet, "bad.json", text);
         let mut arguments = vec!["editions", "propose", "m2.ncl", "bad.json"];
         arguments.extend(force.then_some("--force"));
-        let (code, told) = fleet.run(&arguments);
-        assert!(code == Some(2) && told.contains(says), "{text}: {told}");
+        let (code, output) = fleet.run(&arguments);
+        assert!(code == Some(2) && output.contains(expected), "{text}: {output}");
     }
     write(&fleet, "drain.json", "[{\"state\": [\"s0\", \"draining\"]}]");
-    fleet.done(&["editions", "propose", "m0.ncl", "drain.json", "--force"], "edition 2 holds");
+    fleet.run_until_ok(&["editions", "propose", "m0.ncl", "drain.json", "--force"], "edition 2 holds");
     for member in ["m0.ncl", "m1.ncl", "m2.ncl"] {
-        fleet.done(&["editions", "show", member], "standing: edition 2");
-        fleet.done(&["editions", "show", member], "2 servers of which 1 are ready");
+        fleet.run_until_ok(&["editions", "show", member], "standing: edition 2");
+        fleet.run_until_ok(&["editions", "show", member], "2 servers of which 1 are ready");
     }
 }
 
+/// Kills or stops members at random, for a while.
 fn fault(fleet: &mut Fleet, rng: &mut Pcg64Mcg) {
     let convener = (0..3).find_map(|i| {
         let (_, text) = fleet.run(&["editions", "show", &format!("m{i}.ncl")]);
@@ -234,7 +241,7 @@
     let kill = |fleet: &mut Fleet, i: usize| {
         fleet.running[i].take().map(|mut c| (c.kill(), c.wait())).unwrap().1.unwrap();
     };
-    // Past three leases of 0.9 s.
+    // Spans of 2900 ms are longer than three leases of 900 ms.
     let stop = |fleet: &Fleet, i: usize, span: u64| {
         fleet.signal(i, "-STOP");
         std::thread::sleep(MS(span));
@@ -268,7 +275,7 @@
     }
 }
 
-/// Six faults in a test run; `FAULTS` plays more, as a measurement (docs/measurements.md).
+/// Plays six faults in a test run; the variable `FAULTS` sets another number for measurements (docs/measurements.md).
 #[rstest]
 fn no_two_members_contradict_each_other_through_kills_and_stops() {
     let faults = std::env::var("FAULTS").ok().and_then(|n| n.parse().ok()).unwrap_or(6);
@@ -284,31 +291,38 @@
     let least = watcher.newest() + 3;
     watcher.until_agreed(least, 3);
     let editions = watcher.newest();
-    let seen = watcher.end();
-    let found = contradictions(&seen);
-    println!("faults {faults}, editions {editions}, answers {}, contradictions {}", seen.len(), found.len());
+    let observations = watcher.end();
+    let found = contradictions(&observations);
+    println!(
+        "faults {faults}, editions {editions}, answers {}, contradictions {}",
+        observations.len(),
+        found.len()
+    );
     assert!(found.is_empty(), "{} contradictions: {:?}", found.len(), found[0]);
-    assert!(seen.iter().any(|s| s.acts == ActiveVersions::Unleased), "nobody was ever without a lease");
+    assert!(
+        observations.iter().any(|s| s.active == ActiveVersions::Unleased),
+        "no member was ever without a lease"
+    );
 }
 
-/// What the checker is for: each of these has one that acts by the new edition alone too early, or goes on with the old.
+/// The checker finds a member that acts by the new version alone too early, or that continues with the old one.
 #[rstest]
 #[case::goes_on_with_the_old(&[(0, 0, 1, ActiveVersions::Single(1)), (1, 2, 3, ActiveVersions::Single(2)), (0, 4, 5, ActiveVersions::Single(1))], 1)]
 #[case::still_the_stricter_of_older_ones(&[(1, 2, 3, ActiveVersions::Single(3)), (0, 4, 5, ActiveVersions::Joint(1, 2))], 1)]
 #[case::in_a_buffer_since_before(&[(0, 0, 9, ActiveVersions::Single(1)), (1, 2, 3, ActiveVersions::Single(2))], 0)]
 #[case::the_stricter_of_both(&[(1, 2, 3, ActiveVersions::Single(2)), (0, 4, 5, ActiveVersions::Joint(1, 2))], 0)]
 #[case::without_a_lease(&[(1, 2, 3, ActiveVersions::Single(2)), (0, 4, 5, ActiveVersions::Unleased)], 0)]
-fn the_checker_finds_what_it_is_for(
-    #[case] told: &[(usize, u64, u64, ActiveVersions)],
+fn the_checker_finds_contradictions(
+    #[case] answers: &[(usize, u64, u64, ActiveVersions)],
     #[case] count: usize,
 ) {
     let began = Instant::now();
-    let seen = |t: &(usize, u64, u64, ActiveVersions)| Seen {
+    let observations = |t: &(usize, u64, u64, ActiveVersions)| Observation {
         member: t.0,
         asked: began + MS(t.1),
-        came: began + MS(t.2),
-        acts: t.3,
+        answered: began + MS(t.2),
+        active: t.3,
     };
-    let seen: Vec<Seen> = told.iter().map(seen).collect();
-    assert_eq!(contradictions(&seen).len(), count);
+    let observations: Vec<Observation> = answers.iter().map(observations).collect();
+    assert_eq!(contradictions(&observations).len(), count);
 }
--- a/crates/cli/tests/fleet/helpers.rs
+++ b/crates/cli/tests/fleet/helpers.rs
@@ -1,4 +1,4 @@
-//! Controllers that are processes, and how they are driven.
+//! A fleet of controllers that run as processes.
 
 use grebespool_cluster::audit_accounts;
 use grebespool_emulator::free_ports;
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-/// Controllers that are driven by the command line alone.
+/// Controllers that are controlled through the command line only.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     pub ports: Vec<u16>,
@@ -23,8 +23,8 @@
         Fleet { folder, ports, running: (0..members).map(|_| None).collect() }
     }
 
-    /// `peers`: the others that it names.
-    pub fn settle(&self, i: usize, peers: &[usize]) {
+    /// Writes the settings of a member, with `peers` as the other members.
+    pub fn write_settings(&self, i: usize, peers: &[usize]) {
         let serve =
             include_str!("../../../../examples/serve.ncl").replace("7400", &self.ports[2 * i].to_string());
         let peer =
@@ -66,17 +66,17 @@
         self.running[i] = Some(child);
     }
 
-    /// Makes the state of the first three, and starts them.
+    /// Forms a fleet of the first three members and starts them.
     pub fn form_three(&mut self) {
         for i in 0..3 {
             let others: Vec<usize> = (0..3).filter(|o| *o != i).collect();
-            self.settle(i, &others);
-            self.done(&["members", "form", &format!("m{i}.ncl")], "3 members");
+            self.write_settings(i, &others);
+            self.run_until_ok(&["members", "form", &format!("m{i}.ncl")], "3 members");
             self.start(i);
         }
     }
 
-    /// Who leads, once one of these says so.
+    /// Waits until one of these members reports that it leads, and returns it.
     pub fn leader(&self, among: &[usize]) -> usize {
         for _ in 0..60 {
             for i in among {
@@ -86,10 +86,11 @@
                 }
             }
         }
-        panic!("nobody leads");
+        panic!("no member of {among:?} leads");
     }
 
-    /// Who has the accounts, once it is another than these; asked of members in turn, since one may be stopped.
+    /// Waits until the accounts have an owner other than `but`, and returns it. Asks the members in turn, because one may
+    /// be stopped.
     pub fn owner(&self, asked: &[usize], but: &[usize]) -> usize {
         for _ in 0..80 {
             for i in asked {
@@ -101,7 +102,7 @@
             }
             std::thread::sleep(Duration::from_millis(50));
         }
-        panic!("nobody has the accounts but {but:?}");
+        panic!("the accounts have no owner other than {but:?}");
     }
 
     pub fn signal(&self, i: usize, name: &str) {
@@ -109,14 +110,14 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Each step of the accounts once, none by a former owner, none left out; how many there are.
+    /// Checks that each step of the accounts took place once, by its present owner, and returns the number of steps.
     pub fn steps(&self) -> usize {
         let found = audit_accounts(&self.folder.path().join("accounts")).unwrap();
         assert_eq!((found.duplicates, found.by_stale_holders, found.missing), (0, 0, 0), "{found:?}");
         found.steps
     }
 
-    pub fn steps_beyond(&self, least: usize) -> usize {
+    pub fn wait_for_steps_beyond(&self, least: usize) -> usize {
         for _ in 0..100 {
             std::thread::sleep(Duration::from_millis(50));
             if self.folder.path().join("accounts").exists() && self.steps() > least {
@@ -126,13 +127,13 @@
         panic!("no more than {least} steps");
     }
 
-    /// Tries until what is asked is done: the leader may be under way to know that a majority has the last change.
-    pub fn done(&self, arguments: &[&str], says: &str) {
+    /// Repeats a command until it succeeds, because the leader may still wait for a majority to have the last change.
+    pub fn run_until_ok(&self, arguments: &[&str], expected: &str) {
         let mut last = String::new();
         for _ in 0..20 {
             let (code, text) = self.run(arguments);
             if code == Some(0) {
-                assert!(text.contains(says), "{text}");
+                assert!(text.contains(expected), "{text}");
                 return;
             }
             last = text;
