--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -79,7 +79,7 @@
     let next = when(&|p| matches!(p, Passed::Delivered { orders, .. } if Some(orders.term) == newest));
     let resumed = when(&|p| matches!(p, Passed::PlannerResumed));
     assert!(resumed.is_none_or(|at| next < Some(at)), "{next:?} {resumed:?}");
-    // Each leader is a planner with an incarnation of its own.
+    // Each leader is a planner with its own incarnation, which continues with what the fleet has learned of servers.
     let starts: BTreeSet<u64> = (played.record.passed.iter())
         .filter_map(|(_, p)| if let Passed::Joined { start, .. } = p { Some(*start) } else { None })
         .collect();
