--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -4,7 +4,7 @@
 use crate::helpers::Fleet;
 use grebespool_cluster::audit_accounts;
 use grebespool_emulator::{FleetHost, Played, rehearse};
-use grebespool_invariants::{Passed, Record};
+use grebespool_invariants::{Event, Record};
 use grebespool_settings::Day;
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,7 +37,7 @@
 fn epochs(record: &Record) -> (BTreeSet<u64>, usize) {
     let (mut seen, mut newest, mut older) = (BTreeSet::new(), BTreeMap::<u16, u64>::new(), 0);
     for (_, passed) in &record.passed {
-        if let Passed::Delivered { proxy, orders } = passed {
+        if let Event::Delivered { proxy, orders } = passed {
             seen.insert(orders.term);
             let last = newest.entry(*proxy).or_default();
             older += usize::from(orders.term < *last);
@@ -74,14 +74,14 @@
     assert!(epochs.len() >= 2, "nobody took over: {epochs:?}");
     assert_eq!(older, 0, "orders of a former leader came after a newer one's");
     // A leader that hangs with its streams open is not waited for.
-    let when = |of: &dyn Fn(&Passed) -> bool| played.record.passed.iter().find(|(_, p)| of(p)).map(|p| p.0);
+    let when = |of: &dyn Fn(&Event) -> bool| played.record.passed.iter().find(|(_, p)| of(p)).map(|p| p.0);
     let newest = epochs.last().copied();
-    let next = when(&|p| matches!(p, Passed::Delivered { orders, .. } if Some(orders.term) == newest));
-    let resumed = when(&|p| matches!(p, Passed::PlannerResumed));
+    let next = when(&|p| matches!(p, Event::Delivered { orders, .. } if Some(orders.term) == newest));
+    let resumed = when(&|p| matches!(p, Event::PlannerResumed));
     assert!(resumed.is_none_or(|at| next < Some(at)), "{next:?} {resumed:?}");
     // Not from the beginning: what was learnt of servers goes on.
     let starts: BTreeSet<u64> = (played.record.passed.iter())
-        .filter_map(|(_, p)| if let Passed::Joined { start, .. } = p { Some(*start) } else { None })
+        .filter_map(|(_, p)| if let Event::Joined { start, .. } = p { Some(*start) } else { None })
         .collect();
     assert_eq!(starts.len(), epochs.len(), "each leader is a planner of its own");
 }
--- a/crates/emulator/src/callers.rs
+++ b/crates/emulator/src/callers.rs
@@ -3,7 +3,7 @@
 use crate::proxy::Proxy;
 use crate::world::World;
 use grebespool_controller_server::dial::read_message;
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_settings::CallerKind;
 use grebespool_wire::{Call, CallOutcome, FrameDecoder, MAX_BODY_BYTES, Message, Response};
 use rand::{Rng, SeedableRng};
@@ -104,7 +104,7 @@
         let work_us = self.kind.work.0.as_micros() as u32;
         let mut way = self.way();
         let proxy = self.ways[way].proxy;
-        self.world.put_at(due, Passed::Asked { id, route, zone, key, work_us, proxy });
+        self.world.put_at(due, Event::Asked { id, route, zone, key, work_us, proxy });
         let mut outcome = CallOutcome::Failed;
         for attempt in 0..self.kind.attempts {
             let left = limit.saturating_sub(self.world.now() - due);
@@ -129,7 +129,7 @@
             sleep(wait).await;
             way = self.way();
         }
-        self.world.put(Passed::Done { id, route, outcome });
+        self.world.put(Event::Done { id, route, outcome });
         self.open.set(self.open.get() - 1);
     }
 
--- a/crates/emulator/src/link.rs
+++ b/crates/emulator/src/link.rs
@@ -1,7 +1,7 @@
 //! The way between one proxy and the planner: delays, slows, holds, breaks, and records what passes.
 
 use crate::world::World;
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_wire::{Challenge, FrameDecoder, MAX_BODY_BYTES, Message, UpdateAck, Welcome};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -228,7 +228,7 @@
                 match &message {
                     Message::Welcome(Welcome { .. }) => {
                         welcomed.set(true);
-                        self.world.put(Passed::Joined { proxy: self.proxy, start: start.get() });
+                        self.world.put(Event::Joined { proxy: self.proxy, start: start.get() });
                     }
                     _ => self.world.record.borrow_mut().delivered(now, self.proxy, &message),
                 }
--- a/crates/emulator/src/list.rs
+++ b/crates/emulator/src/list.rs
@@ -2,7 +2,7 @@
 
 use crate::world::World;
 use grebespool_controller_server::dial::read_message;
-use grebespool_invariants::{List, Passed};
+use grebespool_invariants::{Event, List};
 use grebespool_wire::{
     Challenge, Close, CloseReason, EndpointEntry, EndpointList, EndpointPoll, EndpointPollFailed,
     EndpointState, FrameDecoder, Hello, Join, MAX_BODY_BYTES, Message, PROTOCOL_VERSION, ServerId,
@@ -145,7 +145,7 @@
                 if let Message::EndpointList(EndpointList { version, base_version: base, now_ms, entries }) =
                     message
                 {
-                    self.world.put(Passed::ListTold(List { version, base, now_ms, entries }));
+                    self.world.put(Event::ListTold(List { version, base, now_ms, entries }));
                 }
             }
             io::Result::Ok(())
--- a/crates/emulator/src/proxy.rs
+++ b/crates/emulator/src/proxy.rs
@@ -4,7 +4,7 @@
 use crate::world::World;
 use grebespool_controller_server::HEARTBEAT_INTERVAL;
 use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_server_model::{Admission, Avoidance, ProxyTables, ReportAggregator, UpdateId};
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{
@@ -77,7 +77,7 @@
     ) -> io::Result<Rc<Proxy>> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let lines = standing.iter().map(|s| (*s, 1.0)).collect();
-        world.put(Passed::Began { proxy: number, lines });
+        world.put(Event::Began { proxy: number, lines });
         let held = ProxyTables::new(
             kind.picks,
             Avoidance { after_failures: kind.avoids, duration: kind.avoids_for.0 },
@@ -127,7 +127,7 @@
             let joined = Cell::new(false);
             let _ = self.stream(&joined).await;
             if joined.get() {
-                self.world.put(Passed::Left { proxy: self.number });
+                self.world.put(Event::Left { proxy: self.number });
                 self.held.borrow_mut().stream_closed();
             }
             let most = self.kind.redial.0;
@@ -316,7 +316,7 @@
             };
             let _ = socket.set_nodelay(true);
             self.open(server, far, socket);
-            self.world.put(Passed::Connected { proxy: self.number, server });
+            self.world.put(Event::Connected { proxy: self.number, server });
         }
         {
             let conns = self.conns.borrow();
@@ -326,7 +326,7 @@
                 return Err(true);
             }
         }
-        self.world.put(Passed::Sent { proxy: self.number, server, call });
+        self.world.put(Event::Sent { proxy: self.number, server, call });
         answer.await.map_err(|_| false)
     }
 
--- a/crates/emulator/src/rehearsal.rs
+++ b/crates/emulator/src/rehearsal.rs
@@ -8,7 +8,7 @@
 use crate::server::Server;
 use crate::visitor::visit;
 use crate::world::World;
-use grebespool_invariants::{Passed, Record, Verdict, check};
+use grebespool_invariants::{Event, Record, Verdict, check};
 use grebespool_server_model::{ServerSpec, ServiceLevel, ServiceLevelRecorder, invariant_facts};
 use grebespool_settings::{Day, ListSource, Trouble, What};
 use grebespool_trace::Recorder;
@@ -285,16 +285,16 @@
             // Whether another takes over is the host's matter: one planner alone is started again.
             What::PlannerKilled | What::Takeover => {
                 self.host.borrow_mut().kill();
-                self.world.put(Passed::PlannerKilled);
+                self.world.put(Event::PlannerKilled);
                 sleep(lasts).await;
                 self.start_planner()?;
             }
             What::PlannerStalled => {
-                self.world.put(Passed::PlannerStalled);
+                self.world.put(Event::PlannerStalled);
                 self.host.borrow_mut().stall(lasts * 2);
                 sleep(lasts).await;
                 self.host.borrow_mut().resume();
-                self.world.put(Passed::PlannerResumed);
+                self.world.put(Event::PlannerResumed);
             }
             What::StreamsBreak { share, mid_frame } => {
                 for (i, link) in self.some_links(self.share(share)).into_iter().enumerate() {
@@ -339,7 +339,7 @@
             What::SiteLoss { zone } => {
                 let zone = self.world.zone(&zone);
                 if self.host.borrow_mut().lose_site(zone) {
-                    self.world.put(Passed::PlannerKilled);
+                    self.world.put(Event::PlannerKilled);
                 }
                 self.lose(zone, lasts).await?;
                 self.start_planner()?;
--- a/crates/emulator/src/server.rs
+++ b/crates/emulator/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::world::World;
 use grebespool_controller_server::dial::read_message;
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_server_model::{ServerModel, ServerSpec};
 use grebespool_wire::{
     Call, CallOutcome, FrameDecoder, HealthCheck, HealthCheckResponse, HealthStatus, MAX_BODY_BYTES, Message,
@@ -101,7 +101,7 @@
     pub fn stop(&self) {
         if let Some((_, task)) = self.life.borrow_mut().take() {
             task.abort();
-            self.world.put(Passed::Down { server: self.id() });
+            self.world.put(Event::Down { server: self.id() });
         }
     }
 
@@ -141,7 +141,7 @@
         *self.life.borrow_mut() = Some((life, task));
         if cold {
             let cold = self.ability.kind.cold;
-            self.world.put(Passed::Up { server: self.id(), capacity, cold });
+            self.world.put(Event::Up { server: self.id(), capacity, cold });
         }
     }
 }
@@ -189,7 +189,7 @@
 ) {
     let (now, fields) = (server.world.now(), &server.world.deployment.reports.fields);
     let report = Some(life.machine.borrow_mut().report(now, fields, server.manner.lie.get()));
-    server.world.put(Passed::Answered { server: server.id(), call, outcome });
+    server.world.put(Event::Answered { server: server.id(), call, outcome });
     let (id, attempt, tried) = (call.id, call.attempt, call.retry);
     let _ = to.send(Message::Response(Response { id, attempt, retry: tried, outcome, metrics: report }));
 }
@@ -257,7 +257,7 @@
         return life.came.borrow_mut().push((call, answers.clone()));
     }
     let now = server.world.now();
-    server.world.put(Passed::Received { server: server.id(), call });
+    server.world.put(Event::Received { server: server.id(), call });
     if server.manner.silent.get() {
         return;
     }
@@ -275,7 +275,7 @@
     let taken = life.machine.borrow_mut().accept(now, ticket, work, call.key);
     if life.machine.borrow().crashed {
         if !had_fallen {
-            server.world.put(Passed::Fell { server: server.id() });
+            server.world.put(Event::Fell { server: server.id() });
         }
         return;
     }
--- a/crates/emulator/src/visitor.rs
+++ b/crates/emulator/src/visitor.rs
@@ -3,7 +3,7 @@
 use crate::link::Link;
 use crate::world::World;
 use grebespool_controller_server::dial::{AppliedUpdate, Dialer, handshake, read_message};
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_wire::{Message, Role, UpdateAck};
 use std::io;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
     let mut joined = false;
     let _ = timeout(stays, stay(&world, &link, &name, nonce, &mut joined)).await;
     if joined {
-        world.put(Passed::Left { proxy: number });
+        world.put(Event::Left { proxy: number });
     }
 }
 
--- a/crates/emulator/src/world.rs
+++ b/crates/emulator/src/world.rs
@@ -1,8 +1,8 @@
 //! What all stand-ins of one day share: the clock, the record, and which zones are cut off.
 
-use grebespool_invariants::{Passed, Record};
+use grebespool_invariants::{Event, Record};
 use grebespool_settings::{Deployment, deployment_text};
-use grebespool_trace::{Call, Event, Listed, Phase, Recorder, Timed};
+use grebespool_trace::{Call, Event as TraceEvent, Listed, Phase, Recorder, Timed};
 use grebespool_wire::FleetKey;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -50,11 +50,11 @@
         self.began.get().elapsed()
     }
 
-    pub fn put(&self, what: Passed) {
+    pub fn put(&self, what: Event) {
         self.put_at(self.now(), what);
     }
 
-    pub fn put_at(&self, at: Duration, what: Passed) {
+    pub fn put_at(&self, at: Duration, what: Event) {
         if let Some(recorder) = &mut *self.recorder.borrow_mut()
             && let Some(event) = recorded(&what, &self.deployment, self.starts.get())
         {
@@ -68,7 +68,7 @@
         self.starts.set(self.starts.get() + 1);
         if let Some(recorder) = &mut *self.recorder.borrow_mut() {
             let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-            let event = Event::Began {
+            let event = TraceEvent::Began {
                 planner: self.starts.get(),
                 unix_ms: unix.as_millis() as u64,
                 settings: deployment_text(&self.deployment),
@@ -109,9 +109,9 @@
 }
 
 /// What a recording keeps of what passed.
-fn recorded(passed: &Passed, deployment: &Deployment, planner: u64) -> Option<Event> {
+fn recorded(passed: &Event, deployment: &Deployment, planner: u64) -> Option<TraceEvent> {
     Some(match passed {
-        Passed::Asked { id, route, key, work_us, proxy, .. } => Event::Call(Call {
+        Event::Asked { id, route, key, work_us, proxy, .. } => TraceEvent::Call(Call {
             route: *route,
             key: *key,
             importance: deployment.routes.get(usize::from(*route)).map_or(1.0, |r| r.importance as f32),
@@ -120,15 +120,15 @@
             work_us: Some(*work_us),
             repeat: false,
         }),
-        Passed::ListTold(list) => {
+        Event::ListTold(list) => {
             let entries = list.entries.iter().map(listed).collect();
-            Event::List { version: list.version, base: list.base, now_ms: list.now_ms, entries }
+            TraceEvent::List { version: list.version, base: list.base, now_ms: list.now_ms, entries }
         }
-        Passed::Joined { proxy, .. } => {
-            Event::Joined { proxy: (*proxy).into(), zone: String::new(), bare: false }
+        Event::Joined { proxy, .. } => {
+            TraceEvent::Joined { proxy: (*proxy).into(), zone: String::new(), bare: false }
         }
-        Passed::Left { proxy } => Event::Left { proxy: (*proxy).into() },
-        Passed::PlannerKilled => Event::PlannerLost { planner },
+        Event::Left { proxy } => TraceEvent::Left { proxy: (*proxy).into() },
+        Event::PlannerKilled => TraceEvent::PlannerLost { planner },
         _ => return None,
     })
 }
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -6,7 +6,7 @@
 
 use grebespool_controller_server::{PassThrough, UpdateFilter};
 use grebespool_emulator::{PlannerHost, Played, ThreadHost, rehearse};
-use grebespool_invariants::{Passed, Record, Rule, check};
+use grebespool_invariants::{Event, Record, Rule, check};
 use grebespool_server_model::invariant_facts;
 use grebespool_settings::{Day, Deployment, ListSource};
 use grebespool_wire::{
@@ -272,22 +272,22 @@
 #[rstest]
 fn a_day_records_both_ends_and_every_call_comes_to_an_end() {
     let played = play(&day(""));
-    let count = |of: fn(&Passed) -> bool| played.record.passed.iter().filter(|(_, p)| of(p)).count();
-    let asked = count(|p| matches!(p, Passed::Asked { .. }));
+    let count = |of: fn(&Event) -> bool| played.record.passed.iter().filter(|(_, p)| of(p)).count();
+    let asked = count(|p| matches!(p, Event::Asked { .. }));
     assert!(asked > 500, "{asked} calls");
-    assert_eq!(asked, count(|p| matches!(p, Passed::Done { .. })));
+    assert_eq!(asked, count(|p| matches!(p, Event::Done { .. })));
     let (ordered, delivered) =
-        (count(|p| matches!(p, Passed::Ordered { .. })), count(|p| matches!(p, Passed::Delivered { .. })));
+        (count(|p| matches!(p, Event::Ordered { .. })), count(|p| matches!(p, Event::Delivered { .. })));
     assert!(delivered > 0 && delivered <= ordered, "{delivered} of {ordered}");
     assert!(played.service.overall > 0.95, "service {:.3}", played.service.overall);
 }
 
-type Events = Vec<(Duration, Passed)>;
+type Events = Vec<(Duration, Event)>;
 type Plant = fn(&mut Events, Call);
 
 fn some_call(record: &Record) -> Call {
     let sent = record.passed.iter().find_map(|(_, p)| match p {
-        Passed::Sent { call, .. } => Some(*call),
+        Event::Sent { call, .. } => Some(*call),
         _ => None,
     });
     Call { proxy: 0, ..sent.unwrap() }
@@ -296,7 +296,7 @@
 /// Every table that comes to proxy 0 from the middle of the day on is empty.
 fn empty(events: &mut Events, _: Call) {
     for (_, passed) in events.iter_mut().filter(|(at, _)| at.as_secs() >= 3) {
-        if let Passed::Delivered { proxy: 0, orders } = passed {
+        if let Event::Delivered { proxy: 0, orders } = passed {
             let (table, version) = (0, 99);
             orders.changes = vec![Change::BindTable(TableBinding {
                 table,
@@ -310,36 +310,36 @@
 }
 
 fn twice(events: &mut Events, _: Call) {
-    let delivered = events.iter().rev().find(|(_, p)| matches!(p, Passed::Delivered { proxy: 0, .. }));
+    let delivered = events.iter().rev().find(|(_, p)| matches!(p, Event::Delivered { proxy: 0, .. }));
     let (at, passed) = delivered.cloned().unwrap();
     events.push((at + Duration::from_millis(1), passed));
 }
 
 fn after_the_grace(events: &mut Events, call: Call) {
     let drain = events.iter().find_map(|(at, p)| match p {
-        Passed::ListTold(list) => {
+        Event::ListTold(list) => {
             let drains = list.entries.iter().find(|e| e.state == EndpointState::Draining);
             drains.map(|e| (*at, e.server))
         }
         _ => None,
     });
     let (at, server) = drain.unwrap();
-    events.push((at + Duration::from_millis(2600), Passed::Sent { proxy: 0, server, call }));
+    events.push((at + Duration::from_millis(2600), Event::Sent { proxy: 0, server, call }));
 }
 
 fn pushed_over(events: &mut Events, call: Call) {
     let up = events.iter().find_map(|(at, p)| match p {
-        Passed::Up { server, .. } => Some((*at, *server)),
+        Event::Up { server, .. } => Some((*at, *server)),
         _ => None,
     });
     let (at, server) = up.unwrap();
     let late = |ms: u64| at + Duration::from_millis(2800 + ms);
-    events.extend((0..99).map(|i| (late(i), Passed::Received { server, call })));
-    events.push((late(100), Passed::Fell { server }));
+    events.extend((0..99).map(|i| (late(i), Event::Received { server, call })));
+    events.push((late(100), Event::Fell { server }));
 }
 
 fn too_many(events: &mut Events, _: Call) {
-    let ordered = events.iter().find(|(_, p)| matches!(p, Passed::Ordered { proxy: 0, .. }));
+    let ordered = events.iter().find(|(_, p)| matches!(p, Event::Ordered { proxy: 0, .. }));
     let one = ordered.cloned().unwrap();
     events.extend(std::iter::repeat_n(one, 40));
 }
--- a/crates/invariants/src/check.rs
+++ b/crates/invariants/src/check.rs
@@ -4,7 +4,7 @@
 use crate::drained::Drained;
 use crate::once::Once;
 use crate::queue::Queue;
-use crate::record::{Passed, Record};
+use crate::record::{Event, Record};
 use crate::served::Served;
 use crate::told::Ear;
 use std::collections::VecDeque;
@@ -91,12 +91,12 @@
 
 /// What passed last, for the context of a breach.
 #[derive(Default)]
-struct Recent(VecDeque<(Duration, Passed)>);
+struct Recent(VecDeque<(Duration, Event)>);
 
 impl Recent {
     const KEPT: usize = 2048;
 
-    fn put(&mut self, at: Duration, passed: Passed) {
+    fn put(&mut self, at: Duration, passed: Event) {
         if self.0.len() == Self::KEPT {
             self.0.pop_front();
         }
@@ -116,7 +116,7 @@
     }
 
     /// `concerns`: whether something that passed earlier belongs to the context.
-    pub fn breach(&mut self, at: Duration, what: String, concerns: impl Fn(&Passed) -> bool) {
+    pub fn breach(&mut self, at: Duration, what: String, concerns: impl Fn(&Event) -> bool) {
         self.verdict.breaches += 1;
         if self.verdict.first.is_none() {
             let near = self.recent.0.iter().rev().filter(|(_, p)| concerns(p)).take(5);
@@ -163,7 +163,7 @@
     }
 
     /// What passes is told in the order of time, as nearly as the taps have it.
-    pub fn see(&mut self, at: Duration, passed: Passed) {
+    pub fn see(&mut self, at: Duration, passed: Event) {
         self.ear.hear(at, &passed);
         let [served, once, drained, cold, queue] = &mut self.verdicts;
         let recent = &self.recent;
--- a/crates/invariants/src/cold.rs
+++ b/crates/invariants/src/cold.rs
@@ -2,7 +2,7 @@
 //! from proxies whose orders knew of the start, or whose planner had known of it for long enough.
 
 use crate::check::Pass;
-use crate::record::{List, Passed};
+use crate::record::{Event, List};
 use crate::told::Ear;
 use grebespool_wire::{EndpointState, ServerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -31,9 +31,9 @@
         }
     }
 
-    pub fn see(&mut self, at: Duration, passed: &Passed, ear: &Ear, pass: &mut Pass) {
+    pub fn see(&mut self, at: Duration, passed: &Event, ear: &Ear, pass: &mut Pass) {
         match passed {
-            Passed::ListTold(List { version, entries, .. }) => {
+            Event::ListTold(List { version, entries, .. }) => {
                 for e in entries.iter().filter(|e| e.state == EndpointState::Ready && e.started_ms > 0) {
                     let first = ear.told.starts.get(&(e.server, e.started_ms)).map_or(at, |s| s.0);
                     let known = self.told_by_version.entry(e.server).or_insert((*version, first));
@@ -42,19 +42,19 @@
                     }
                 }
             }
-            Passed::PlannerKilled => {
+            Event::PlannerKilled => {
                 self.told_by_version.clear();
                 self.joined.clear();
             }
-            Passed::Joined { proxy, .. } => drop(self.joined.insert(*proxy)),
-            Passed::Left { proxy } => drop(self.joined.remove(proxy)),
-            Passed::Delivered { proxy, orders } => drop(self.knows.insert(*proxy, orders.endpoints_version)),
-            Passed::Up { server, .. } => {
+            Event::Joined { proxy, .. } => drop(self.joined.insert(*proxy)),
+            Event::Left { proxy } => drop(self.joined.remove(proxy)),
+            Event::Delivered { proxy, orders } => drop(self.knows.insert(*proxy, orders.endpoints_version)),
+            Event::Up { server, .. } => {
                 self.recent.remove(server);
                 self.told_by_version.remove(server);
                 pass.checked();
             }
-            Passed::Received { server, call } => {
+            Event::Received { server, call } => {
                 let list = self.recent.entry(*server).or_default();
                 let knowing = self.told_by_version.get(server).is_some_and(|(version, told)| {
                     self.knows.get(&call.proxy).is_some_and(|k| k >= version)
@@ -65,7 +65,7 @@
                     list.pop_front();
                 }
             }
-            Passed::Fell { server } => {
+            Event::Fell { server } => {
                 let list = self.recent.remove(server).unwrap_or_default();
                 let all: f64 = list.iter().map(|r| f64::from(r.2)).sum();
                 let known: f64 = list.iter().filter(|r| r.3).map(|r| f64::from(r.2)).sum();
@@ -77,8 +77,8 @@
                         100.0 * known / all
                     );
                     pass.breach(at, what, |p| match p {
-                        Passed::ListTold(List { entries, .. }) => entries.iter().any(|e| e.server == id),
-                        Passed::Up { server, .. } => *server == id,
+                        Event::ListTold(List { entries, .. }) => entries.iter().any(|e| e.server == id),
+                        Event::Up { server, .. } => *server == id,
                         _ => false,
                     });
                 }
--- a/crates/invariants/src/drained.rs
+++ b/crates/invariants/src/drained.rs
@@ -1,7 +1,7 @@
 //! Rule 3. The clock starts when the planner was told or when the proxy joined, whichever is later.
 
 use crate::check::Pass;
-use crate::record::{List, Passed};
+use crate::record::{Event, List};
 use crate::told::Ear;
 use grebespool_wire::EndpointState;
 use std::collections::BTreeMap;
@@ -19,14 +19,14 @@
         Drained { grace, joined: BTreeMap::new(), stalls: vec![] }
     }
 
-    pub fn see(&mut self, at: Duration, passed: &Passed, ear: &Ear, pass: &mut Pass) {
+    pub fn see(&mut self, at: Duration, passed: &Event, ear: &Ear, pass: &mut Pass) {
         match passed {
-            Passed::Joined { proxy, .. } => drop(self.joined.insert(*proxy, at)),
-            Passed::Left { proxy } => drop(self.joined.remove(proxy)),
-            Passed::PlannerKilled => self.joined.clear(),
-            Passed::PlannerStalled => self.stalls.push((at, Duration::MAX)),
-            Passed::PlannerResumed => self.stalls.iter_mut().last().into_iter().for_each(|s| s.1 = at),
-            Passed::Sent { proxy, server, .. } => {
+            Event::Joined { proxy, .. } => drop(self.joined.insert(*proxy, at)),
+            Event::Left { proxy } => drop(self.joined.remove(proxy)),
+            Event::PlannerKilled => self.joined.clear(),
+            Event::PlannerStalled => self.stalls.push((at, Duration::MAX)),
+            Event::PlannerResumed => self.stalls.iter_mut().last().into_iter().for_each(|s| s.1 = at),
+            Event::Sent { proxy, server, .. } => {
                 let (Some(since), Some((phase, told, _))) =
                     (self.joined.get(proxy), ear.told.entries.get(server))
                 else {
@@ -48,14 +48,14 @@
                         over.as_secs_f64()
                     );
                     pass.breach(at, what, |p| match p {
-                        Passed::Delivered { proxy, .. } | Passed::Joined { proxy, .. } => *proxy == number,
-                        Passed::ListTold(List { entries, .. }) => entries.iter().any(|e| e.server == id),
+                        Event::Delivered { proxy, .. } | Event::Joined { proxy, .. } => *proxy == number,
+                        Event::ListTold(List { entries, .. }) => entries.iter().any(|e| e.server == id),
                         _ => false,
                     });
                 }
             }
             // Drains that were told count as checked even where all proxies had left the server in time.
-            Passed::ListTold(List { entries, .. })
+            Event::ListTold(List { entries, .. })
                 if entries.iter().any(|e| e.state != EndpointState::Ready) =>
             {
                 pass.checked();
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -17,4 +17,4 @@
 mod told;
 
 pub use check::{Breach, Checker, Facts, Limits, RouteFacts, Rule, Verdict, check};
-pub use record::{List, Passed, Record};
+pub use record::{Event, List, Record};
--- a/crates/invariants/src/once.rs
+++ b/crates/invariants/src/once.rs
@@ -2,7 +2,7 @@
 //! repeat is dropped; and no order is obeyed twice, or after one of a newer start.
 
 use crate::check::{Pass, RouteFacts};
-use crate::record::{List, Passed};
+use crate::record::{Event, List};
 use grebespool_wire::{Call, CallOutcome, ServerId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -57,16 +57,16 @@
         }
     }
 
-    pub fn see(&mut self, at: Duration, passed: &Passed, pass: &mut Pass) {
+    pub fn see(&mut self, at: Duration, passed: &Event, pass: &mut Pass) {
         let key = |c: &Call| (c.id, c.attempt, c.retry);
         match passed {
-            Passed::ListTold(List { entries, .. }) => {
+            Event::ListTold(List { entries, .. }) => {
                 self.zones.extend(entries.iter().map(|e| (e.server, e.zone.clone())));
             }
-            Passed::Answered { call, outcome: CallOutcome::Rejected, .. } => {
+            Event::Answered { call, outcome: CallOutcome::Rejected, .. } => {
                 self.refused.entry(key(call)).or_insert(at);
             }
-            Passed::Sent { proxy, server, call } => {
+            Event::Sent { proxy, server, call } => {
                 let earlier = self.tries.entry((call.id, call.attempt)).or_default();
                 let mut wrong = None;
                 for (tried, where_to, sent) in earlier.iter() {
@@ -94,12 +94,12 @@
                         ),
                     );
                     pass.breach(at, what, |p| {
-                        matches!(p, Passed::Sent { call, .. } | Passed::Received { call, .. }
-                            | Passed::Answered { call, .. } if call.id == id)
+                        matches!(p, Event::Sent { call, .. } | Event::Received { call, .. }
+                            | Event::Answered { call, .. } if call.id == id)
                     });
                 }
             }
-            Passed::Delivered { proxy, orders } => {
+            Event::Delivered { proxy, orders } => {
                 pass.checked();
                 let this = (orders.incarnation, orders.stream, orders.sequence);
                 let (epoch, last) = self.newest.get(proxy).map_or((0, None), |n| (n.0, Some(n.1)));
@@ -117,13 +117,13 @@
                     pass.breach(
                         at,
                         what,
-                        |p| matches!(p, Passed::Delivered { proxy, .. } if *proxy == number),
+                        |p| matches!(p, Event::Delivered { proxy, .. } if *proxy == number),
                     );
                 } else {
                     self.newest.insert(*proxy, (orders.term, this));
                 }
             }
-            Passed::Done { id, .. } => {
+            Event::Done { id, .. } => {
                 self.over.push_back((at, *id));
                 self.forget(at);
             }
--- a/crates/invariants/src/queue.rs
+++ b/crates/invariants/src/queue.rs
@@ -1,7 +1,7 @@
 //! Rule 5, by the times in the orders themselves: those given and not yet out wait.
 
 use crate::check::Pass;
-use crate::record::Passed;
+use crate::record::Event;
 use grebespool_wire::{Change, TableBinding};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -51,8 +51,8 @@
         }
     }
 
-    pub fn see(&mut self, at: Duration, passed: &Passed, pass: &mut Pass) {
-        let Passed::Ordered { proxy, orders } = passed else { return };
+    pub fn see(&mut self, at: Duration, passed: &Event, pass: &mut Pass) {
+        let Event::Ordered { proxy, orders } = passed else { return };
         pass.checked();
         let ordered = Duration::from_micros(orders.created_us);
         let lies = at.saturating_sub(ordered);
@@ -90,7 +90,7 @@
         }
         if list.len() > self.most_messages {
             let what = format!("{} messages to proxy {proxy} within the window", list.len());
-            pass.breach(at, what, |p| matches!(p, Passed::Ordered { proxy: n, .. } if *n == proxy));
+            pass.breach(at, what, |p| matches!(p, Event::Ordered { proxy: n, .. } if *n == proxy));
         }
     }
 
@@ -101,7 +101,7 @@
             *lines += if given { cost } else { -cost };
             if *lines > self.most_waiting {
                 let what = format!("{lines:.0} lines wait in the channel; {} may", self.most_waiting);
-                pass.breach(at, what, |p| matches!(p, Passed::Ordered { .. }));
+                pass.breach(at, what, |p| matches!(p, Event::Ordered { .. }));
             }
         }
     }
--- a/crates/invariants/src/record.rs
+++ b/crates/invariants/src/record.rs
@@ -5,7 +5,7 @@
 
 /// One thing that was seen at one end of a socket.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Passed {
+pub enum Event {
     /// A proxy started, with a table of its own.
     Began {
         proxy: u16,
@@ -100,25 +100,25 @@
 /// All that passed, in the order of time.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
-    pub passed: Vec<(Duration, Passed)>,
+    pub passed: Vec<(Duration, Event)>,
 }
 
 impl Record {
-    pub fn put(&mut self, at: Duration, what: Passed) {
+    pub fn put(&mut self, at: Duration, what: Event) {
         self.passed.push((at, what));
     }
 
     /// What a tap on the planner's end of a proxy's stream saw go to the proxy.
     pub fn ordered(&mut self, at: Duration, proxy: u16, message: &Message) {
         if let Message::Update(orders) = message {
-            self.put(at, Passed::Ordered { proxy, orders: orders.clone() });
+            self.put(at, Event::Ordered { proxy, orders: orders.clone() });
         }
     }
 
     /// What a tap on the proxy's end saw come.
     pub fn delivered(&mut self, at: Duration, proxy: u16, message: &Message) {
         if let Message::Update(orders) = message {
-            self.put(at, Passed::Delivered { proxy, orders: orders.clone() });
+            self.put(at, Event::Delivered { proxy, orders: orders.clone() });
         }
     }
 }
--- a/crates/invariants/src/served.rs
+++ b/crates/invariants/src/served.rs
@@ -1,7 +1,7 @@
 //! Rule 1. Counts only while the list as told shows a server that is ready and warm.
 
 use crate::check::Pass;
-use crate::record::Passed;
+use crate::record::Event;
 use crate::told::{Ear, Told};
 use grebespool_wire::{Change, EndpointState, ServerId, TableBinding, WeightChange};
 use std::collections::{BTreeMap, BTreeSet};
@@ -63,24 +63,24 @@
         })
     }
 
-    pub fn see(&mut self, at: Duration, passed: &Passed, ear: &Ear, pass: &mut Pass) {
+    pub fn see(&mut self, at: Duration, passed: &Event, ear: &Ear, pass: &mut Pass) {
         let proxy = match passed {
-            Passed::Began { proxy, lines } => {
+            Event::Began { proxy, lines } => {
                 let state = self.proxies.entry(*proxy).or_default();
                 state.tables = [(u16::MAX, lines.iter().copied().collect())].into();
                 Some(*proxy)
             }
-            Passed::Joined { proxy, .. } => {
+            Event::Joined { proxy, .. } => {
                 let state = self.proxies.entry(*proxy).or_default();
                 (state.joined, state.lacking, state.told_of) = (true, None, false);
                 pass.checked();
                 Some(*proxy)
             }
-            Passed::Left { proxy } => {
+            Event::Left { proxy } => {
                 self.proxies.entry(*proxy).or_default().joined = false;
                 Some(*proxy)
             }
-            Passed::Delivered { proxy, orders } => {
+            Event::Delivered { proxy, orders } => {
                 obey(&mut self.proxies.entry(*proxy).or_default().tables, &orders.changes);
                 pass.checked();
                 Some(*proxy)
@@ -112,7 +112,7 @@
                 let what = format!("proxy {proxy} has had no usable line since {:.3} s", since.as_secs_f64());
                 let number = *proxy;
                 pass.breach(at, what, |p| {
-                    matches!(p, Passed::Delivered { proxy, .. } | Passed::Joined { proxy, .. } if *proxy == number)
+                    matches!(p, Event::Delivered { proxy, .. } | Event::Joined { proxy, .. } if *proxy == number)
                 });
             }
         }
--- a/crates/invariants/src/told.rs
+++ b/crates/invariants/src/told.rs
@@ -1,6 +1,6 @@
 //! What the planner had been told of servers.
 
-use crate::record::{List, Passed};
+use crate::record::{Event, List};
 use grebespool_wire::{EndpointState, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -56,13 +56,13 @@
 }
 
 impl Ear {
-    pub fn hear(&mut self, at: Duration, passed: &Passed) {
+    pub fn hear(&mut self, at: Duration, passed: &Event) {
         match passed {
-            Passed::ListTold(list) if self.stalled => self.missed.push(list.clone()),
-            Passed::ListTold(list) => self.told.take(at, list),
-            Passed::PlannerKilled => *self = Ear::default(),
-            Passed::PlannerStalled => self.stalled = true,
-            Passed::PlannerResumed => {
+            Event::ListTold(list) if self.stalled => self.missed.push(list.clone()),
+            Event::ListTold(list) => self.told.take(at, list),
+            Event::PlannerKilled => *self = Ear::default(),
+            Event::PlannerStalled => self.stalled = true,
+            Event::PlannerResumed => {
                 self.stalled = false;
                 for list in std::mem::take(&mut self.missed) {
                     self.told.take(at, &list);
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -37,8 +37,8 @@
     EndpointEntry { server: id(n), zone: if n < 3 { "a" } else { "b" }.into(), state: phase, started_ms }
 }
 
-fn list(version: u64, base: u64, entries: Vec<EndpointEntry>) -> Passed {
-    Passed::ListTold(List { version, base, now_ms: 1_000_000, entries })
+fn list(version: u64, base: u64, entries: Vec<EndpointEntry>) -> Event {
+    Event::ListTold(List { version, base, now_ms: 1_000_000, entries })
 }
 
 fn orders(start: u64, seq: u64, ordered: u64, list: u64, parts: Vec<Change>) -> Update {
@@ -68,28 +68,28 @@
     Call { id, attempt: 0, retry: tried, route, key, work_us, timeout_us: time_limit_us, proxy }
 }
 
-fn sent(n: u32, id_: u64, route: u8, tried: u8) -> Passed {
-    Passed::Sent { proxy: 1, server: id(n), call: call(id_, route, tried, 1) }
+fn sent(n: u32, id_: u64, route: u8, tried: u8) -> Event {
+    Event::Sent { proxy: 1, server: id(n), call: call(id_, route, tried, 1) }
 }
 
-fn answered(n: u32, id_: u64, route: u8, tried: u8, outcome: CallOutcome) -> Passed {
-    Passed::Answered { server: id(n), call: call(id_, route, tried, 1), outcome }
+fn answered(n: u32, id_: u64, route: u8, tried: u8, outcome: CallOutcome) -> Event {
+    Event::Answered { server: id(n), call: call(id_, route, tried, 1), outcome }
 }
 
-fn delivered(at: u64, o: Update) -> Vec<(u64, Passed)> {
+fn delivered(at: u64, o: Update) -> Vec<(u64, Event)> {
     vec![
-        (at, Passed::Ordered { proxy: 1, orders: o.clone() }),
-        (at + 5, Passed::Delivered { proxy: 1, orders: o }),
+        (at, Event::Ordered { proxy: 1, orders: o.clone() }),
+        (at + 5, Event::Delivered { proxy: 1, orders: o }),
     ]
 }
 
 /// A list of four, a proxy that joins and is bound, a drain of one that is told in time.
-fn day() -> Vec<(u64, Passed)> {
+fn day() -> Vec<(u64, Event)> {
     let all = (1..=4).map(|n| entry(n, EndpointState::Ready, 0)).collect();
     let mut day = vec![
-        (0, Passed::Began { proxy: 1, lines: vec![(id(1), 1.0)] }),
+        (0, Event::Began { proxy: 1, lines: vec![(id(1), 1.0)] }),
         (10, list(1, 0, all)),
-        (100, Passed::Joined { proxy: 1, start: 7 }),
+        (100, Event::Joined { proxy: 1, start: 7 }),
     ];
     day.extend(delivered(110, orders(7, 1, 105, 1, vec![bind(&[1, 2, 3, 4])])));
     day.extend([
@@ -108,12 +108,12 @@
     day
 }
 
-fn verdicts(mut day: Vec<(u64, Passed)>) -> Vec<Rule> {
+fn verdicts(mut day: Vec<(u64, Event)>) -> Vec<Rule> {
     day.sort_by_key(|p| p.0);
     let mut record = Record::default();
     day.into_iter().for_each(|(at, p)| record.put(ms(at), p));
     // Time goes on: what is lacking shows when something else passes.
-    record.put(ms(60_000), Passed::Left { proxy: 9 });
+    record.put(ms(60_000), Event::Left { proxy: 9 });
     check(&record, &facts()).into_iter().filter(|v| v.first.is_some()).map(|v| v.rule).collect()
 }
 
@@ -126,33 +126,33 @@
     assert!(verdicts.iter().filter(|v| v.rule != Rule::Cold).all(|v| v.checked > 0), "{verdicts:?}");
 }
 
-fn emptied() -> Vec<(u64, Passed)> {
+fn emptied() -> Vec<(u64, Event)> {
     delivered(3000, orders(7, 3, 2900, 2, (1..=4).map(|n| weight(n, 0.0)).collect()))
 }
 
-fn messages(count: u64, ordered: impl Fn(u64) -> u64, at: impl Fn(u64) -> u64) -> Vec<(u64, Passed)> {
+fn messages(count: u64, ordered: impl Fn(u64) -> u64, at: impl Fn(u64) -> u64) -> Vec<(u64, Event)> {
     let one = |i: u64| delivered(at(i), orders(7, 3 + i, ordered(i), 2, vec![weight(1, 1.0); 6]));
     (0..count).flat_map(one).collect()
 }
 
-fn cold(multiple: u64, knowing: bool) -> Vec<(u64, Passed)> {
+fn cold(multiple: u64, knowing: bool) -> Vec<(u64, Event)> {
     let mut day = vec![
-        (20_000, Passed::Up { server: id(2), capacity: 2.0, cold: 0.3 }),
+        (20_000, Event::Up { server: id(2), capacity: 2.0, cold: 0.3 }),
         (20_100, list(3, 2, vec![entry(2, EndpointState::Ready, 999_900)])),
     ];
     if knowing {
         day.extend(delivered(20_200, orders(7, 3, 20_150, 3, vec![weight(2, 0.2)])));
     }
     day.extend(
-        (0..multiple).map(|i| (20_300 + i, Passed::Received { server: id(2), call: call(100 + i, 0, 0, 1) })),
+        (0..multiple).map(|i| (20_300 + i, Event::Received { server: id(2), call: call(100 + i, 0, 0, 1) })),
     );
-    day.push((20_400, Passed::Fell { server: id(2) }));
+    day.push((20_400, Event::Fell { server: id(2) }));
     day
 }
 
 #[rstest]
 #[case::a_table_emptied(emptied(), &[Rule::Served])]
-#[case::a_table_emptied_while_not_joined([vec![(2950, Passed::Left { proxy: 1 })], emptied()].concat(), &[])]
+#[case::a_table_emptied_while_not_joined([vec![(2950, Event::Left { proxy: 1 })], emptied()].concat(), &[])]
 #[case::a_mutating_call_sent_again_unproven(vec![(4000, sent(1, 50, 2, 0)), (4100, sent(2, 50, 2, 1))], &[Rule::Once])]
 #[case::after_an_error(
     vec![(4000, sent(1, 50, 2, 0)), (4050, answered(1, 50, 2, 0, CallOutcome::Failed)), (4100, sent(2, 50, 2, 1))],
@@ -166,10 +166,10 @@
     &[Rule::Once])]
 #[case::sent_to_a_drained_server(vec![(5001, sent(4, 60, 0, 0))], &[Rule::Drained])]
 #[case::within_the_grace(vec![(4999, sent(4, 60, 0, 0))], &[])]
-#[case::by_one_that_joined_since(vec![(4900, Passed::Joined { proxy: 1, start: 7 }), (7000, sent(4, 60, 0, 0))], &[])]
-#[case::by_one_without_a_planner(vec![(4000, Passed::Left { proxy: 1 }), (7000, sent(4, 60, 0, 0))], &[])]
+#[case::by_one_that_joined_since(vec![(4900, Event::Joined { proxy: 1, start: 7 }), (7000, sent(4, 60, 0, 0))], &[])]
+#[case::by_one_without_a_planner(vec![(4000, Event::Left { proxy: 1 }), (7000, sent(4, 60, 0, 0))], &[])]
 #[case::a_planner_that_stood_still(
-    vec![(2100, Passed::PlannerStalled), (4000, Passed::PlannerResumed), (6500, sent(4, 60, 0, 0))], &[])]
+    vec![(2100, Event::PlannerStalled), (4000, Event::PlannerResumed), (6500, sent(4, 60, 0, 0))], &[])]
 #[case::a_list_told_again_restarts_no_clock(
     vec![(4900, list(3, 2, vec![entry(4, EndpointState::Removed, 0)])), (5100, sent(4, 60, 0, 0))], &[Rule::Drained])]
 #[case::pushed_over_knowing(cold(30, true), &[Rule::Cold])]
@@ -177,7 +177,7 @@
 #[case::a_long_queue(messages(12, |_| 12_000, |i| 12_100 + 3000 * i), &[Rule::Queue])]
 #[case::many_messages(messages(6, |i| 12_000 + 100 * i, |i| 12_000 + 100 * i), &[Rule::Queue])]
 #[case::few_messages(messages(5, |i| 13_000 + 100 * i, |i| 13_000 + 100 * i), &[])]
-fn a_planted_breach_is_found(#[case] planted: Vec<(u64, Passed)>, #[case] rules: &[Rule]) {
+fn a_planted_breach_is_found(#[case] planted: Vec<(u64, Event)>, #[case] rules: &[Rule]) {
     let mut day = day();
     day.extend(planted);
     assert_eq!(verdicts(day), rules);
--- a/crates/server-model/src/service_level_recorder.rs
+++ b/crates/server-model/src/service_level_recorder.rs
@@ -1,7 +1,7 @@
 //! Works the service level out as a day goes on, holding only the requests that are in flight.
 
 use crate::service_level::{RouteServiceLevel, ServiceLevel, ZoneServiceLevel};
-use grebespool_invariants::{Passed, Record};
+use grebespool_invariants::{Event, Record};
 use grebespool_settings::{Deployment, Route};
 use grebespool_wire::{CallOutcome, ServerId};
 use hdrhistogram::Histogram;
@@ -148,35 +148,35 @@
     }
 
     /// Records an event at a time since the day's beginning.
-    pub fn record(&mut self, at: Duration, event: &Passed) {
+    pub fn record(&mut self, at: Duration, event: &Event) {
         match event {
-            Passed::Asked { id, route, zone, work_us, .. } => {
+            Event::Asked { id, route, zone, work_us, .. } => {
                 let request =
                     InFlight { due: at, route: usize::from(*route), zone: *zone, work_us: *work_us };
                 self.request_made(*id, request);
             }
-            Passed::Done { id, outcome, .. } => self.request_finished(at, *id, *outcome),
-            Passed::ListTold(list) => {
+            Event::Done { id, outcome, .. } => self.request_finished(at, *id, *outcome),
+            Event::ListTold(list) => {
                 for entry in &list.entries {
                     self.server_listed(entry.server, &entry.zone);
                 }
             }
-            Passed::Sent { server, call, .. } => {
+            Event::Sent { server, call, .. } => {
                 self.attempts += 1;
                 let to = self.zone_by_server.get(server);
                 let from = self.in_flight.get(&call.id).map(|request| request.zone);
                 let crosses = to.zip(from).is_some_and(|(to, from)| *to != from);
                 self.cross_zone_attempts += u64::from(crosses);
             }
-            Passed::Answered { call, outcome: CallOutcome::Answered, .. } => {
+            Event::Answered { call, outcome: CallOutcome::Answered, .. } => {
                 self.work_us += u64::from(call.work_us);
             }
-            Passed::Connected { .. } => self.connections += 1,
-            Passed::Ordered { orders, .. } => {
+            Event::Connected { .. } => self.connections += 1,
+            Event::Ordered { orders, .. } => {
                 self.messages += 1;
                 self.entries += orders.changes.len() as u64;
             }
-            Passed::Joined { .. } => self.joins += 1,
+            Event::Joined { .. } => self.joins += 1,
             _ => {}
         }
     }
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -2,7 +2,7 @@
 
 use grebespool::host::HealthCheckResult;
 use grebespool_controller::{ControllerEvent, Effects, StreamId};
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_wire::{
     Call, Close, CloseReason, EndpointEntry, Message, Response, ServerId, Update, Welcome,
 };
@@ -107,7 +107,7 @@
     /// Each open stream's proxy.
     pub streams: BTreeMap<StreamId, usize>,
     /// What passed since it was last looked at.
-    pub passed: Vec<(Duration, Passed)>,
+    pub passed: Vec<(Duration, Event)>,
     /// Whether a server answers probes, and how; set by the model as it changes.
     pub probes: BTreeMap<ServerId, (Duration, HealthCheckResult)>,
 }
@@ -160,14 +160,14 @@
         }
     }
 
-    pub fn put(&mut self, what: Passed) {
+    pub fn put(&mut self, what: Event) {
         self.passed.push((self.now, what));
     }
 
     fn carry(&mut self, stream: StreamId, message: Message) {
         let Some(&proxy) = self.streams.get(&stream) else { return };
         if let Message::Update(orders) = &message {
-            self.put(Passed::Ordered { proxy: proxy as u16, orders: orders.clone() });
+            self.put(Event::Ordered { proxy: proxy as u16, orders: orders.clone() });
         }
         let length = message.to_frame().len() as f64;
         let way = &mut self.ways[proxy];
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -2,7 +2,7 @@
 
 use crate::agenda::{Due, HOP, TryId};
 use crate::play::{Model, PlannedBy};
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_wire::{Call, CallOutcome, Response, RetryPolicy, ServerId, ServerMetrics};
 use rand::Rng;
 use std::time::Duration;
@@ -59,7 +59,7 @@
         self.calls_made += 1;
         let (id, FirstCall { due, route, key, work, proxy }) = (self.calls_made, first);
         let (work_us, zone) = (work.as_micros() as u32, self.proxies[proxy].zone);
-        let asked = Passed::Asked { id, route, zone, key, work_us, proxy: proxy as u16 };
+        let asked = Event::Asked { id, route, zone, key, work_us, proxy: proxy as u16 };
         self.agenda.borrow_mut().passed.push((due, asked));
         let call = Call { id, attempt: 0, retry: 0, route, key, work_us, timeout_us: 0, proxy: 0 };
         let (tried, open) = (vec![], None);
@@ -156,7 +156,7 @@
         machine.add_overhead(now, handshake);
         self.work_on(s);
         self.proxies[proxy].conns.entry(server).or_default();
-        self.agenda.borrow_mut().put(Passed::Connected { proxy: proxy as u16, server });
+        self.agenda.borrow_mut().put(Event::Connected { proxy: proxy as u16, server });
         self.send(id, server);
     }
 
@@ -166,7 +166,7 @@
         let p = &mut self.proxies[a.proxy];
         *p.conns.entry(server).or_default() += 1;
         let zone = p.zone;
-        self.agenda.borrow_mut().put(Passed::Sent { proxy: call.proxy, server, call });
+        self.agenda.borrow_mut().put(Event::Sent { proxy: call.proxy, server, call });
         let Some(&s) = self.by_id.get(&server) else { return };
         if !self.apart(self.servers[s].zone, zone) {
             let life = self.servers[s].life;
@@ -243,7 +243,7 @@
 
     fn done(&mut self, id: u64, outcome: CallOutcome) {
         if let Some(a) = self.active.remove(&id) {
-            self.agenda.borrow_mut().put(Passed::Done { id, route: a.call.route, outcome });
+            self.agenda.borrow_mut().put(Event::Done { id, route: a.call.route, outcome });
         }
     }
 }
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -7,7 +7,7 @@
 use crate::servers::{Listing, Server, ability, server_id};
 use crate::troubles::InHand;
 use grebespool_controller::{Controller, FleetPools, Incarnation, StreamId, UnsupportedDeploymentError};
-use grebespool_invariants::{Checker, List, Passed, Verdict};
+use grebespool_invariants::{Checker, Event, List, Verdict};
 use grebespool_server_model::{
     Avoidance, ProxyTables, ReportAggregator, ServiceLevel, ServiceLevelRecorder, invariant_facts,
 };
@@ -115,7 +115,7 @@
     day: &Day,
     by: PlannedBy,
     recording: Option<Recording<'_>>,
-    seen: &mut dyn FnMut(Duration, &Passed),
+    seen: &mut dyn FnMut(Duration, &Event),
 ) -> Result<Modelled, Unplayable> {
     let mut model = Model::new(day, by, recording);
     let (mut checker, mut tally) =
@@ -240,7 +240,7 @@
             let lines =
                 self.servers.iter().filter(|s| self.proxies[p].held.contains(s.id)).map(|s| (s.id, 1.0));
             let lines = lines.collect();
-            self.agenda.borrow_mut().put(Passed::Began { proxy: p as u16, lines });
+            self.agenda.borrow_mut().put(Event::Began { proxy: p as u16, lines });
             if self.by == PlannedBy::Planner {
                 self.agenda.borrow_mut().after(Duration::ZERO, Due::Dial(p));
             }
@@ -308,7 +308,7 @@
         let (Some(memory), now_ms) = (self.memory.clone(), self.now_ms()) else { return };
         let Remembered { version, entries, weights, dealt } = memory;
         let told = List { version, base: 0, now_ms, entries: entries.clone() };
-        self.agenda.borrow_mut().put(Passed::ListTold(told));
+        self.agenda.borrow_mut().put(Event::ListTold(told));
         self.plan(|engine| {
             let list = EndpointList { version, base_version: 0, now_ms, entries };
             engine.endpoints_received(Duration::ZERO, &list);
--- a/crates/simulation/src/proxies.rs
+++ b/crates/simulation/src/proxies.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{Due, HOP};
 use crate::play::{Model, PlannedBy};
 use grebespool_controller::{JoinRequest, StreamId};
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_server_model::{ProxyTables, ReportAggregator};
 use grebespool_settings::ProxyKind;
 use grebespool_wire::{Message, ServerId, UpdateAck};
@@ -66,7 +66,7 @@
         let Some(stream) = p.stream.take() else { return };
         if std::mem::take(&mut p.joined) {
             p.held.stream_closed();
-            self.agenda.borrow_mut().put(Passed::Left { proxy: proxy as u16 });
+            self.agenda.borrow_mut().put(Event::Left { proxy: proxy as u16 });
         }
         let mut agenda = self.agenda.borrow_mut();
         agenda.streams.remove(&stream);
@@ -90,7 +90,7 @@
                 // All planners of a modelled day share nothing, so none is older than another.
                 p.joined = p.held.stream_accepted(start, stream, 0).is_ok();
                 let mut agenda = self.agenda.borrow_mut();
-                agenda.put(Passed::Joined { proxy: number, start });
+                agenda.put(Event::Joined { proxy: number, start });
                 agenda.after(Duration::ZERO, Due::Sums(stream));
             }
             Message::Update(orders) => {
@@ -108,7 +108,7 @@
                         agenda.after(HOP, Due::ToPlanner { stream, message });
                     }
                 }
-                agenda.put(Passed::Delivered { proxy: number, orders });
+                agenda.put(Event::Delivered { proxy: number, orders });
                 drop(agenda);
                 let p = &mut self.proxies[proxy];
                 p.conns.retain(|server, in_hand| p.held.contains(*server) || *in_hand > 0);
--- a/crates/simulation/src/servers.rs
+++ b/crates/simulation/src/servers.rs
@@ -3,7 +3,7 @@
 use crate::agenda::{Due, HOP, TryId};
 use crate::play::{Model, PlannedBy};
 use grebespool::host::HealthCheckResult;
-use grebespool_invariants::{List, Passed};
+use grebespool_invariants::{Event, List};
 use grebespool_server_model::{ServerModel, ServerSpec};
 use grebespool_settings::{Day, ServerKind};
 use grebespool_wire::{Call, CallOutcome, EndpointEntry, EndpointList, EndpointState, Response, ServerId};
@@ -159,7 +159,7 @@
             return;
         }
         let told = List { version, base, now_ms, entries: entries.clone() };
-        self.agenda.borrow_mut().put(Passed::ListTold(told));
+        self.agenda.borrow_mut().put(Event::ListTold(told));
         let list = EndpointList { version, base_version: base, now_ms, entries };
         self.plan(|engine| engine.endpoints_received(now, &list));
     }
@@ -188,7 +188,7 @@
         (s.frozen, s.came) = (false, vec![]);
         let (id, lost) = (s.id, std::mem::take(&mut s.waiting));
         let mut agenda = self.agenda.borrow_mut();
-        agenda.put(Passed::Down { server: id });
+        agenda.put(Event::Down { server: id });
         for (id, _) in lost.into_values() {
             agenda.after(HOP, Due::Lost { id, not_run: false });
         }
@@ -209,7 +209,7 @@
         s.work_at = None;
         let started = now.saturating_sub(age);
         let machine = ServerModel::new(s.ability.clone(), now_ms, started, age < s.ability.warm_up);
-        let up = Passed::Up { server: s.id, capacity: machine.full_capacity(), cold: s.ability.kind.cold };
+        let up = Event::Up { server: s.id, capacity: machine.full_capacity(), cold: s.ability.kind.cold };
         s.machine = Some(machine);
         let id = s.id;
         self.by_id.insert(id, server);
@@ -226,7 +226,7 @@
         if s.frozen {
             return s.came.push((id, call));
         }
-        self.agenda.borrow_mut().put(Passed::Received { server: s.id, call });
+        self.agenda.borrow_mut().put(Event::Received { server: s.id, call });
         if s.silent {
             return;
         }
@@ -242,7 +242,7 @@
         let taken = machine.accept(now, ticket, Duration::from_micros(call.work_us.into()), call.key);
         if machine.crashed {
             if !had_fallen {
-                let fell = Passed::Fell { server: s.id };
+                let fell = Event::Fell { server: s.id };
                 self.agenda.borrow_mut().put(fell);
                 self.set_probe(server);
             }
@@ -299,7 +299,7 @@
         let Some(machine) = &mut s.machine else { return };
         let report = Some(machine.report(now, &self.day.deployment.reports.fields, s.lie));
         let (id, zone) = (s.id, s.zone);
-        self.agenda.borrow_mut().put(Passed::Answered { server: id, call, outcome });
+        self.agenda.borrow_mut().put(Event::Answered { server: id, call, outcome });
         if !self.apart(zone, self.proxies[usize::from(call.proxy)].zone) {
             let (id, attempt, tried) = (call.id, call.attempt, call.retry);
             let answer = Response { id, attempt, retry: tried, outcome, metrics: report };
--- a/crates/simulation/src/troubles.rs
+++ b/crates/simulation/src/troubles.rs
@@ -2,7 +2,7 @@
 
 use crate::agenda::{Due, HOP};
 use crate::play::{Model, PlannedBy};
-use grebespool_invariants::Passed;
+use grebespool_invariants::Event;
 use grebespool_settings::What;
 use grebespool_wire::EndpointState;
 use rand::seq::SliceRandom;
@@ -67,7 +67,7 @@
             }
             What::PlannerStalled => {
                 self.stalled = true;
-                self.agenda.borrow_mut().put(Passed::PlannerStalled);
+                self.agenda.borrow_mut().put(Event::PlannerStalled);
             }
             What::StreamsBreak { share, mid_frame } => {
                 for (n, p) in self.some_proxies(self.share(*share)).into_iter().enumerate() {
@@ -139,7 +139,7 @@
 
     pub fn kill_planner(&mut self) {
         self.engine = None;
-        self.agenda.borrow_mut().put(Passed::PlannerKilled);
+        self.agenda.borrow_mut().put(Event::PlannerKilled);
         (0..self.proxies.len()).for_each(|p| self.end_stream(p, false));
     }
 
@@ -180,7 +180,7 @@
             What::Takeover => self.take_over(),
             What::PlannerStalled => {
                 self.stalled = false;
-                self.agenda.borrow_mut().put(Passed::PlannerResumed);
+                self.agenda.borrow_mut().put(Event::PlannerResumed);
                 for due in std::mem::take(&mut self.missed) {
                     self.agenda.borrow_mut().after(Duration::ZERO, due);
                 }
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -3,7 +3,7 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 #![allow(clippy::pedantic)] // not yet read through
 
-use grebespool_invariants::{Passed, Record, Rule};
+use grebespool_invariants::{Event, Record, Rule};
 use grebespool_settings::{Day, What};
 use grebespool_simulation::{FirstCall, Modelled, Past, PastEntry, PlannedBy, Recording, model};
 use grebespool_wire::{CallOutcome, EndpointState};
@@ -87,9 +87,9 @@
     let every = Duration::from_millis(15);
     let past = || recording(calls(1000, Duration::from_secs(2), every, 12));
     let repeats = |played: &Played| {
-        let again = |p: &Passed| matches!(p, Passed::Sent { call, .. } if call.attempt > 0);
+        let again = |p: &Event| matches!(p, Event::Sent { call, .. } if call.attempt > 0);
         let sent = played.record.passed.iter().filter(|(_, p)| again(p)).count();
-        let asked = played.record.passed.iter().filter(|(_, p)| matches!(p, Passed::Asked { .. })).count();
+        let asked = played.record.passed.iter().filter(|(_, p)| matches!(p, Event::Asked { .. })).count();
         assert_eq!(asked, 1000);
         sent
     };
@@ -141,14 +141,14 @@
     let played = play_by(&day, PlannedBy::Planner, Some(Recording { opening, apart: BTreeSet::new(), next }));
     assert!(played.modelled.kept(), "{:?}", played.modelled.verdicts);
     let draining = (played.record.passed.iter()).find_map(|(_, p)| match p {
-        Passed::ListTold(list) => {
+        Event::ListTold(list) => {
             list.entries.iter().find(|e| e.state == EndpointState::Draining).map(|e| e.server)
         }
         _ => None,
     });
     let sent = |proxies: &dyn Fn(usize) -> bool, from: u64, to: u64| {
-        let counts = |(t, p): &&(Duration, Passed)| match p {
-            Passed::Sent { proxy, server, .. } => {
+        let counts = |(t, p): &&(Duration, Event)| match p {
+            Event::Sent { proxy, server, .. } => {
                 proxies(usize::from(*proxy)) && Some(*server) == draining && *t > at(from) && *t < at(to)
             }
             _ => false,
@@ -159,7 +159,7 @@
     assert!(sent(&without, 11, 15) > 5, "they go on with what they held");
     assert_eq!(sent(&|p| !without(p), 11, 20), 0, "the others were told");
     assert_eq!(sent(&without, 17, 20), 0, "and these are told once they are back");
-    let left = |(_, p): &&(Duration, Passed)| matches!(p, Passed::Left { .. });
+    let left = |(_, p): &&(Duration, Event)| matches!(p, Event::Left { .. });
     assert_eq!(played.record.passed.iter().filter(left).count(), lost.len());
 }
 
@@ -174,7 +174,7 @@
     let next = Box::new(move || Ok(past.next()));
     let played = play_by(&day, PlannedBy::Planner, Some(Recording { opening, apart: BTreeSet::new(), next }));
     let told = played.record.passed.iter().find_map(|(_, p)| match p {
-        Passed::ListTold(list) => Some(list.entries.len()),
+        Event::ListTold(list) => Some(list.entries.len()),
         _ => None,
     });
     assert_eq!(told, Some(count));
@@ -204,10 +204,10 @@
     let played = play_by(&day, PlannedBy::Planner, Some(recording));
     assert!(played.modelled.kept(), "{:?}", played.modelled.verdicts);
     let starts: BTreeSet<u64> = (played.record.passed.iter())
-        .filter_map(|(_, p)| if let Passed::Joined { start, .. } = p { Some(*start) } else { None })
+        .filter_map(|(_, p)| if let Event::Joined { start, .. } = p { Some(*start) } else { None })
         .collect();
     assert_eq!(starts.len(), 2, "two planners were joined");
-    let down = |(_, p): &&(Duration, Passed)| matches!(p, Passed::Down { .. });
+    let down = |(_, p): &&(Duration, Event)| matches!(p, Event::Down { .. });
     assert_eq!(played.record.passed.iter().filter(down).count(), 1, "an old list brings nothing back");
 }
 
@@ -255,8 +255,8 @@
     let mut lateness = std::collections::BTreeMap::new();
     for (at, p) in &played.record.passed {
         match p {
-            Passed::Asked { id, .. } => asked.push((*id, *at)),
-            Passed::Done { id, outcome: CallOutcome::Answered, .. } => {
+            Event::Asked { id, .. } => asked.push((*id, *at)),
+            Event::Done { id, outcome: CallOutcome::Answered, .. } => {
                 let due = asked.iter().find(|a| a.0 == *id).unwrap().1;
                 lateness.insert(due, *at - due);
             }
