--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -181,13 +181,13 @@
 }
 
 fn print_verdict(verdict: &Verdict) {
-    let Verdict { rule, first, breaches, checked } = verdict;
+    let Verdict { rule, first, violations, checked } = verdict;
     match first {
         // A rule that nothing tested was not kept either.
         None if *checked == 0 => println!("rule {rule}: not put to the test"),
         None => println!("rule {rule}: kept ({checked} checked)"),
         Some(breach) => {
-            println!("rule {rule}: BROKEN, {breaches} breaches ({checked} checked)");
+            println!("rule {rule}: BROKEN, {violations} breaches ({checked} checked)");
             println!("  first at {:.3} s: {}", breach.at.as_secs_f64(), breach.what);
             breach.before.iter().for_each(|line| println!("    before: {line}"));
         }
--- a/crates/invariants/src/check.rs
+++ b/crates/invariants/src/check.rs
@@ -73,7 +73,7 @@
 
 /// Where a rule was first broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     pub at: Duration,
     pub what: String,
     /// What passed just before, of the proxy or server concerned.
@@ -83,8 +83,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Verdict {
     pub rule: Rule,
-    pub first: Option<Breach>,
-    pub breaches: usize,
+    pub first: Option<Violation>,
+    pub violations: usize,
     /// How much there was to check: a rule that nothing put to the test was not kept, it was not met.
     pub checked: usize,
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Gathers the breaches of one rule.
+/// Gathers the violations of one rule.
 pub(crate) struct Pass<'a> {
     verdict: &'a mut Verdict,
     recent: &'a Recent,
@@ -117,7 +117,7 @@
 
     /// `concerns`: whether something that passed earlier belongs to the context.
     pub fn breach(&mut self, at: Duration, what: String, concerns: impl Fn(&Event) -> bool) {
-        self.verdict.breaches += 1;
+        self.verdict.violations += 1;
         if self.verdict.first.is_none() {
             let near = self.recent.0.iter().rev().filter(|(_, p)| concerns(p)).take(5);
             let mut before: Vec<String> = near
@@ -128,7 +128,7 @@
                 })
                 .collect();
             before.reverse();
-            self.verdict.first = Some(Breach { at, what, before });
+            self.verdict.first = Some(Violation { at, what, before });
         }
     }
 }
@@ -149,7 +149,7 @@
 impl Checker {
     pub fn new(facts: &Facts) -> Checker {
         let limits = facts.limits;
-        let verdict = |rule| Verdict { rule, first: None, breaches: 0, checked: 0 };
+        let verdict = |rule| Verdict { rule, first: None, violations: 0, checked: 0 };
         Checker {
             recent: Recent::default(),
             ear: Ear::default(),
@@ -163,7 +163,7 @@
     }
 
     /// What passes is told in the order of time, as nearly as the taps have it.
-    pub fn see(&mut self, at: Duration, passed: Event) {
+    pub fn observe(&mut self, at: Duration, passed: Event) {
         self.ear.hear(at, &passed);
         let [served, once, drained, cold, queue] = &mut self.verdicts;
         let recent = &self.recent;
@@ -184,6 +184,6 @@
 /// One verdict for each rule, over a record that was held whole.
 pub fn check(record: &Record, facts: &Facts) -> [Verdict; 5] {
     let mut checker = Checker::new(facts);
-    record.passed.iter().for_each(|(at, passed)| checker.see(*at, passed.clone()));
+    record.passed.iter().for_each(|(at, passed)| checker.observe(*at, passed.clone()));
     checker.verdicts()
 }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -16,5 +16,5 @@
 mod served;
 mod told;
 
-pub use check::{Breach, Checker, Facts, Limits, RouteFacts, Rule, Verdict, check};
+pub use check::{Checker, Facts, Limits, RouteFacts, Rule, Verdict, Violation, check};
 pub use record::{Event, List, Record};
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -191,7 +191,7 @@
     all.into_iter().for_each(|(at, p)| record.put(ms(at), p));
     let drained = &check(&record, &facts())[2];
     let first = drained.first.as_ref().unwrap();
-    assert_eq!((first.at, drained.breaches), (ms(6000), 1));
+    assert_eq!((first.at, drained.violations), (ms(6000), 1));
     assert!(first.what.contains("4.000 s after"), "{}", first.what);
     assert!(first.before.iter().any(|b| b.contains("Draining")), "{:?}", first.before);
 }
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -129,7 +129,7 @@
             seen(at, &passed);
             tally.record(at, &passed);
             if by == PlannedBy::Planner {
-                checker.see(at, passed);
+                checker.observe(at, passed);
             }
         }
         let due = model.agenda.borrow_mut().pop();
