--- a/crates/invariants/src/drained.rs
+++ b/crates/invariants/src/drain.rs
@@ -1,45 +1,56 @@
-//! Rule 3. The clock starts when the planner was told or when the proxy joined, whichever is later.
+//! Rule 3: a proxy stops sending to a draining or removed server within the grace. The grace starts when the planner
+//! learns of the drain or when the proxy joins, whichever is later.
 
-use crate::check::Pass;
+use crate::check::RuleReporter;
+use crate::planner_view::PlannerView;
 use crate::record::{Event, List};
-use crate::told::Ear;
 use grebespool_wire::EndpointState;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub(crate) struct Drained {
+/// Checks rule 3.
+pub(crate) struct Drain {
     grace: Duration,
+    /// By joined proxy: when it joined.
     joined: BTreeMap<u16, Duration>,
-    /// A planner that stood still is not told anything meanwhile, nor can it tell.
+    /// Begin and end of each stall, which doesn't count against the grace: a stalled planner receives and sends
+    /// nothing.
     stalls: Vec<(Duration, Duration)>,
 }
 
-impl Drained {
-    pub fn new(grace: Duration) -> Drained {
-        Drained { grace, joined: BTreeMap::new(), stalls: vec![] }
+impl Drain {
+    pub(crate) fn new(grace: Duration) -> Drain {
+        Drain { grace, joined: BTreeMap::new(), stalls: vec![] }
     }
 
-    pub fn see(&mut self, at: Duration, passed: &Event, ear: &Ear, pass: &mut Pass) {
-        match passed {
+    /// Checks one event.
+    pub(crate) fn observe(
+        &mut self,
+        at: Duration,
+        event: &Event,
+        planner_view: &PlannerView,
+        reporter: &mut RuleReporter,
+    ) {
+        match event {
             Event::Joined { proxy, .. } => drop(self.joined.insert(*proxy, at)),
             Event::Left { proxy } => drop(self.joined.remove(proxy)),
             Event::PlannerKilled => self.joined.clear(),
             Event::PlannerStalled => self.stalls.push((at, Duration::MAX)),
             Event::PlannerResumed => self.stalls.iter_mut().last().into_iter().for_each(|s| s.1 = at),
             Event::Sent { proxy, server, .. } => {
-                let (Some(since), Some((phase, told, _))) =
-                    (self.joined.get(proxy), ear.told.entries.get(server))
+                let (Some(joined_at), Some((phase, known_since, _))) =
+                    (self.joined.get(proxy), planner_view.list.entries.get(server))
                 else {
                     return;
                 };
                 if *phase == EndpointState::Ready {
                     return;
                 }
-                pass.checked();
-                let from = (*told).max(*since);
-                let still: Duration =
+                reporter.count_check();
+                let from = (*known_since).max(*joined_at);
+                let stalled: Duration =
                     self.stalls.iter().map(|s| s.1.min(at).saturating_sub(s.0.max(from))).sum();
-                let over = at.saturating_sub(from).saturating_sub(still);
+                let over = at.saturating_sub(from).saturating_sub(stalled);
                 if over > self.grace {
                     let (number, id) = (*proxy, *server);
                     let what = format!(
@@ -47,18 +58,18 @@
                         server.addr,
                         over.as_secs_f64()
                     );
-                    pass.breach(at, what, |p| match p {
+                    reporter.report_violation(at, what, |p| match p {
                         Event::Delivered { proxy, .. } | Event::Joined { proxy, .. } => *proxy == number,
                         Event::ListTold(List { entries, .. }) => entries.iter().any(|e| e.server == id),
                         _ => false,
                     });
                 }
             }
-            // Drains that were told count as checked even where all proxies had left the server in time.
+            // A drain counts as checked even if all proxies stopped sending to the server in time.
             Event::ListTold(List { entries, .. })
                 if entries.iter().any(|e| e.state != EndpointState::Ready) =>
             {
-                pass.checked();
+                reporter.count_check();
             }
             _ => {}
         }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,20 +1,18 @@
-//! Checks the five rules from a record of what passed on the sockets, at both ends of each, and from nothing
-//! that any planner remembers.
+//! Checks the five rules that a planner must keep, using only what was observed at both ends of the sockets and
+//! nothing that a planner reports about itself.
 //!
-//! A [`Record`] is written by taps on the streams and by the stand-ins' own ends of theirs; [`check`] gives a
-//! [`Verdict`] for each rule, with the first breach in its context. [`Checker`] does the same as things pass,
-//! without holding them.
-
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
+//! A [`Record`] collects the events of a day. The simulated and emulated servers, proxies and clients write it, and
+//! so do taps on the streams between proxies and planners. [`check`] returns one [`Verdict`] for each rule, with the
+//! first violation in its context. A [`Checker`] does the same event by event, without holding the record.
 
+mod at_most_once;
+mod availability;
 mod check;
-mod cold;
-mod drained;
-mod once;
-mod queue;
+mod drain;
+mod planner_view;
+mod queue_length;
 mod record;
-mod served;
-mod told;
+mod slow_start;
 
 pub use check::{Checker, Facts, Limits, RouteFacts, Rule, Verdict, Violation, check};
 pub use record::{Event, List, Record};
