--- a/crates/cli/benches/replaying.rs
+++ b/crates/cli/benches/replaying.rs
@@ -6,7 +6,7 @@
 
 use grebespool_replay::{Job, Recorded};
 use grebespool_settings::{Day, Span};
-use grebespool_simulation::{PlannedBy, model};
+use grebespool_simulation::{PlannedBy, simulate};
 use grebespool_trace::{Call, Event, Timed, Writer};
 use std::fs::File;
 use std::path::Path;
@@ -47,7 +47,7 @@
 fn pace(proxies: usize, servers: usize, calls_per_s: f64, seconds: u64) {
     let day = day(proxies, servers, calls_per_s, seconds);
     let began = Instant::now();
-    let played = model(&day, PlannedBy::Planner, None, &mut |_, _| {}).unwrap();
+    let played = simulate(&day, PlannedBy::Planner, None, &mut |_, _| {}).unwrap();
     let took = began.elapsed().as_secs_f64();
     println!(
         "| {proxies} x {servers} | {calls_per_s:.0} | {:.1} | {:.0} | {:.0} | {:.4} | {} | {:.0} |",
--- a/crates/cli/src/compare.rs
+++ b/crates/cli/src/compare.rs
@@ -6,7 +6,7 @@
 use grebespool_emulator::rehearse;
 use grebespool_server_model::ServiceLevel;
 use grebespool_settings::Day;
-use grebespool_simulation::{PlannedBy, model};
+use grebespool_simulation::{PlannedBy, simulate};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -102,7 +102,7 @@
         let played = rehearse(&day, host, None, None).map_err(CommandError::DayBrokeOff)?;
         days.rules_kept &= played.kept();
         days.on_sockets.push(played.service);
-        let played = model(&day, PlannedBy::Planner, None, &mut |_, _| {})?;
+        let played = simulate(&day, PlannedBy::Planner, None, &mut |_, _| {})?;
         days.rules_kept &= played.kept();
         days.simulated.push(played.service);
     }
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -37,7 +37,7 @@
     DayBrokeOff(io::Error),
     /// A day cannot be simulated.
     #[error(transparent)]
-    Simulation(#[from] grebespool_simulation::Unplayable),
+    Simulation(#[from] grebespool_simulation::SimulationError),
     /// Variants cannot be compared.
     #[error(transparent)]
     Replay(#[from] grebespool_replay::Unswept),
--- a/crates/replay/src/experiment.rs
+++ b/crates/replay/src/experiment.rs
@@ -5,7 +5,7 @@
 use crate::past::Recorded;
 use crate::report::{Page, rules, service, told, write_report};
 use crate::run::{Job, Outcome, Replays, Variant, run_all};
-use grebespool_simulation::Unplayable;
+use grebespool_simulation::SimulationError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -22,7 +22,7 @@
     #[error("{0}: another sweep is at work in this folder")]
     Taken(String),
     #[error(transparent)]
-    Unplayable(#[from] Unplayable),
+    Unplayable(#[from] SimulationError),
 }
 
 fn at(path: &Path) -> impl FnOnce(io::Error) -> Unswept {
@@ -126,7 +126,7 @@
         let mut jobs: Vec<(Job<'_>, String)> = vec![];
         for day in &self.days {
             let sum = day.recorded.as_ref().map(Recorded::sum).transpose();
-            let sum = sum.map_err(|flaw| Unplayable::Past(flaw.into()))?;
+            let sum = sum.map_err(|flaw| SimulationError::Recording(flaw.into()))?;
             for job in Replays::jobs(&day.variants, &self.seeds, day.recorded.as_ref()) {
                 let key = key(program, &job, sum.as_ref());
                 jobs.push((job, key));
--- a/crates/replay/src/past.rs
+++ b/crates/replay/src/past.rs
@@ -1,7 +1,7 @@
 //! Recorded days, as the model follows them: read as a stream, in the order of time, one block held.
 
 use grebespool_settings::{Day, Trouble, What};
-use grebespool_simulation::{FirstCall, Past, PastEntry, Recording};
+use grebespool_simulation::{FirstRequest, Input, RecordedEntry, Recording};
 use grebespool_trace::{Call, End, Event, Flaw, Listed, Phase, Reader, Timed};
 use grebespool_wire as wire;
 use rand::{Rng, SeedableRng};
@@ -88,7 +88,7 @@
     /// The settings in force, as the recorder had them.
     pub site: Option<String>,
     pub cut_off: bool,
-    opening: Option<Vec<PastEntry>>,
+    opening: Option<Vec<RecordedEntry>>,
     /// Which of the day's proxies stands for a recorded one.
     proxies: BTreeMap<u32, usize>,
     /// By a recorded proxy, when it first joined.
@@ -175,8 +175,8 @@
     Reader::new(BufReader::new(File::open(path)?), salvage)
 }
 
-fn entry(e: &Listed, unix_ms: u64) -> PastEntry {
-    PastEntry {
+fn entry(e: &Listed, unix_ms: u64) -> RecordedEntry {
+    RecordedEntry {
         server: e.server.clone(),
         number: e.number,
         zone: e.zone.clone(),
@@ -305,7 +305,7 @@
         // Who had not joined when the recording began was without the planner; who never joined, always.
         let apart = f.proxies.iter().filter(|(p, _)| f.first_joins.get(p).is_none_or(|at| *at > 0));
         let apart = if f.joins > 0 { apart.map(|p| *p.1).collect() } else { BTreeSet::new() };
-        let next = move || -> Result<Option<(Duration, Past)>, Box<dyn std::error::Error + Send + Sync>> {
+        let next = move || -> Result<Option<(Duration, Input)>, Box<dyn std::error::Error + Send + Sync>> {
             while let Some(timed) = events.next()? {
                 let at = Duration::from_micros(timed.at_us);
                 if let Some(past) = self.past(timed, &mut events) {
@@ -314,15 +314,15 @@
             }
             Ok(None)
         };
-        Ok(Recording { opening: f.opening.clone(), apart, next: Box::new(next) })
+        Ok(Recording { opening: f.opening.clone(), unjoined: apart, next: Box::new(next) })
     }
 
-    fn past(&self, timed: Timed, events: &mut Events) -> Option<Past> {
+    fn past(&self, timed: Timed, events: &mut Events) -> Option<Input> {
         let place = |proxy: &u32| self.found.proxies.get(proxy).copied();
         Some(match timed.event {
             Event::Call(call) if !call.repeat => {
                 let (work, _) = self.stated(call.route)?;
-                Past::Call(FirstCall {
+                Input::Call(FirstRequest {
                     due: Duration::from_micros(timed.at_us),
                     route: call.route,
                     key: call.key,
@@ -354,12 +354,12 @@
             }
             Event::List { version, base, now_ms, entries } => {
                 let entries = entries.iter().map(|e| entry(e, now_ms)).collect();
-                Past::List { version, base, entries }
+                Input::List { version, base, entries }
             }
-            Event::Joined { proxy, .. } => Past::Joined { proxy: place(&proxy)? },
-            Event::Left { proxy } => Past::Left { proxy: place(&proxy)? },
-            Event::Began { planner, .. } => Past::PlannerBegan { planner },
-            Event::PlannerLost { planner } => Past::PlannerLost { planner },
+            Event::Joined { proxy, .. } => Input::Joined { proxy: place(&proxy)? },
+            Event::Left { proxy } => Input::Left { proxy: place(&proxy)? },
+            Event::Began { planner, .. } => Input::PlannerBegan { planner },
+            Event::PlannerLost { planner } => Input::PlannerLost { planner },
             Event::Call(_) | Event::Gap { .. } => return None,
         })
     }
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -4,7 +4,7 @@
 use grebespool_invariants::Verdict;
 use grebespool_server_model::ServiceLevel;
 use grebespool_settings::Day;
-use grebespool_simulation::{PlannedBy, Unplayable, model};
+use grebespool_simulation::{PlannedBy, SimulationError, simulate};
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -38,12 +38,12 @@
     /// # Errors
     ///
     /// A deployment of a kind that nothing is decided for; a recording that cannot be read.
-    pub fn run(&self) -> Result<Outcome, Unplayable> {
+    pub fn run(&self) -> Result<Outcome, SimulationError> {
         let mut day = self.day.clone();
         day.seed = self.seed;
         let recording = self.recorded.map(Recorded::begin).transpose();
-        let recording = recording.map_err(|flaw| Unplayable::Past(flaw.into()))?;
-        let played = model(&day, self.by, recording, &mut |_, _| {})?;
+        let recording = recording.map_err(|flaw| SimulationError::Recording(flaw.into()))?;
+        let played = simulate(&day, self.by, recording, &mut |_, _| {})?;
         let broken = |v: &Verdict| {
             let first = v.first.as_ref()?;
             Some((v.rule.to_string(), format!("at {:.3} s: {}", first.at.as_secs_f64(), first.what)))
@@ -67,9 +67,9 @@
     jobs: &[Job<'_>],
     threads: usize,
     done: &(dyn Fn(usize, &Outcome) + Sync),
-) -> Result<Vec<Outcome>, Unplayable> {
+) -> Result<Vec<Outcome>, SimulationError> {
     let next = AtomicUsize::new(0);
-    let results: Mutex<Vec<Option<Result<Outcome, Unplayable>>>> =
+    let results: Mutex<Vec<Option<Result<Outcome, SimulationError>>>> =
         Mutex::new((0..jobs.len()).map(|_| None).collect());
     std::thread::scope(|scope| {
         for _ in 0..threads.clamp(1, jobs.len().max(1)) {
@@ -155,7 +155,7 @@
     recorded: Option<&Recorded>,
     threads: usize,
     done: &(dyn Fn(usize) + Sync),
-) -> Result<Replays, Unplayable> {
+) -> Result<Replays, SimulationError> {
     let over = AtomicUsize::new(0);
     let jobs = Replays::jobs(variants, seeds, recorded);
     let outcomes = run_all(&jobs, threads, &|_, _| done(over.fetch_add(1, Ordering::Relaxed) + 1))?;
--- a/crates/replay/tests/replay.rs
+++ b/crates/replay/tests/replay.rs
@@ -7,7 +7,7 @@
     Experiment, Gain, Kept, Recorded, SweptDay, Unswept, Variant, gain_of, replay, write_report,
 };
 use grebespool_settings::{Day, Deployment, What, deployment_text};
-use grebespool_simulation::Past;
+use grebespool_simulation::Input;
 use grebespool_trace::{Call, Event, Listed, Phase, Timed, Writer};
 use rstest::rstest;
 use std::time::Duration;
@@ -109,7 +109,7 @@
     file
 }
 
-fn pasts(recorded: &Recorded) -> Vec<(Duration, Past)> {
+fn pasts(recorded: &Recorded) -> Vec<(Duration, Input)> {
     let mut recording = recorded.begin().unwrap();
     std::iter::from_fn(|| (recording.next)().unwrap()).collect()
 }
@@ -132,7 +132,7 @@
     assert!(f.lines().iter().any(|l| l.contains("can't be known")), "{:?}", f.lines());
     let calls = pasts(&recorded);
     assert_eq!(calls.len(), 6);
-    let Past::Call(first) = &calls[0].1 else { panic!("{calls:?}") };
+    let Input::Call(first) = &calls[0].1 else { panic!("{calls:?}") };
     assert_eq!((first.proxy, first.work), (40 % 12, day.callers[0].work.0));
     let spread: Vec<u64> = calls[2..].iter().map(|c| (c.0.as_millis() as u64) - 9_000).collect();
     assert_eq!(spread, [62, 187, 312, 437], "counted calls lie evenly in a cycle of 500 ms");
@@ -179,13 +179,13 @@
     let left: Vec<_> = pasts(&recorded)
         .into_iter()
         .filter_map(|p| match p.1 {
-            Past::Joined { proxy } | Past::Left { proxy } => Some(proxy),
+            Input::Joined { proxy } | Input::Left { proxy } => Some(proxy),
             _ => None,
         })
         .collect();
     assert_eq!(left, [6, 7, 0, 6]);
     let recording = recorded.begin().unwrap();
-    assert_eq!(recording.apart.into_iter().collect::<Vec<_>>(), [0, 2, 6, 7]);
+    assert_eq!(recording.unjoined.into_iter().collect::<Vec<_>>(), [0, 2, 6, 7]);
     assert_eq!(recording.opening.map(|o| o.len()), Some(2));
 }
 
--- a/crates/simulation/src/agenda.rs
+++ b/crates/simulation/src/agenda.rs
@@ -22,7 +22,7 @@
     Wake,
     Caller(usize),
     /// The next of the recorded day.
-    Past(crate::past::Past),
+    Recorded(crate::past::Input),
     Attempt(u64),
     Connect {
         id: TryId,
--- a/crates/simulation/src/calls.rs
+++ b/crates/simulation/src/calls.rs
@@ -9,7 +9,7 @@
 
 /// A first call of a recorded day: repeats follow from what becomes of it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FirstCall {
+pub struct FirstRequest {
     pub due: Duration,
     pub route: u8,
     pub key: u64,
@@ -43,21 +43,21 @@
         let proxies = &self.by_zone[usize::from(self.zone(&k.zone))];
         let proxy = proxies[self.caller_rng.random_range(0..proxies.len())];
         let key = self.caller_rng.random_range(0..k.keys);
-        let first = FirstCall { due: now, route: k.route as u8, key, work: k.work.0, proxy };
+        let first = FirstRequest { due: now, route: k.route as u8, key, work: k.work.0, proxy };
         self.begin_call(kind, first);
     }
 
     /// A recorded day's call; its route's callers say how often, and after what waits, it comes again.
-    pub fn past_call(&mut self, first: FirstCall) {
+    pub fn past_call(&mut self, first: FirstRequest) {
         let of_route = |c: &grebespool_settings::CallerKind| c.route == usize::from(first.route);
         if let Some(kind) = self.day.callers.iter().position(of_route) {
             self.begin_call(kind, first);
         }
     }
 
-    pub fn begin_call(&mut self, kind: usize, first: FirstCall) {
+    pub fn begin_call(&mut self, kind: usize, first: FirstRequest) {
         self.calls_made += 1;
-        let (id, FirstCall { due, route, key, work, proxy }) = (self.calls_made, first);
+        let (id, FirstRequest { due, route, key, work, proxy }) = (self.calls_made, first);
         let (work_us, zone) = (work.as_micros() as u32, self.proxies[proxy].zone);
         let asked = Event::Asked { id, route, zone, key, work_us, proxy: proxy as u16 };
         self.agenda.borrow_mut().passed.push((due, asked));
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -13,6 +13,6 @@
 mod servers;
 mod troubles;
 
-pub use calls::FirstCall;
-pub use past::{Past, PastEntry, Recording};
-pub use play::{Modelled, PlannedBy, Unplayable, model};
+pub use calls::FirstRequest;
+pub use past::{Input, RecordedEntry, Recording};
+pub use play::{PlannedBy, SimulatedDay, SimulationError, simulate};
--- a/crates/simulation/src/past.rs
+++ b/crates/simulation/src/past.rs
@@ -1,8 +1,8 @@
 //! A recorded day: its calls, its lists, who lost the planner and when, in place of the day's own.
 
 use crate::agenda::{Due, HOP};
-use crate::calls::FirstCall;
-use crate::play::{Model, Unplayable};
+use crate::calls::FirstRequest;
+use crate::play::{Model, SimulationError};
 use grebespool_wire::{EndpointEntry, EndpointState};
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -10,7 +10,7 @@
 
 /// A server as a recorded list had it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PastEntry {
+pub struct RecordedEntry {
     /// Its address, or what stands for it.
     pub server: String,
     pub number: u32,
@@ -22,13 +22,13 @@
 
 /// What happened on a recorded day.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Past {
-    Call(FirstCall),
+pub enum Input {
+    Call(FirstRequest),
     /// The planner was told a list, whole (`base` 0) or its changes.
     List {
         version: u64,
         base: u64,
-        entries: Vec<PastEntry>,
+        entries: Vec<RecordedEntry>,
     },
     /// A proxy was with the planner from here on, or without.
     Joined {
@@ -46,23 +46,23 @@
 }
 
 /// What happens next on a recorded day and when, `None` after its last.
-pub type NextPast<'a> = dyn FnMut() -> Result<Option<(Duration, Past)>, Box<dyn Error + Send + Sync>> + 'a;
+pub type NextInput<'a> = dyn FnMut() -> Result<Option<(Duration, Input)>, Box<dyn Error + Send + Sync>> + 'a;
 
 /// A recorded day, told piece by piece.
 pub struct Recording<'a> {
     /// The first whole list, where lists were recorded: the day begins with it.
-    pub opening: Option<Vec<PastEntry>>,
+    pub opening: Option<Vec<RecordedEntry>>,
     /// Proxies that were without the planner at first, where joins were recorded.
-    pub apart: BTreeSet<usize>,
+    pub unjoined: BTreeSet<usize>,
     /// In the order of time.
-    pub next: Box<NextPast<'a>>,
+    pub next: Box<NextInput<'a>>,
 }
 
 impl Model<'_> {
     /// Puts the day's servers in the places of those that the recording names.
     pub fn begin_past(&mut self) {
         let Some(recording) = &self.recording else { return };
-        let (opening, apart) = (recording.opening.clone(), recording.apart.clone());
+        let (opening, apart) = (recording.opening.clone(), recording.unjoined.clone());
         apart.iter().filter(|p| **p < self.proxies.len()).for_each(|p| {
             self.agenda.borrow_mut().ways[*p].closed = true;
         });
@@ -85,7 +85,7 @@
 
     /// The server in the place of one that is recorded: one of the day's in its zone that has no place yet, or
     /// a further one of the zone's first kind. `None` for a zone that the day does not have.
-    fn place(&mut self, entry: &PastEntry) -> Option<usize> {
+    fn place(&mut self, entry: &RecordedEntry) -> Option<usize> {
         if let Some(place) = self.known.get(&entry.server) {
             return Some(*place);
         }
@@ -97,26 +97,26 @@
         Some(place)
     }
 
-    pub fn next_past(&mut self) -> Result<(), Unplayable> {
+    pub fn next_past(&mut self) -> Result<(), SimulationError> {
         let Some(recording) = &mut self.recording else { return Ok(()) };
-        if let Some((at, past)) = (recording.next)().map_err(Unplayable::Past)? {
-            self.agenda.borrow_mut().at(at, Due::Past(past));
+        if let Some((at, past)) = (recording.next)().map_err(SimulationError::Recording)? {
+            self.agenda.borrow_mut().at(at, Due::Recorded(past));
         }
         Ok(())
     }
 
-    pub fn past(&mut self, past: Past) {
+    pub fn past(&mut self, past: Input) {
         match past {
-            Past::Call(call) => self.past_call(call),
-            Past::List { version, base, entries } => self.past_list(version, base, &entries),
-            Past::Joined { proxy } => self.keep_apart(proxy, false),
-            Past::Left { proxy } => self.keep_apart(proxy, true),
-            Past::PlannerBegan { planner } => {
+            Input::Call(call) => self.past_call(call),
+            Input::List { version, base, entries } => self.past_list(version, base, &entries),
+            Input::Joined { proxy } => self.keep_apart(proxy, false),
+            Input::Left { proxy } => self.keep_apart(proxy, true),
+            Input::PlannerBegan { planner } => {
                 if self.planners.insert(planner) && self.engine.is_none() {
                     self.start_planner();
                 }
             }
-            Past::PlannerLost { planner } => {
+            Input::PlannerLost { planner } => {
                 self.planners.remove(&planner);
                 // With several planners recorded, proxies of one that is lost are told of one by one.
                 if self.planners.is_empty() && self.engine.is_some() {
@@ -126,7 +126,7 @@
         }
     }
 
-    fn past_list(&mut self, version: u64, base: u64, entries: &[PastEntry]) {
+    fn past_list(&mut self, version: u64, base: u64, entries: &[RecordedEntry]) {
         if version <= self.past_version && self.past_version > 0 {
             // The same again tells nothing; an older one is told to the planner as what it is. Where several
             // planners were recorded each has its own delay, and none of them was told an old one by that.
@@ -166,7 +166,7 @@
     }
 
     /// The server becomes what the entry says of it. Gives the phase in which it is to be listed anew.
-    fn take_past(&mut self, s: usize, entry: &PastEntry) -> Option<EndpointState> {
+    fn take_past(&mut self, s: usize, entry: &RecordedEntry) -> Option<EndpointState> {
         let up = self.servers[s].machine.is_some();
         let was = self.list.entries.get(&self.servers[s].id).map(|e| e.state);
         match entry.phase {
--- a/crates/simulation/src/play.rs
+++ b/crates/simulation/src/play.rs
@@ -23,14 +23,14 @@
 use thiserror::Error;
 
 /// A day that was played under the simulated clock.
-pub struct Modelled {
+pub struct SimulatedDay {
     pub verdicts: [Verdict; 5],
     pub service: ServiceLevel,
     /// Events of the model that were handled.
     pub events: u64,
 }
 
-impl Modelled {
+impl SimulatedDay {
     pub fn kept(&self) -> bool {
         self.verdicts.iter().all(|v| v.first.is_none())
     }
@@ -50,12 +50,12 @@
 
 /// Why a day cannot be played.
 #[derive(Debug, Error)]
-pub enum Unplayable {
+pub enum SimulationError {
     /// A deployment of a kind that nothing is decided for.
     #[error(transparent)]
     Unsupported(#[from] UnsupportedDeploymentError),
     #[error("the recorded day: {0}")]
-    Past(Box<dyn std::error::Error + Send + Sync>),
+    Recording(Box<dyn std::error::Error + Send + Sync>),
 }
 
 /// What of a leader's memory the next one begins with.
@@ -111,12 +111,12 @@
 /// # Errors
 ///
 /// A deployment of a kind that nothing is decided for, and a recording that cannot be read to its end.
-pub fn model(
+pub fn simulate(
     day: &Day,
     by: PlannedBy,
     recording: Option<Recording<'_>>,
     seen: &mut dyn FnMut(Duration, &Event),
-) -> Result<Modelled, Unplayable> {
+) -> Result<SimulatedDay, SimulationError> {
     let mut model = Model::new(day, by, recording);
     let (mut checker, mut tally) =
         (Checker::new(&invariant_facts(day)), ServiceLevelRecorder::new(&day.deployment));
@@ -140,7 +140,7 @@
         events += 1;
         model.handle(due)?;
     }
-    Ok(Modelled { verdicts: checker.verdicts(), service: tally.finish(), events })
+    Ok(SimulatedDay { verdicts: checker.verdicts(), service: tally.finish(), events })
 }
 
 fn longest(day: &Day) -> Duration {
@@ -228,7 +228,7 @@
         }
     }
 
-    fn open(&mut self) -> Result<(), Unplayable> {
+    fn open(&mut self) -> Result<(), SimulationError> {
         self.begin_past();
         let all: Vec<usize> =
             (0..self.servers.len()).filter(|s| self.servers[*s].machine.is_some()).collect();
@@ -350,7 +350,7 @@
         }
     }
 
-    fn handle(&mut self, due: Due) -> Result<(), Unplayable> {
+    fn handle(&mut self, due: Due) -> Result<(), SimulationError> {
         let for_planner = matches!(
             due,
             Due::Wake
@@ -373,7 +373,7 @@
                 }
             }
             Due::Caller(kind) => self.caller(kind),
-            Due::Past(past) => {
+            Due::Recorded(past) => {
                 self.past(past);
                 self.next_past()?;
             }
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -5,7 +5,9 @@
 
 use grebespool_invariants::{Event, Record, Rule};
 use grebespool_settings::{Day, What};
-use grebespool_simulation::{FirstCall, Modelled, Past, PastEntry, PlannedBy, Recording, model};
+use grebespool_simulation::{
+    FirstRequest, Input, PlannedBy, RecordedEntry, Recording, SimulatedDay, simulate,
+};
 use grebespool_wire::{CallOutcome, EndpointState};
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -21,13 +23,13 @@
 
 /// A day that was played, and all that passed.
 struct Played {
-    modelled: Modelled,
+    modelled: SimulatedDay,
     record: Record,
 }
 
 fn play_by(day: &Day, by: PlannedBy, recording: Option<Recording<'_>>) -> Played {
     let mut record = Record::default();
-    let modelled = model(day, by, recording, &mut |at, passed| record.put(at, passed.clone())).unwrap();
+    let modelled = simulate(day, by, recording, &mut |at, passed| record.put(at, passed.clone())).unwrap();
     Played { modelled, record }
 }
 
@@ -36,16 +38,16 @@
 }
 
 /// A recorded day without lists or joins.
-fn recording<'a>(past: Vec<(Duration, Past)>) -> Recording<'a> {
+fn recording<'a>(past: Vec<(Duration, Input)>) -> Recording<'a> {
     let mut past = past.into_iter();
-    Recording { opening: None, apart: BTreeSet::new(), next: Box::new(move || Ok(past.next())) }
+    Recording { opening: None, unjoined: BTreeSet::new(), next: Box::new(move || Ok(past.next())) }
 }
 
-fn calls(count: u64, from: Duration, every: Duration, proxies: usize) -> Vec<(Duration, Past)> {
+fn calls(count: u64, from: Duration, every: Duration, proxies: usize) -> Vec<(Duration, Input)> {
     let call = |i: u64| {
         let due = from + every * i as u32;
         let (route, work) = ((i % 3) as u8, Duration::from_millis(40));
-        (due, Past::Call(FirstCall { due, route, key: i, work, proxy: i as usize % proxies }))
+        (due, Input::Call(FirstRequest { due, route, key: i, work, proxy: i as usize % proxies }))
     };
     (0..count).map(call).collect()
 }
@@ -104,8 +106,8 @@
     assert!(crowded.modelled.service.overall < calm.modelled.service.overall);
 }
 
-fn ready(day: &Day, by_zone: &[(&str, usize)]) -> Vec<PastEntry> {
-    let one = |zone: &str, i: usize| PastEntry {
+fn ready(day: &Day, by_zone: &[(&str, usize)]) -> Vec<RecordedEntry> {
+    let one = |zone: &str, i: usize| RecordedEntry {
         server: format!("{zone}-{i}"),
         number: 1,
         zone: zone.into(),
@@ -130,15 +132,16 @@
     let lost = [1, 4, 5, 8, 11];
     let mut past = calls(1500, Duration::from_secs(2), Duration::from_millis(10), 12);
     let at = Duration::from_secs;
-    past.extend(lost.iter().map(|p| (at(6), Past::Left { proxy: *p })));
-    let entry = |phase| PastEntry { phase, ..ready(&day, &[("east", 1)]).remove(0) };
-    past.push((at(8), Past::List { version: 2, base: 1, entries: vec![entry(EndpointState::Draining)] }));
-    past.extend(lost.iter().map(|p| (at(15), Past::Joined { proxy: *p })));
+    past.extend(lost.iter().map(|p| (at(6), Input::Left { proxy: *p })));
+    let entry = |phase| RecordedEntry { phase, ..ready(&day, &[("east", 1)]).remove(0) };
+    past.push((at(8), Input::List { version: 2, base: 1, entries: vec![entry(EndpointState::Draining)] }));
+    past.extend(lost.iter().map(|p| (at(15), Input::Joined { proxy: *p })));
     past.sort_by_key(|p| p.0);
     let mut past = past.into_iter();
     let opening = Some(ready(&day, &[("east", 4), ("west", 5)]));
     let next = Box::new(move || Ok(past.next()));
-    let played = play_by(&day, PlannedBy::Planner, Some(Recording { opening, apart: BTreeSet::new(), next }));
+    let played =
+        play_by(&day, PlannedBy::Planner, Some(Recording { opening, unjoined: BTreeSet::new(), next }));
     assert!(played.modelled.kept(), "{:?}", played.modelled.verdicts);
     let draining = (played.record.passed.iter()).find_map(|(_, p)| match p {
         Event::ListTold(list) => {
@@ -172,7 +175,8 @@
     let mut past = past.into_iter();
     let opening = Some(ready(&day, by_zone));
     let next = Box::new(move || Ok(past.next()));
-    let played = play_by(&day, PlannedBy::Planner, Some(Recording { opening, apart: BTreeSet::new(), next }));
+    let played =
+        play_by(&day, PlannedBy::Planner, Some(Recording { opening, unjoined: BTreeSet::new(), next }));
     let told = played.record.passed.iter().find_map(|(_, p)| match p {
         Event::ListTold(list) => Some(list.entries.len()),
         _ => None,
@@ -187,20 +191,20 @@
     let at = Duration::from_secs;
     let mut past = calls(1500, at(2), Duration::from_millis(10), 12);
     let opening = ready(&day, &[("east", 4), ("west", 5)]);
-    let gone = PastEntry { phase: EndpointState::Removed, ..opening[0].clone() };
-    let never = PastEntry { server: "nobody".into(), ..gone.clone() };
+    let gone = RecordedEntry { phase: EndpointState::Removed, ..opening[0].clone() };
+    let never = RecordedEntry { server: "nobody".into(), ..gone.clone() };
     past.extend([
-        (at(0), Past::PlannerBegan { planner: 1 }),
-        (at(0), Past::List { version: 4, base: 0, entries: opening.clone() }),
-        (at(5), Past::PlannerLost { planner: 1 }),
-        (at(9), Past::PlannerBegan { planner: 2 }),
-        (at(12), Past::List { version: 5, base: 4, entries: vec![gone, never] }),
-        (at(14), Past::List { version: 4, base: 0, entries: opening.clone() }),
+        (at(0), Input::PlannerBegan { planner: 1 }),
+        (at(0), Input::List { version: 4, base: 0, entries: opening.clone() }),
+        (at(5), Input::PlannerLost { planner: 1 }),
+        (at(9), Input::PlannerBegan { planner: 2 }),
+        (at(12), Input::List { version: 5, base: 4, entries: vec![gone, never] }),
+        (at(14), Input::List { version: 4, base: 0, entries: opening.clone() }),
     ]);
     past.sort_by_key(|p| p.0);
     let mut past = past.into_iter();
     let next = Box::new(move || Ok(past.next()));
-    let recording = Recording { opening: Some(opening), apart: BTreeSet::new(), next };
+    let recording = Recording { opening: Some(opening), unjoined: BTreeSet::new(), next };
     let played = play_by(&day, PlannedBy::Planner, Some(recording));
     assert!(played.modelled.kept(), "{:?}", played.modelled.verdicts);
     let starts: BTreeSet<u64> = (played.record.passed.iter())
@@ -248,8 +252,8 @@
     day.troubles = vec![slow];
     let due = |i: u64| Duration::from_secs(4) + gap * i as u32;
     let count = 600;
-    let call = |i: u64| FirstCall { due: due(i), route: 2, key: i, work, proxy: 0 };
-    let past = (0..count).map(|i| (due(i), Past::Call(call(i)))).collect();
+    let call = |i: u64| FirstRequest { due: due(i), route: 2, key: i, work, proxy: 0 };
+    let past = (0..count).map(|i| (due(i), Input::Call(call(i)))).collect();
     let played = play_by(&day, PlannedBy::Evenly, Some(recording(past)));
     let mut asked = vec![];
     let mut lateness = std::collections::BTreeMap::new();
