--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,18 +1,16 @@
-//! A model of the deployments that a planner serves: callers, links, proxies, servers and the list as discrete
-//! events on one clock, around the very engine and module that serve on sockets. One seed, integer time, no
-//! sockets: the same day gives the same record, byte for byte, whatever else the machine does.
+//! A discrete-event simulation of a deployment: clients, links, proxies, servers and the server list on one simulated
+//! clock, around the same controller that serves on sockets. It uses one seed, integer time and no sockets, so the
+//! same day gives the same record, byte for byte, whatever else the machine does.
 
-#![allow(missing_docs, unreachable_pub, clippy::restriction, clippy::pedantic)] // not yet read through
-
-mod agenda;
-mod best;
-mod calls;
-mod past;
-mod play;
+mod baselines;
+mod event_queue;
+mod faults;
+mod model;
 mod proxies;
+mod recorded_day;
+mod requests;
 mod servers;
-mod troubles;
 
-pub use calls::FirstRequest;
-pub use past::{Input, RecordedEntry, Recording};
-pub use play::{PlannedBy, SimulatedDay, SimulationError, simulate};
+pub use model::{PlannedBy, SimulatedDay, SimulationError, simulate};
+pub use recorded_day::{Input, RecordedEntry, Recording};
+pub use requests::FirstRequest;
--- a/crates/simulation/tests/model.rs
+++ b/crates/simulation/tests/model.rs
@@ -1,7 +1,7 @@
-//! The model: the same day twice, on one thread and on four; rules kept and breaches caught; recorded days.
+//! The simulation: it is deterministic on any number of threads, keeps the rules, finds violations and follows recorded
+//! days.
 
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
-#![allow(clippy::pedantic)] // not yet read through
 
 use grebespool_invariants::{Event, Record, Rule};
 use grebespool_settings::{Day, What};
@@ -21,26 +21,26 @@
     day
 }
 
-/// A day that was played, and all that passed.
-struct Played {
-    modelled: SimulatedDay,
+/// A simulated day and its record.
+struct Run {
+    result: SimulatedDay,
     record: Record,
 }
 
-fn play_by(day: &Day, by: PlannedBy, recording: Option<Recording<'_>>) -> Played {
+fn run_by(day: &Day, by: PlannedBy, recording: Option<Recording<'_>>) -> Run {
     let mut record = Record::default();
-    let modelled = simulate(day, by, recording, &mut |at, passed| record.put(at, passed.clone())).unwrap();
-    Played { modelled, record }
+    let result = simulate(day, by, recording, &mut |at, passed| record.put(at, passed.clone())).unwrap();
+    Run { result, record }
 }
 
-fn play(day: &Day) -> Played {
-    play_by(day, PlannedBy::Planner, None)
+fn run(day: &Day) -> Run {
+    run_by(day, PlannedBy::Planner, None)
 }
 
-/// A recorded day without lists or joins.
-fn recording<'a>(past: Vec<(Duration, Input)>) -> Recording<'a> {
-    let mut past = past.into_iter();
-    Recording { opening: None, unjoined: BTreeSet::new(), next: Box::new(move || Ok(past.next())) }
+/// Returns a recorded day without lists or joins.
+fn recording<'a>(inputs: Vec<(Duration, Input)>) -> Recording<'a> {
+    let mut inputs = inputs.into_iter();
+    Recording { opening: None, unjoined: BTreeSet::new(), next: Box::new(move || Ok(inputs.next())) }
 }
 
 fn calls(count: u64, from: Duration, every: Duration, proxies: usize) -> Vec<(Duration, Input)> {
@@ -53,57 +53,57 @@
 }
 
 #[rstest]
-fn the_bad_day_keeps_the_rules_and_is_the_same_twice_and_on_any_threads() {
+fn the_bad_day_keeps_the_rules_and_is_identical_on_repeat_and_on_several_threads() {
     let day = bad_day(11);
-    let first = play(&day);
-    let broken: Vec<_> = first.modelled.verdicts.iter().filter(|v| v.first.is_some()).collect();
+    let first = run(&day);
+    let broken: Vec<_> = first.result.verdicts.iter().filter(|v| v.first.is_some()).collect();
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(first.modelled.verdicts.iter().all(|v| v.checked > 0));
-    assert!(first.modelled.service.overall > 0.8, "service {:.3}", first.modelled.service.overall);
-    let four: Vec<Played> = std::thread::scope(|scope| {
-        let runs: Vec<_> = (0..4).map(|_| scope.spawn(|| play(&day))).collect();
+    assert!(first.result.verdicts.iter().all(|v| v.checked > 0));
+    assert!(first.result.service.overall > 0.8, "service {:.3}", first.result.service.overall);
+    let four: Vec<Run> = std::thread::scope(|scope| {
+        let runs: Vec<_> = (0..4).map(|_| scope.spawn(|| run(&day))).collect();
         runs.into_iter().map(|r| r.join().unwrap()).collect()
     });
     for again in four {
         assert!(again.record.passed == first.record.passed, "another record of the same day");
-        assert_eq!(again.modelled.events, first.modelled.events);
+        assert_eq!(again.result.events, first.result.events);
     }
-    let other = play(&bad_day(12));
+    let other = run(&bad_day(12));
     assert!(other.record.passed != first.record.passed, "another seed changed nothing");
 }
 
 #[rstest]
-fn a_grace_that_no_planner_could_keep_is_seen_to_be_broken() {
+fn a_grace_that_no_planner_can_keep_is_reported_as_violated() {
     let mut day = bad_day(11);
     day.rules.grace.0 = Duration::from_millis(20);
     let broken: Vec<Rule> =
-        play(&day).modelled.verdicts.iter().filter(|v| v.first.is_some()).map(|v| v.rule).collect();
+        run(&day).result.verdicts.iter().filter(|v| v.first.is_some()).map(|v| v.rule).collect();
     assert!(broken.contains(&Rule::Drained), "{broken:?}");
 }
 
 #[rstest]
-fn repeats_follow_what_becomes_of_recorded_first_calls() {
+fn clients_repeat_recorded_requests_by_their_simulated_outcome() {
     let mut day = bad_day(11);
     day.troubles.clear();
     day.length.0 = Duration::from_secs(20);
     let every = Duration::from_millis(15);
-    let past = || recording(calls(1000, Duration::from_secs(2), every, 12));
-    let repeats = |played: &Played| {
+    let inputs = || recording(calls(1000, Duration::from_secs(2), every, 12));
+    let repeats = |run: &Run| {
         let again = |p: &Event| matches!(p, Event::Sent { call, .. } if call.attempt > 0);
-        let sent = played.record.passed.iter().filter(|(_, p)| again(p)).count();
-        let asked = played.record.passed.iter().filter(|(_, p)| matches!(p, Event::Asked { .. })).count();
+        let sent = run.record.passed.iter().filter(|(_, p)| again(p)).count();
+        let asked = run.record.passed.iter().filter(|(_, p)| matches!(p, Event::Asked { .. })).count();
         assert_eq!(asked, 1000);
         sent
     };
-    let calm = play_by(&day, PlannedBy::Planner, Some(past()));
-    // With every server slow to a crawl the same first calls come again.
+    let calm = run_by(&day, PlannedBy::Planner, Some(inputs()));
+    // With every server much slower, clients repeat the same requests.
     for server in &mut day.servers {
         (server.speed, server.room) = (server.speed / 14.0, 4);
     }
-    let crowded = play_by(&day, PlannedBy::Planner, Some(past()));
+    let crowded = run_by(&day, PlannedBy::Planner, Some(inputs()));
     assert!(repeats(&calm) < 20, "{} repeats on a calm day", repeats(&calm));
     assert!(repeats(&crowded) > 100, "{} repeats on a crowded day", repeats(&crowded));
-    assert!(crowded.modelled.service.overall < calm.modelled.service.overall);
+    assert!(crowded.result.service.overall < calm.result.service.overall);
 }
 
 fn ready(day: &Day, by_zone: &[(&str, usize)]) -> Vec<RecordedEntry> {
@@ -126,24 +126,23 @@
 }
 
 #[rstest]
-fn proxies_that_lost_the_planner_go_on_with_the_tables_that_they_had() {
+fn proxies_that_lost_the_planner_keep_using_their_tables() {
     let day = quiet_day(20);
-    // 41 of 100: five of twelve. They leave before a server drains, and are back after it is gone.
+    // Five of twelve proxies leave before a server drains, and rejoin later.
     let lost = [1, 4, 5, 8, 11];
-    let mut past = calls(1500, Duration::from_secs(2), Duration::from_millis(10), 12);
+    let mut inputs = calls(1500, Duration::from_secs(2), Duration::from_millis(10), 12);
     let at = Duration::from_secs;
-    past.extend(lost.iter().map(|p| (at(6), Input::Left { proxy: *p })));
+    inputs.extend(lost.iter().map(|p| (at(6), Input::Left { proxy: *p })));
     let entry = |phase| RecordedEntry { phase, ..ready(&day, &[("east", 1)]).remove(0) };
-    past.push((at(8), Input::List { version: 2, base: 1, entries: vec![entry(EndpointState::Draining)] }));
-    past.extend(lost.iter().map(|p| (at(15), Input::Joined { proxy: *p })));
-    past.sort_by_key(|p| p.0);
-    let mut past = past.into_iter();
+    inputs.push((at(8), Input::List { version: 2, base: 1, entries: vec![entry(EndpointState::Draining)] }));
+    inputs.extend(lost.iter().map(|p| (at(15), Input::Joined { proxy: *p })));
+    inputs.sort_by_key(|p| p.0);
+    let mut inputs = inputs.into_iter();
     let opening = Some(ready(&day, &[("east", 4), ("west", 5)]));
-    let next = Box::new(move || Ok(past.next()));
-    let played =
-        play_by(&day, PlannedBy::Planner, Some(Recording { opening, unjoined: BTreeSet::new(), next }));
-    assert!(played.modelled.kept(), "{:?}", played.modelled.verdicts);
-    let draining = (played.record.passed.iter()).find_map(|(_, p)| match p {
+    let next = Box::new(move || Ok(inputs.next()));
+    let run = run_by(&day, PlannedBy::Planner, Some(Recording { opening, unjoined: BTreeSet::new(), next }));
+    assert!(run.result.kept(), "{:?}", run.result.verdicts);
+    let draining = (run.record.passed.iter()).find_map(|(_, p)| match p {
         Event::ListTold(list) => {
             list.entries.iter().find(|e| e.state == EndpointState::Draining).map(|e| e.server)
         }
@@ -156,44 +155,43 @@
             }
             _ => false,
         };
-        played.record.passed.iter().filter(counts).count()
+        run.record.passed.iter().filter(counts).count()
     };
     let without = |p: usize| lost.contains(&p);
-    assert!(sent(&without, 11, 15) > 5, "they go on with what they held");
-    assert_eq!(sent(&|p| !without(p), 11, 20), 0, "the others were told");
-    assert_eq!(sent(&without, 17, 20), 0, "and these are told once they are back");
+    assert!(sent(&without, 11, 15) > 5, "proxies without a planner keep sending to the server");
+    assert_eq!(sent(&|p| !without(p), 11, 20), 0, "the other proxies stop sending");
+    assert_eq!(sent(&without, 17, 20), 0, "proxies that rejoined stop sending");
     let left = |(_, p): &&(Duration, Event)| matches!(p, Event::Left { .. });
-    assert_eq!(played.record.passed.iter().filter(left).count(), lost.len());
+    assert_eq!(run.record.passed.iter().filter(left).count(), lost.len());
 }
 
 #[rstest]
-#[case::one_more_than_the_day_has(&[("east", 6), ("west", 6)], 12)]
-#[case::fewer(&[("east", 2), ("west", 1)], 3)]
-fn a_recorded_list_says_which_servers_there_are(#[case] by_zone: &[(&str, usize)], #[case] count: usize) {
+#[case::more_than_the_day_has(&[("east", 6), ("west", 6)], 12)]
+#[case::fewer_than_the_day_has(&[("east", 2), ("west", 1)], 3)]
+fn a_recorded_list_determines_the_servers(#[case] by_zone: &[(&str, usize)], #[case] count: usize) {
     let day = quiet_day(8);
-    let past = calls(300, Duration::from_secs(2), Duration::from_millis(18), 12);
-    let mut past = past.into_iter();
+    let inputs = calls(300, Duration::from_secs(2), Duration::from_millis(18), 12);
+    let mut inputs = inputs.into_iter();
     let opening = Some(ready(&day, by_zone));
-    let next = Box::new(move || Ok(past.next()));
-    let played =
-        play_by(&day, PlannedBy::Planner, Some(Recording { opening, unjoined: BTreeSet::new(), next }));
-    let told = played.record.passed.iter().find_map(|(_, p)| match p {
+    let next = Box::new(move || Ok(inputs.next()));
+    let run = run_by(&day, PlannedBy::Planner, Some(Recording { opening, unjoined: BTreeSet::new(), next }));
+    let listed = run.record.passed.iter().find_map(|(_, p)| match p {
         Event::ListTold(list) => Some(list.entries.len()),
         _ => None,
     });
-    assert_eq!(told, Some(count));
-    assert!(played.modelled.kept());
+    assert_eq!(listed, Some(count));
+    assert!(run.result.kept());
 }
 
 #[rstest]
-fn a_planner_that_was_lost_comes_back_with_the_next_that_began_and_old_lists_are_not_believed() {
+fn the_next_planner_replaces_a_lost_one_and_outdated_lists_are_ignored() {
     let day = quiet_day(20);
     let at = Duration::from_secs;
-    let mut past = calls(1500, at(2), Duration::from_millis(10), 12);
+    let mut inputs = calls(1500, at(2), Duration::from_millis(10), 12);
     let opening = ready(&day, &[("east", 4), ("west", 5)]);
     let gone = RecordedEntry { phase: EndpointState::Removed, ..opening[0].clone() };
     let never = RecordedEntry { server: "nobody".into(), ..gone.clone() };
-    past.extend([
+    inputs.extend([
         (at(0), Input::PlannerBegan { planner: 1 }),
         (at(0), Input::List { version: 4, base: 0, entries: opening.clone() }),
         (at(5), Input::PlannerLost { planner: 1 }),
@@ -201,34 +199,34 @@
         (at(12), Input::List { version: 5, base: 4, entries: vec![gone, never] }),
         (at(14), Input::List { version: 4, base: 0, entries: opening.clone() }),
     ]);
-    past.sort_by_key(|p| p.0);
-    let mut past = past.into_iter();
-    let next = Box::new(move || Ok(past.next()));
+    inputs.sort_by_key(|p| p.0);
+    let mut inputs = inputs.into_iter();
+    let next = Box::new(move || Ok(inputs.next()));
     let recording = Recording { opening: Some(opening), unjoined: BTreeSet::new(), next };
-    let played = play_by(&day, PlannedBy::Planner, Some(recording));
-    assert!(played.modelled.kept(), "{:?}", played.modelled.verdicts);
-    let starts: BTreeSet<u64> = (played.record.passed.iter())
+    let run = run_by(&day, PlannedBy::Planner, Some(recording));
+    assert!(run.result.kept(), "{:?}", run.result.verdicts);
+    let starts: BTreeSet<u64> = (run.record.passed.iter())
         .filter_map(|(_, p)| if let Event::Joined { start, .. } = p { Some(*start) } else { None })
         .collect();
-    assert_eq!(starts.len(), 2, "two planners were joined");
+    assert_eq!(starts.len(), 2, "proxies joined two planners");
     let down = |(_, p): &&(Duration, Event)| matches!(p, Event::Down { .. });
-    assert_eq!(played.record.passed.iter().filter(down).count(), 1, "an old list brings nothing back");
+    assert_eq!(run.record.passed.iter().filter(down).count(), 1, "an outdated list restarts no server");
 }
 
 #[rstest]
 fn a_planner_serves_better_than_even_weights_and_no_better_than_perfect_knowledge() {
-    let service = |by| play_by(&bad_day(11), by, None).modelled.service.overall;
+    let service = |by| run_by(&bad_day(11), by, None).result.service.overall;
     let (even, planner, best) =
         (service(PlannedBy::Evenly), service(PlannedBy::Planner), service(PlannedBy::Nobody));
     assert!(even + 0.01 < planner && planner < best, "{even:.4} {planner:.4} {best:.4}");
 }
 
-/// A server that stands still for two seconds, under calls that come whatever it does: the call that is due k
-/// gaps after the stop is answered when the server runs on and has done the k before it.
+/// A server is suspended for two seconds while requests arrive at a fixed rate. The request that is due k gaps after the
+/// suspension is answered after the server has resumed and completed the k requests before it.
 #[rstest]
 #[case::half_used(10, 20)]
 #[case::almost_full(16, 20)]
-fn open_loop_callers_are_late_by_the_freeze_and_what_piled_up(#[case] work_ms: u64, #[case] gap_ms: u64) {
+fn open_loop_requests_are_late_by_the_suspension_and_the_backlog(#[case] work_ms: u64, #[case] gap_ms: u64) {
     let mut day = quiet_day(20);
     let (work, gap) = (Duration::from_millis(work_ms), Duration::from_millis(gap_ms));
     let (still, freeze) = (Duration::from_millis(5_001), Duration::from_secs(2));
@@ -253,11 +251,11 @@
     let due = |i: u64| Duration::from_secs(4) + gap * i as u32;
     let count = 600;
     let call = |i: u64| FirstRequest { due: due(i), route: 2, key: i, work, proxy: 0 };
-    let past = (0..count).map(|i| (due(i), Input::Call(call(i)))).collect();
-    let played = play_by(&day, PlannedBy::Evenly, Some(recording(past)));
+    let inputs = (0..count).map(|i| (due(i), Input::Call(call(i)))).collect();
+    let run = run_by(&day, PlannedBy::Evenly, Some(recording(inputs)));
     let mut asked = vec![];
     let mut lateness = std::collections::BTreeMap::new();
-    for (at, p) in &played.record.passed {
+    for (at, p) in &run.record.passed {
         match p {
             Event::Asked { id, .. } => asked.push((*id, *at)),
             Event::Done { id, outcome: CallOutcome::Answered, .. } => {
@@ -267,8 +265,8 @@
             _ => {}
         }
     }
-    assert_eq!(lateness.len(), count as usize, "all are answered");
-    // Worked out beside the model: one server, first come, first served, nothing begun while it stands still.
+    assert_eq!(lateness.len(), count as usize, "every request is answered");
+    // An independent calculation: one server, first come, first served, which begins nothing while it is suspended.
     let (mut free, mut worst) = (Duration::ZERO, Duration::ZERO);
     for (due, late) in &lateness {
         let arrives = *due + Duration::from_micros(200);
@@ -289,9 +287,9 @@
     assert!(worst > freeze - gap && worst < freeze + gap + work * 2, "{worst:?}");
 }
 
-/// The deployment's servers are unlike each other, so what was learnt of them is worth something.
+/// The servers have different speeds, so a planner without the learned weights serves worse.
 #[rstest]
-fn a_takeover_keeps_the_rules_and_loses_no_more_than_a_restart() {
+fn a_takeover_keeps_the_rules_and_serves_no_worse_than_a_restart() {
     let service = |what: What| {
         let of = |seed| {
             let mut day = bad_day(seed);
@@ -302,9 +300,9 @@
                 lasts: grebespool_settings::Span(Duration::from_millis(1300)),
                 what: what.clone(),
             }];
-            let played = play(&day).modelled;
-            assert!(played.kept(), "{:?}", played.verdicts);
-            played.service.overall
+            let run = run(&day).result;
+            assert!(run.kept(), "{:?}", run.verdicts);
+            run.service.overall
         };
         (0..6).map(of).sum::<f64>() / 6.0
     };
