--- a/crates/simulation/src/recorded_day.rs
+++ b/crates/simulation/src/recorded_day.rs
@@ -77,8 +77,8 @@
     /// Maps the recorded servers to the day's, and starts and stops servers to match the recorded opening list.
     pub(crate) fn begin_recorded_day(&mut self) {
         let Some(recording) = &self.recording else { return };
-        let (opening, apart) = (recording.opening.clone(), recording.unjoined.clone());
-        apart.iter().filter(|p| **p < self.proxies.len()).for_each(|p| {
+        let (opening, unjoined) = (recording.opening.clone(), recording.unjoined.clone());
+        unjoined.iter().filter(|p| **p < self.proxies.len()).for_each(|p| {
             self.queue.borrow_mut().links[*p].closed = true;
         });
         let Some(opening) = opening else { return };
@@ -101,15 +101,15 @@
     /// Returns the index of the server that represents a recorded one: an unassigned server of its zone, or else a
     /// new one of the zone's first kind. Returns `None` for a zone that the day doesn't have.
     fn server_for(&mut self, entry: &RecordedEntry) -> Option<usize> {
-        if let Some(place) = self.servers_by_name.get(&entry.server) {
-            return Some(*place);
+        if let Some(index) = self.servers_by_name.get(&entry.server) {
+            return Some(*index);
         }
         let zone = self.day.deployment.zones.iter().position(|z| *z == entry.zone)? as u16;
         let assigned: BTreeSet<usize> = self.servers_by_name.values().copied().collect();
         let free = (0..self.servers.len()).find(|s| self.servers[*s].zone == zone && !assigned.contains(s));
-        let place = free.unwrap_or_else(|| self.add_server(zone));
-        self.servers_by_name.insert(entry.server.clone(), place);
-        Some(place)
+        let index = free.unwrap_or_else(|| self.add_server(zone));
+        self.servers_by_name.insert(entry.server.clone(), index);
+        Some(index)
     }
 
     /// Schedules the next input of the recording, if one is followed.
--- a/crates/simulation/src/requests.rs
+++ b/crates/simulation/src/requests.rs
@@ -141,13 +141,13 @@
         let this = (id, a.call.attempt, a.tried.len() as u8);
         a.tried.push(server);
         a.open_attempt = Some((this, now));
-        let (proxy, known) = (a.proxy, p.connections.contains_key(&server));
-        let known_server = self.by_id.get(&server).copied();
+        let (proxy, connected) = (a.proxy, p.connections.contains_key(&server));
+        let server_index = self.by_id.get(&server).copied();
         self.queue.borrow_mut().after(wait, Scheduled::AttemptLost { id: this, not_run: false });
-        if known {
+        if connected {
             return self.send(this, server);
         }
-        let refused = match known_server.map(|s| &self.servers[s]) {
+        let refused = match server_index.map(|s| &self.servers[s]) {
             // Across a partition, the connection attempt fails only after a timeout.
             Some(s) if self.partitioned(s.zone, self.proxies[proxy].zone) => Some(Duration::from_millis(300)),
             Some(s) if s.machine.is_some() => None,
