--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -4,7 +4,7 @@
 use clap::{Args, ValueEnum};
 use grebespool_cluster::audit_accounts;
 use grebespool_emulator::{
-    FleetHost, PlannerHost, Played, ProcessHost, Progress, SeveralHost, ThreadHost, rehearse as play,
+    FleetHost, PlannerHost, ProcessHost, Progress, RehearsedDay, SeveralHost, ThreadHost, rehearse as play,
 };
 use grebespool_invariants::Verdict;
 use grebespool_settings::{Day, What};
@@ -153,7 +153,7 @@
     }
 }
 
-fn print_played(played: &Played) {
+fn print_played(played: &RehearsedDay) {
     let service = &played.service;
     println!("\nservice {:.3}, worst ten seconds {:.3}", service.overall, service.worst);
     for route in &service.routes {
--- a/crates/cli/tests/fleet/takeovers.rs
+++ b/crates/cli/tests/fleet/takeovers.rs
@@ -3,7 +3,7 @@
 
 use crate::helpers::Fleet;
 use grebespool_cluster::audit_accounts;
-use grebespool_emulator::{FleetHost, Played, rehearse};
+use grebespool_emulator::{FleetHost, RehearsedDay, rehearse};
 use grebespool_invariants::{Event, Record};
 use grebespool_settings::Day;
 use rstest::rstest;
@@ -19,7 +19,7 @@
     Day::parse(&text, "a day").unwrap_or_else(|bad| panic!("{bad}"))
 }
 
-fn play(day: &Day, cutting: bool) -> Played {
+fn play(day: &Day, cutting: bool) -> RehearsedDay {
     let program = PathBuf::from(env!("CARGO_BIN_EXE_grebespool-cli"));
     let accounts = tempfile::tempdir().unwrap();
     let host = FleetHost::new(program, Duration::from_millis(1800), 3, accounts.path().into()).unwrap();
--- a/crates/emulator/src/fault_day.rs
+++ b/crates/emulator/src/fault_day.rs
@@ -25,7 +25,7 @@
 use tokio::time::{sleep, sleep_until};
 
 /// The result of a rehearsed day.
-pub struct Played {
+pub struct RehearsedDay {
     /// All events of the day.
     pub record: Record,
     /// One verdict for each rule.
@@ -34,7 +34,7 @@
     pub service: ServiceLevel,
 }
 
-impl Played {
+impl RehearsedDay {
     /// Returns true if no rule was violated.
     pub fn kept(&self) -> bool {
         self.verdicts.iter().all(|v| v.first.is_none())
@@ -60,13 +60,13 @@
     host: Box<dyn PlannerHost>,
     progress: Option<Box<dyn Progress>>,
     recorder: Option<Recorder>,
-) -> io::Result<Played> {
+) -> io::Result<RehearsedDay> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let tasks = LocalSet::new();
     let record = tasks.block_on(&runtime, run_day(day, host, progress, recorder))?;
     let verdicts = check(&record, &invariant_facts(day));
     let service = ServiceLevelRecorder::of_record(&record, &day.deployment);
-    Ok(Played { verdicts, service, record })
+    Ok(RehearsedDay { verdicts, service, record })
 }
 
 /// The emulated systems of a running day, on which its faults act.
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -13,7 +13,7 @@
 mod server;
 mod world;
 
-pub use fault_day::{Played, Progress, rehearse};
+pub use fault_day::{Progress, RehearsedDay, rehearse};
 pub use fleet::{FleetHost, free_ports};
 pub use host::{PlannerHost, ProcessHost, SeveralHost, ThreadHost};
 pub use world::listed;
--- a/crates/emulator/tests/days.rs
+++ b/crates/emulator/tests/days.rs
@@ -4,7 +4,7 @@
 #![allow(missing_docs, unreachable_pub, clippy::unwrap_used, reason = "a test stops at a surprise")]
 
 use grebespool_controller_server::{PassThrough, UpdateFilter};
-use grebespool_emulator::{PlannerHost, Played, ThreadHost, rehearse};
+use grebespool_emulator::{PlannerHost, RehearsedDay, ThreadHost, rehearse};
 use grebespool_invariants::{Event, Record, Rule, check};
 use grebespool_server_model::invariant_facts;
 use grebespool_settings::{Day, Deployment, ListSource};
@@ -30,11 +30,11 @@
     ThreadHost::with_filter(5, Duration::from_millis(1800), filter)
 }
 
-fn run(day: &Day) -> Played {
+fn run(day: &Day) -> RehearsedDay {
     rehearse(day, Box::new(host(|| Box::new(PassThrough))), None, None).unwrap()
 }
 
-fn assert_kept(result: &Played) {
+fn assert_kept(result: &RehearsedDay) {
     let broken: Vec<_> = result.verdicts.iter().filter(|v| v.first.is_some()).collect();
     assert!(broken.is_empty(), "{broken:#?}");
     assert!(result.verdicts[0].checked > 0 && result.verdicts[4].checked > 0, "nothing was checked");
