--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -4,7 +4,7 @@
 use clap::{Args, ValueEnum};
 use grebespool_cluster::audit_accounts;
 use grebespool_emulator::{
-    FleetHost, PlannerHost, Played, ProcessHost, Progress, SeveralHost, ThreadHost, rehearse as play,
+    FleetHost, PlannerHost, ProcessHost, Progress, RehearsedDay, SeveralHost, ThreadHost, rehearse as play,
 };
 use grebespool_invariants::Verdict;
 use grebespool_settings::{Day, What};
@@ -153,7 +153,7 @@
     }
 }
 
-fn print_played(played: &Played) {
+fn print_played(played: &RehearsedDay) {
     let service = &played.service;
     println!("\nservice {:.3}, worst ten seconds {:.3}", service.overall, service.worst);
     for route in &service.routes {
@@ -181,13 +181,13 @@
 }
 
 fn print_verdict(verdict: &Verdict) {
-    let Verdict { rule, first, breaches, checked } = verdict;
+    let Verdict { rule, first, violations, checked } = verdict;
     match first {
         // A rule without any check does not count as kept.
         None if *checked == 0 => println!("rule {rule}: not put to the test"),
         None => println!("rule {rule}: kept ({checked} checked)"),
         Some(breach) => {
-            println!("rule {rule}: BROKEN, {breaches} breaches ({checked} checked)");
+            println!("rule {rule}: BROKEN, {violations} breaches ({checked} checked)");
             println!("  first at {:.3} s: {}", breach.at.as_secs_f64(), breach.what);
             breach.before.iter().for_each(|line| println!("    before: {line}"));
         }
--- a/crates/replay/src/experiment.rs
+++ b/crates/replay/src/experiment.rs
@@ -4,7 +4,7 @@
 use crate::recorded::RecordedDay;
 use crate::report::{Page, format_gain, mean_service, rules_text, write_report};
 use crate::run::{Job, Outcome, Replays, Variant, run_all};
-use grebespool_simulation::Unplayable;
+use grebespool_simulation::SimulationError;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -29,7 +29,7 @@
     Locked(String),
     /// A run cannot be simulated.
     #[error(transparent)]
-    Unplayable(#[from] Unplayable),
+    Unplayable(#[from] SimulationError),
 }
 
 /// Returns a function that adds a path to an I/O error.
@@ -148,7 +148,7 @@
         let mut jobs: Vec<(Job<'_>, String)> = vec![];
         for day in &self.days {
             let checksum = day.recorded.as_ref().map(RecordedDay::checksum).transpose();
-            let checksum = checksum.map_err(|error| Unplayable::Past(error.into()))?;
+            let checksum = checksum.map_err(|error| SimulationError::Recording(error.into()))?;
             for job in Replays::jobs(&day.variants, &self.seeds, day.recorded.as_ref()) {
                 let key = run_key(program, &job, checksum.as_ref());
                 jobs.push((job, key));
--- a/crates/replay/src/recorded.rs
+++ b/crates/replay/src/recorded.rs
@@ -1,7 +1,7 @@
 //! Recorded days as inputs of the model: a stream of events in the order of time, with one block in memory at a time.
 
 use grebespool_settings::{Day, Trouble, What};
-use grebespool_simulation::{FirstCall, Past, PastEntry, Recording};
+use grebespool_simulation::{FirstRequest, Input, RecordedEntry, Recording};
 use grebespool_trace::{Call, End, Event, Listed, Phase, ReadError, Reader, Timed};
 use grebespool_wire as wire;
 use rand::{Rng, SeedableRng};
@@ -113,7 +113,7 @@
     /// True if the recording is truncated.
     pub cut_off: bool,
     /// The first whole list.
-    initial_list: Option<Vec<PastEntry>>,
+    initial_list: Option<Vec<RecordedEntry>>,
     /// Index of the day's proxy that replays each recorded proxy.
     proxies: BTreeMap<u32, usize>,
     /// Time of the first join of each recorded proxy, in microseconds.
@@ -203,8 +203,8 @@
 }
 
 /// Converts a recorded entry of a list that was sent at `unix_ms`.
-fn entry(e: &Listed, unix_ms: u64) -> PastEntry {
-    PastEntry {
+fn entry(e: &Listed, unix_ms: u64) -> RecordedEntry {
+    RecordedEntry {
         server: e.server.clone(),
         number: e.number,
         zone: e.zone.clone(),
@@ -336,7 +336,7 @@
         // A proxy is without a planner until its first join; one that never joined is so for the whole recording.
         let apart = f.proxies.iter().filter(|(p, _)| f.first_joins.get(p).is_none_or(|at| *at > 0));
         let apart = if f.joins > 0 { apart.map(|p| *p.1).collect() } else { BTreeSet::new() };
-        let next = move || -> Result<Option<(Duration, Past)>, Box<dyn std::error::Error + Send + Sync>> {
+        let next = move || -> Result<Option<(Duration, Input)>, Box<dyn std::error::Error + Send + Sync>> {
             while let Some(timed) = events.next()? {
                 let at = Duration::from_micros(timed.at_us);
                 if let Some(input) = self.input(timed, &mut events) {
@@ -345,16 +345,16 @@
             }
             Ok(None)
         };
-        Ok(Recording { opening: f.initial_list.clone(), apart, next: Box::new(next) })
+        Ok(Recording { opening: f.initial_list.clone(), unjoined: apart, next: Box::new(next) })
     }
 
     /// Converts a recorded event into an input of the model. Counted requests are added to `events` one by one.
-    fn input(&self, timed: Timed, events: &mut Events) -> Option<Past> {
+    fn input(&self, timed: Timed, events: &mut Events) -> Option<Input> {
         let proxy_index = |proxy: &u32| self.stats.proxies.get(proxy).copied();
         Some(match timed.event {
             Event::Call(call) if !call.repeat => {
                 let (work, _) = self.callers_of(call.route)?;
-                Past::Call(FirstCall {
+                Input::Call(FirstRequest {
                     due: Duration::from_micros(timed.at_us),
                     route: call.route,
                     key: call.key,
@@ -386,12 +386,12 @@
             }
             Event::List { version, base, now_ms, entries } => {
                 let entries = entries.iter().map(|e| entry(e, now_ms)).collect();
-                Past::List { version, base, entries }
+                Input::List { version, base, entries }
             }
-            Event::Joined { proxy, .. } => Past::Joined { proxy: proxy_index(&proxy)? },
-            Event::Left { proxy } => Past::Left { proxy: proxy_index(&proxy)? },
-            Event::Began { planner, .. } => Past::PlannerBegan { planner },
-            Event::PlannerLost { planner } => Past::PlannerLost { planner },
+            Event::Joined { proxy, .. } => Input::Joined { proxy: proxy_index(&proxy)? },
+            Event::Left { proxy } => Input::Left { proxy: proxy_index(&proxy)? },
+            Event::Began { planner, .. } => Input::PlannerBegan { planner },
+            Event::PlannerLost { planner } => Input::PlannerLost { planner },
             Event::Call(_) | Event::Gap { .. } => return None,
         })
     }
