--- a/crates/cli/src/replay.rs
+++ b/crates/cli/src/replay.rs
@@ -1,9 +1,9 @@
-//! `replay`: a day under other settings, simulated.
+//! `replay`: simulates a day under other settings.
 
 use crate::error::CommandError;
 use crate::simulated_days::{describe, progress_bar, read_day, read_recording, thread_count};
 use clap::Args;
-use grebespool_replay::{Recorded, Replays, Variant, replay as run, write_report};
+use grebespool_replay::{RecordedDay, Replays, Variant, replay as run, write_report};
 use std::fs;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -12,7 +12,7 @@
 pub(crate) struct ReplayArguments {
     /// A recording whose calls, lists and joins are replayed; the day's own callers call if left out
     trace: Option<PathBuf>,
-    /// The day: servers, proxies, rules, and troubles that the recording does not tell of; the built-in bad day if
+    /// The day: servers, proxies, rules, and troubles that the recording does not contain; the built-in bad day if
     /// left out
     #[arg(long)]
     day: Option<PathBuf>,
@@ -44,7 +44,7 @@
 ///
 /// # Errors
 ///
-/// A day, a recording or a value cannot be used, or the report cannot be written.
+/// Returns an error if a day, a recording or a value cannot be used, or if the report cannot be written.
 pub(crate) fn replay(arguments: &ReplayArguments) -> Result<ExitCode, CommandError> {
     if arguments.seeds == 0 {
         return Err(CommandError::argument("--seeds 0", "at least one"));
@@ -56,10 +56,10 @@
     };
     let replays = run_variants(arguments, &variants, recorded.as_ref())?;
     print_report(arguments, &variants, recorded.as_ref(), &replays)?;
-    Ok(if replays.kept() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+    Ok(if replays.rules_kept() { ExitCode::SUCCESS } else { ExitCode::from(1) })
 }
 
-/// The day as it is, then one variant for each settings file, then those that name their values.
+/// Returns the day as it is, then a variant for each settings file, then the variants given by values.
 fn variants(arguments: &ReplayArguments) -> Result<Vec<Variant>, CommandError> {
     let file = arguments.day.as_deref();
     let as_it_is = read_day(file, None, &arguments.set)?;
@@ -87,7 +87,7 @@
 fn run_variants(
     arguments: &ReplayArguments,
     variants: &[Variant],
-    recorded: Option<&Recorded>,
+    recorded: Option<&RecordedDay>,
 ) -> Result<Replays, CommandError> {
     let first_seed = variants[0].day.seed;
     let seeds: Vec<u64> = (0..arguments.seeds).map(|offset| first_seed + offset).collect();
@@ -98,11 +98,11 @@
     Ok(replays)
 }
 
-/// Writes the report where that was asked for, and prints it.
+/// Writes the report to the given folder, if any, and prints it.
 fn print_report(
     arguments: &ReplayArguments,
     variants: &[Variant],
-    recorded: Option<&Recorded>,
+    recorded: Option<&RecordedDay>,
     replays: &Replays,
 ) -> Result<(), CommandError> {
     let day = &variants[0].day;
